--- a/quincepath/policy/aggregator.py
+++ b/quincepath/policy/aggregator.py
@@ -2,8 +2,19 @@
 
 from collections.abc import Iterable
 
-from quincepath.interface import Action, Allowance, Event, Left, Members, Outcome, Part, Query, QueryClass
-from quincepath.interface import TimerFired, Watch
+from quincepath.interface import (
+    Action,
+    Allowance,
+    Event,
+    Left,
+    Members,
+    Outcome,
+    Part,
+    Query,
+    QueryClass,
+    TimerFired,
+    Watch,
+)
 from quincepath.policy.queries import PartState, QueryState
 from quincepath.policy.sending import Sending
 from quincepath.policy.tuning import ANSWER_TICKS, LIST_TOKEN, SHORT_MEMORY
--- a/quincepath/policy/choice.py
+++ b/quincepath/policy/choice.py
@@ -8,8 +8,16 @@
 from quincepath.policy.nodes import Node
 from quincepath.policy.queries import PartState, QueryState
 from quincepath.policy.state import Rank
-from quincepath.policy.tuning import CORES_GUESS, DIAL_COST, HOPELESS_SHARE, MOSTLY_FAILING, NEW_CONNECTION
-from quincepath.policy.tuning import OVERLOAD_QUIET, SHORT_MEMORY, ZONE_COST
+from quincepath.policy.tuning import (
+    CORES_GUESS,
+    DIAL_COST,
+    HOPELESS_SHARE,
+    MOSTLY_FAILING,
+    NEW_CONNECTION,
+    OVERLOAD_QUIET,
+    SHORT_MEMORY,
+    ZONE_COST,
+)
 
 
 class ReplicaChoice(NodeList):
--- a/quincepath/policy/ending.py
+++ b/quincepath/policy/ending.py
@@ -3,8 +3,14 @@
 from quincepath.interface import Answer, Cancel, Effect, Fail, Refuse, SetTimer
 from quincepath.policy.queries import Attempt, QueryState
 from quincepath.policy.state import State
-from quincepath.policy.tuning import ANSWER_TICKS, CRASHES_MOST, CULPRIT_MEMORY, CULPRITS_MOST, RETURN_SHARE
-from quincepath.policy.tuning import SHORT_MEMORY
+from quincepath.policy.tuning import (
+    ANSWER_TICKS,
+    CRASHES_MOST,
+    CULPRIT_MEMORY,
+    CULPRITS_MOST,
+    RETURN_SHARE,
+    SHORT_MEMORY,
+)
 
 
 class Ending(State):
--- a/quincepath/policy/nodes.py
+++ b/quincepath/policy/nodes.py
@@ -3,9 +3,21 @@
 import math
 
 from quincepath.interface import Entry
-from quincepath.policy.tuning import FAULT_COST, FAULT_GAIN, FAULT_MEETINGS, FAULT_MOST, LATE_DEVIATIONS
-from quincepath.policy.tuning import LATE_SHARE_LEAST, LATE_SHARE_MOST, LATENCY_CLIP, LATENCY_GAIN
-from quincepath.policy.tuning import MEMORY_LEAST, PRIOR_LATENCY, PRIOR_WORK, SECOND
+from quincepath.policy.tuning import (
+    FAULT_COST,
+    FAULT_GAIN,
+    FAULT_MEETINGS,
+    FAULT_MOST,
+    LATE_DEVIATIONS,
+    LATE_SHARE_LEAST,
+    LATE_SHARE_MOST,
+    LATENCY_CLIP,
+    LATENCY_GAIN,
+    MEMORY_LEAST,
+    PRIOR_LATENCY,
+    PRIOR_WORK,
+    SECOND,
+)
 
 
 class Latency:
--- a/quincepath/policy/sending.py
+++ b/quincepath/policy/sending.py
@@ -7,9 +7,19 @@
 from quincepath.policy.learning import Learning
 from quincepath.policy.nodes import Call, Node
 from quincepath.policy.queries import Attempt, PartState, QueryState
-from quincepath.policy.tuning import ANSWER_TICKS, BLOCKED_RETRY, MEMORY_LEAST, MEMORY_MOST, RESEND_PATIENCE
-from quincepath.policy.tuning import RESEND_PATIENCE_CROWDED, SPARE_LEAST, SPARE_MOST, SPARE_SHARE
-from quincepath.policy.tuning import SPARE_SHARE_CALM, WINDOW_SHARE
+from quincepath.policy.tuning import (
+    ANSWER_TICKS,
+    BLOCKED_RETRY,
+    MEMORY_LEAST,
+    MEMORY_MOST,
+    RESEND_PATIENCE,
+    RESEND_PATIENCE_CROWDED,
+    SPARE_LEAST,
+    SPARE_MOST,
+    SPARE_SHARE,
+    SPARE_SHARE_CALM,
+    WINDOW_SHARE,
+)
 
 
 class Sending(ReplicaChoice, Learning):
