--- a/benchmarks/fair_turns.py
+++ b/benchmarks/fair_turns.py
@@ -23,7 +23,7 @@
 from quincepath.lab.fair_rivals import EvenShares, Fair, FirstCome, Giver
 from quincepath.lab.fair_world import World
 from quincepath.limits.fair import FairSettings
-from quincepath.limits.fair.facts import MS, SECOND
+from quincepath.limits.fair.types import MS, SECOND
 
 RESULTS = Path(__file__).parent / "results"
 SETTINGS = FairSettings(slots=20, quick_slots=4)
--- a/benchmarks/fair_ways.py
+++ b/benchmarks/fair_ways.py
@@ -18,10 +18,10 @@
 from quincepath.lab.fair_plan import Found, Plan, Tenant
 from quincepath.lab.fair_rivals import Fair, FirstCome, Giver
 from quincepath.lab.fair_world import World
-from quincepath.limits.fair import Done, FairSettings, Turns
-from quincepath.limits.fair.facts import MS, SECOND
+from quincepath.limits.fair import Done, FairScheduler, FairSettings
 from quincepath.limits.fair.queues import Lane, Queue, Waiting
-from quincepath.limits.fair.turns import Tags
+from quincepath.limits.fair.tags import Tags
+from quincepath.limits.fair.types import MS, SECOND
 
 RESULTS = Path(__file__).parent / "results"
 CAPPED = FairSettings(slots=20, quick_slots=4)
@@ -69,15 +69,15 @@
         while True:
             key = self.round[0]
             one = may.get(key)
-            if one is not None and self.deficit[key] >= one.guess.cost:
-                self.deficit[key] -= one.guess.cost
+            if one is not None and self.deficit[key] >= one.estimate.cost:
+                self.deficit[key] -= one.estimate.cost
                 return one
             self.round.append(self.round.pop(0))
             if one is not None:
                 self.deficit[key] += QUANTUM * backlogged[key].weight
 
 
-class EndTurns(Turns):
+class EndTurns(FairScheduler):
     """Charges as a way says: no charge while a query runs; its whole cost at its end."""
 
     first = 0
@@ -86,7 +86,7 @@
         outer = self
 
         class Late(Tags):
-            def starts(self, queue: Queue, cost: int) -> None:
+            def query_started(self, queue: Queue, cost: int) -> None:
                 self.virtual = max(self.virtual, queue.tag)
                 queue.running += 1
                 queue.tag += int(outer.first / queue.weight)
@@ -112,7 +112,9 @@
     first = SECOND
 
 
-def fair(turns: type[Turns] = Turns, tags: type[Tags] | None = None) -> Callable[[FairSettings, int], Giver]:
+def fair(
+    turns: type[FairScheduler] = FairScheduler, tags: type[Tags] | None = None
+) -> Callable[[FairSettings, int], Giver]:
     """Fair queues with another part in them."""
 
     def make(settings: FairSettings, seed: int) -> Giver:
--- a/quincepath/asks/desk.py
+++ b/quincepath/asks/desk.py
@@ -7,7 +7,7 @@
 
 from quincepath.asks.book import Begin, Book, BookLimits, Decision, Try
 from quincepath.limits.admission import Admission, AdmissionBounds, Cost
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.limits.memory import Pressure
 
 R = TypeVar("R")
@@ -19,13 +19,13 @@
     def __init__(self, book: BookLimits, bounds: AdmissionBounds, seed: int) -> None:
         self.book: Book[R] = Book(book)
         self.admission = Admission(bounds, seed)
-        self.door = self.admission.door
+        self.door = self.admission.gate
 
     def known(self, now: int, attempt: Try) -> int | None:
         """The ask that this try belongs to, running or remembered."""
         return self.book.find(now, attempt)
 
-    def arrive(self, now: int, attempt: Try, cost: Cost | None, lingering: int) -> Decision[R] | TurnAway:
+    def arrive(self, now: int, attempt: Try, cost: Cost | None, lingering: int) -> Decision[R] | Rejection:
         """``cost`` is what it brings as an ask of its own, None where it is known to belong to one.
 
         ``lingering``: parts of ended queries that are still out.
@@ -48,4 +48,4 @@
             self.book.forget_all()
 
 
-__all__ = ["Begin", "Desk", "Try", "TurnAway"]
+__all__ = ["Begin", "Desk", "Try", "Rejection"]
--- a/quincepath/broker/reception.py
+++ b/quincepath/broker/dispatcher.py
@@ -6,7 +6,7 @@
     arrive(now, try, ask, context)  a request; the decision says whether it is owed an answer later
     left(now, handle)               its client has gone
     note(input)                     what else came in: ends of attempts, news of the list
-    step(now)                       one batch to the module; orders, among them ``Owed`` and ``AskEnded``
+    step(now)                       one batch to the module; orders, among them ``TryAnswer`` and ``AskEnded``
 """
 
 from collections.abc import Callable
@@ -16,9 +16,9 @@
 from quincepath.asks.book import Begin, Decision, Drop, How, Restart, Try
 from quincepath.asks.desk import Desk
 from quincepath.broker.driver import Driver
-from quincepath.broker.pending import PendingQueue, Turn
+from quincepath.broker.pending import PendingQueue, SchedulingInfo
 from quincepath.limits.admission import Cost
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.orders import Arrived, Ask, ClientLeft, Ended, Finish, Input, Order, StartCall, Verdict
 
 C = TypeVar("C")
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Owed(Generic[R]):
+class TryAnswer(Generic[R]):
     """Send this to the try: its one final answer. No reply: its own time is up while its ask goes on."""
 
     handle: int
@@ -64,16 +64,16 @@
 class _Running(Generic[C]):
     ask: Ask
     context: C
-    turn: Turn | None = None
+    scheduling: SchedulingInfo | None = None
 
 
-class Reception(Generic[C, R]):
-    """One a broker. ``room``: where asks wait for their turn; None: each goes to the driver at once."""
+class Dispatcher(Generic[C, R]):
+    """One a broker. ``pending``: where asks wait for a slot; None: each goes to the driver at once."""
 
     def __init__(
-        self, driver: Driver, desk: Desk[R], render: Render[C, R], room: PendingQueue | None = None
+        self, driver: Driver, desk: Desk[R], render: Render[C, R], pending: PendingQueue | None = None
     ) -> None:
-        self.driver, self.desk, self.render, self.room = driver, desk, render, room
+        self.driver, self.desk, self.render, self.pending = driver, desk, render, pending
         self._running: dict[int, _Running[C]] = {}
         self._inbox: list[Input] = []
         self._ended: list[AskEnded[C, R]] = []
@@ -96,12 +96,12 @@
         context: C | None,
         worth: float = 1.0,
         size: int = 0,
-        turn: Turn | None = None,
-    ) -> "Decision[R] | TurnAway":
+        scheduling: SchedulingInfo | None = None,
+    ) -> "Decision[R] | Rejection":
         """A request; ``ask`` and ``context`` are needed only where it is not known. ``Begin`` has begun.
 
-        ``worth`` is its class's from 0 to 1, ``size`` the bytes of the request; ``turn`` is needed where
-        there is a room to wait in.
+        ``worth`` is its class's from 0 to 1, ``size`` the bytes of the request; ``scheduling`` is needed
+        where there is a pending queue.
         """
         cost = Cost(attempt.client, ask.kind, worth, 1 + len(ask.parts), size) if ask else None
         # A burst in one turn counts as it comes: the driver gets it only with the next step.
@@ -109,17 +109,17 @@
         if isinstance(decision, Begin):
             if ask is None or context is None:
                 raise ValueError("a try of an unknown ask came without what to run")
-            self._begin(now, replace(ask, handle=decision.ask), context, turn)
+            self._begin(now, replace(ask, handle=decision.ask), context, scheduling)
         return decision
 
-    def _begin(self, now: int, ask: Ask, context: C, turn: Turn | None) -> None:
-        self._running[ask.handle] = _Running(ask, context, turn)
-        if self.room is None or turn is None:
+    def _begin(self, now: int, ask: Ask, context: C, scheduling: SchedulingInfo | None) -> None:
+        self._running[ask.handle] = _Running(ask, context, scheduling)
+        if self.pending is None or scheduling is None:
             self._inbox.append(Arrived(ask))
         else:
-            self.room.enter(now, ask, turn)
+            self.pending.enqueue(now, ask, scheduling)
 
-    def left(self, now: int, handle: int) -> None:
+    def client_left(self, now: int, handle: int) -> None:
         """The client of a try has gone."""
         drop = self.desk.book.left(now, handle)
         if drop is not None:
@@ -128,13 +128,13 @@
     def _drop(self, now: int, drop: Drop) -> None:
         running = self._running.pop(drop.ask, None)
         if running is not None:
-            if self.room is not None:
-                self.room.ended(now, drop.ask, None)
+            if self.pending is not None:
+                self.pending.ask_ended(now, drop.ask, None)
             self.desk.admission.ended(drop.ask)
             self._inbox.append(ClientLeft(drop.ask))
             self._ended.append(AskEnded(running.context, running.ask.name, None, None, 0, drop.ask))
 
-    def note(self, item: Input) -> None:
+    def enqueue(self, item: Input) -> None:
         """Something else came in; it is in the next batch."""
         self._inbox.append(item)
 
@@ -147,15 +147,15 @@
         """When ``step`` must be called at the latest; now, as 0, where something is in the inbox."""
         if self._inbox or self._ended:
             return 0
-        room = self.room.next_due() if self.room is not None else None
+        room = self.pending.next_due() if self.pending is not None else None
         dues = [due for due in (self.driver.next_due(), self.desk.book.next_due(), room) if due is not None]
         return min(dues, default=None)
 
-    def step(self, now: int) -> list[Order | Owed[R] | AskEnded[C, R]]:
+    def step(self, now: int) -> list[Order | TryAnswer[R] | AskEnded[C, R]]:
         """One batch: what came in, what is due, and what the module makes of it."""
-        orders: list[Order | Owed[R] | AskEnded[C, R]] = []
-        if self.room is not None:
-            self._turns(now, self.room, orders)
+        orders: list[Order | TryAnswer[R] | AskEnded[C, R]] = []
+        if self.pending is not None:
+            self._turns(now, self.pending, orders)
         inbox, self._inbox = self._inbox, []
         # Replies of this batch come first: a try whose time is up now gets the answer that is there.
         for order in self.driver.step(now, inbox):
@@ -163,32 +163,34 @@
                 self._finish(now, order, orders)
             else:
                 orders.append(order)
-                if self.room is not None and isinstance(order, StartCall):
-                    self.room.started(now, order)
+                if self.pending is not None and isinstance(order, StartCall):
+                    self.pending.attempts_started(now, order)
         for expired in self.desk.book.expire(now):
             if isinstance(expired, Drop):
                 self._drop(now, expired)
             else:
-                orders.append(Owed(expired.handle, None, How.RETRY, "", 0))
+                orders.append(TryAnswer(expired.handle, None, How.RETRY, "", 0))
         ended, self._ended = self._ended, []
         return [*orders, *ended]
 
-    def _turns(self, now: int, room: PendingQueue, orders: list[Order | Owed[R] | AskEnded[C, R]]) -> None:
+    def _turns(
+        self, now: int, pending: PendingQueue, orders: list[Order | TryAnswer[R] | AskEnded[C, R]]
+    ) -> None:
         """What came frees slots; whose turn it is joins this batch, who has none is answered."""
         for item in self._inbox:
             if isinstance(item, Ended):
-                room.came(now, item)
-        runs, refused = room.step(now)
+                pending.attempt_ended(now, item)
+        runs, refused = pending.step(now)
         self._inbox.extend(runs)
         for finish in refused:
             self._finish(now, finish, orders)
 
-    def _finish(self, now: int, finish: Finish, orders: list[Order | Owed[R] | AskEnded[C, R]]) -> None:
+    def _finish(self, now: int, finish: Finish, orders: list[Order | TryAnswer[R] | AskEnded[C, R]]) -> None:
         running = self._running.pop(finish.handle, None)
         if running is None:
             return
-        if self.room is not None:
-            self.room.ended(now, finish.handle, finish)
+        if self.pending is not None:
+            self.pending.ask_ended(now, finish.handle, finish)
         said = self.render(finish, running.context)
         answered = said.verdict is Verdict.ANSWERED
         owed = self.desk.book.finish(now, finish.handle, said.reply, said.size, answered)
@@ -198,12 +200,12 @@
                 name = one.name or running.ask.name
                 again = replace(running.ask, handle=one.ask, time_left=time_left, repeat=False, name=name)
                 self.desk.admission.renumber(finish.handle, one.ask)
-                turn = running.turn
-                if turn is not None:
-                    turn = replace(turn, deadline=one.deadline)
-                self._begin(now, again, running.context, turn)
+                scheduling = running.scheduling
+                if scheduling is not None:
+                    scheduling = replace(scheduling, deadline=one.deadline)
+                self._begin(now, again, running.context, scheduling)
             else:
-                orders.append(Owed(one.handle, said.reply, one.how, running.ask.name, finish.handle))
+                orders.append(TryAnswer(one.handle, said.reply, one.how, running.ask.name, finish.handle))
         self.desk.admission.ended(finish.handle, said.size if answered else 0)
         orders.append(
             AskEnded(running.context, running.ask.name, finish, said.reply, len(owed), finish.handle)
--- a/quincepath/broker/waiting.py
+++ b/quincepath/broker/fair_pending.py
@@ -8,11 +8,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from quincepath.broker.pending import NO_TURN, Turn
+from quincepath.broker.pending import QUEUE_REFUSAL, SchedulingInfo
 from quincepath.interface import Result
-from quincepath.limits.fair import Done, Elsewhere, Enter, Freed, Gone, Refuse, Stop
-from quincepath.limits.fair import Input as TurnInput
-from quincepath.limits.fair.core import Turns
+from quincepath.limits.fair import Cancelled, Done, Enter, Freed, Refuse, RemoteUsage, Stop
+from quincepath.limits.fair import Input as SchedulerInput
+from quincepath.limits.fair.scheduler import FairScheduler
 from quincepath.orders import Arrived, Ask, Ended, Finish, StartCall, Verdict
 
 
@@ -26,29 +26,31 @@
     parts: set[int] = field(default_factory=set)  # that ever went out
 
 
-class WaitingRoom:
+class FairPendingQueue:
     """One a broker. ``due`` and ``step`` belong to the reception's."""
 
-    def __init__(self, turns: Turns) -> None:
-        self.turns = turns
+    def __init__(self, scheduler: FairScheduler) -> None:
+        self.scheduler = scheduler
         self._held: dict[int, _Held] = {}
         self._asks: dict[int, int] = {}  # by part, its ask
-        self._inputs: list[TurnInput] = []
+        self._inputs: list[SchedulerInput] = []
         self._urgent = False  # something came that decides, not only slots given back
         self._freed: dict[int, int] = {}  # by ask, parts that came back and are not told yet
 
     def set_weight(self, tenant: str, weight: float | None) -> None:
         """Of a tenant, from the next step on; None: as the configuration file says."""
-        self.turns.set_weight(tenant, weight)
+        self.scheduler.set_weight(tenant, weight)
         self._urgent = True
 
-    def enter(self, now: int, ask: Ask, turn: Turn) -> None:
+    def enqueue(self, now: int, ask: Ask, scheduling: SchedulingInfo) -> None:
         """An ask that admission took."""
-        self._held[ask.handle] = _Held(ask, turn.deadline, now)
-        self._inputs.append(Enter(ask.handle, turn.tenant, turn.footprint, turn.target, turn.deadline))
+        self._held[ask.handle] = _Held(ask, scheduling.deadline, now)
+        self._inputs.append(
+            Enter(ask.handle, scheduling.tenant, scheduling.footprint, scheduling.target, scheduling.deadline)
+        )
         self._urgent = True
 
-    def started(self, now: int, order: StartCall) -> None:
+    def attempts_started(self, now: int, order: StartCall) -> None:
         """Attempts go out."""
         for one in order.attempts:
             held = self._held.get(one.ask)
@@ -57,7 +59,7 @@
                 held.parts.add(one.part)
                 self._asks[one.part] = one.ask
 
-    def came(self, now: int, item: Ended) -> None:
+    def attempt_ended(self, now: int, item: Ended) -> None:
         """An attempt has ended."""
         handle = self._asks.get(item.part)
         held = self._held.get(handle) if handle is not None else None
@@ -67,7 +69,7 @@
         if item.result is Result.OK:
             self._freed[handle] = self._freed.get(handle, 0) + 1
 
-    def ended(self, now: int, handle: int, finish: Finish | None) -> None:
+    def ask_ended(self, now: int, handle: int, finish: Finish | None) -> None:
         """An ask is over; without ``finish`` its clients had left."""
         held = self._held.pop(handle, None)
         if held is None:
@@ -77,11 +79,11 @@
             self._asks.pop(part, None)
         used = held.used + sum(now - since for since in held.out.values())
         whole = finish is not None and finish.verdict is Verdict.ANSWERED
-        self._inputs.append(Done(handle, used) if whole else Gone(handle, used))
+        self._inputs.append(Done(handle, used) if whole else Cancelled(handle, used))
 
-    def elsewhere(self, served: Mapping[str, int], age: int) -> None:
+    def add_remote_usage(self, served: Mapping[str, int], age: int) -> None:
         """What tenants got at other brokers."""
-        self._inputs.append(Elsewhere(dict(served), age))
+        self._inputs.append(RemoteUsage(dict(served), age))
         self._urgent = True
 
     def stop(self, end: int) -> None:
@@ -93,10 +95,10 @@
         """When ``step`` must be called; 0: now. Slots given back matter only where somebody wants them."""
         if self._urgent or (self._inputs or self._freed) and self._wanted():
             return 0
-        return self.turns.due()
+        return self.scheduler.due()
 
     def _wanted(self) -> bool:
-        return bool(self.turns.queues.waiting) or self.turns.pool.full()
+        return bool(self.scheduler.queues.waiting) or self.scheduler.pool.full()
 
     def step(self, now: int, whole: bool = False) -> tuple[list[Arrived], list[Finish]]:
         """Asks that run from now on, with the time that is left to them, and those that are refused.
@@ -111,7 +113,7 @@
             inputs = [*(Freed(handle, parts) for handle, parts in self._freed.items()), *inputs]
             self._freed.clear()
         runs, refused = [], []
-        for out in self.turns.step(now, inputs):
+        for out in self.scheduler.step(now, inputs):
             held = self._held.get(out.number)
             if held is None:
                 continue
@@ -124,16 +126,16 @@
 
     def waiting(self) -> int:
         """How many wait."""
-        return len(self.turns.queues.waiting)
+        return len(self.scheduler.queues.waiting)
 
     def served(self) -> dict[str, int]:
         """Slot time (ns) of slow queries by tenant since the last call."""
-        return self.turns.served()
+        return self.scheduler.served()
 
 
 def _refusal(now: int, held: _Held, out: Refuse) -> Finish:
     parts = len(held.ask.parts)
     return Finish(
-        held.ask.handle, Verdict.REFUSED, False, 0, parts, (), out.retry_in, NO_TURN + out.cause, 0,
+        held.ask.handle, Verdict.REFUSED, False, 0, parts, (), out.retry_in, QUEUE_REFUSAL + out.cause, 0,
         now - held.came,
     )  # fmt: skip
--- a/quincepath/broker/pending.py
+++ b/quincepath/broker/pending.py
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from quincepath.limits.fair import Footprint
 
-NO_TURN = "no turn: "  # how the cause of a refusal by the queue begins
+QUEUE_REFUSAL = "no turn: "  # how the cause of a refusal by the queue begins
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class SchedulingInfo:
     """What the queue has to know of an ask. ``target``: ns from its arrival; ``deadline``: own clock."""
 
     tenant: str
@@ -28,16 +28,16 @@
 class PendingQueue(Protocol):
     """Asks that admission took and that have no slot yet, and the slot time of those that run. Times: ns."""
 
-    def enter(self, now: int, ask: Ask, turn: Turn) -> None:
+    def enqueue(self, now: int, ask: Ask, scheduling: SchedulingInfo) -> None:
         """An ask that admission took."""
 
-    def started(self, now: int, order: StartCall) -> None:
+    def attempts_started(self, now: int, order: StartCall) -> None:
         """Attempts go out."""
 
-    def came(self, now: int, item: Ended) -> None:
+    def attempt_ended(self, now: int, item: Ended) -> None:
         """An attempt has ended."""
 
-    def ended(self, now: int, handle: int, finish: Finish | None) -> None:
+    def ask_ended(self, now: int, handle: int, finish: Finish | None) -> None:
         """An ask is over; without ``finish`` its clients had left."""
 
     def next_due(self) -> int | None:
--- a/quincepath/broker/service/clients.py
+++ b/quincepath/broker/service/clients.py
@@ -6,9 +6,9 @@
 
 from quincepath.asks.book import Again, Begin, Conflict, Crowded, How, Join, Try
 from quincepath.asks.desk import Desk
+from quincepath.broker.dispatcher import Dispatcher, Rendered, TryAnswer
 from quincepath.broker.driver import Driver
-from quincepath.broker.pending import Turn
-from quincepath.broker.reception import Owed, Reception, Rendered
+from quincepath.broker.pending import SchedulingInfo
 from quincepath.broker.service.guest import Arrival, Guests
 from quincepath.fronts.remote_read.front import (
     JOINED_HEADER,
@@ -19,7 +19,7 @@
     text_reply,
 )
 from quincepath.fronts.remote_read.plan import BadRequest, Plan
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.net.loop import Loop
 from quincepath.net.server import Exchange
 from quincepath.observe.metrics import Metrics
@@ -27,7 +27,7 @@
 from quincepath.orders import Ask, Finish, Verdict
 
 if TYPE_CHECKING:
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
 
 
 @dataclass(slots=True)
@@ -51,11 +51,11 @@
         metrics: Metrics,
         log: Any,
         trace_of: Callable[[int], str],
-        room: "WaitingRoom | None" = None,
+        room: "FairPendingQueue | None" = None,
     ) -> None:
         self.front, self.door, self.guests, self.loop = front, desk.door, guests, loop
         self.metrics, self.log, self.trace_of = metrics, log, trace_of
-        self.reception: Reception[Plan, Reply] = Reception(driver, desk, self._render, room)
+        self.reception: Dispatcher[Plan, Reply] = Dispatcher(driver, desk, self._render, room)
         self.open: dict[int, _Open] = {}
         self._handles = 0
 
@@ -68,7 +68,7 @@
         known, plan = self.reception.known(now, attempt)
         ask: Ask | None = None
         if self.door.stopping and not known:
-            self._turn_away(exchange, self.door.turn_away("stopping"), name)
+            self._turn_away(exchange, self.door.reject_with_base_delay("stopping"), name)
             return
         try:
             if not known:
@@ -98,13 +98,15 @@
         if arrival is not None and not isinstance(decision, Begin):
             self.guests.turned(now, arrival)
         match decision:
-            case TurnAway():
+            case Rejection():
                 self._turn_away(exchange, decision, name)
             case Conflict():
                 reply = text_reply(422, "this idempotency key was used for another request body")
                 self._at_once(exchange, reply, name)
             case Crowded():
-                self._turn_away(exchange, self.door.turn_away("too many tries wait for this ask"), name)
+                self._turn_away(
+                    exchange, self.door.reject_with_base_delay("too many tries wait for this ask"), name
+                )
             case Again(reply=said):
                 self._answer(exchange, said, How.REPLAYED)
             case Join() | Begin():
@@ -113,15 +115,15 @@
                 if isinstance(decision, Begin):
                     self.guests.began(now, decision.ask, request.headers)
 
-    def _turn(self, attempt: Try, plan: Plan, now: int) -> Turn | None:
+    def _turn(self, attempt: Try, plan: Plan, now: int) -> SchedulingInfo | None:
         """What a room to wait in has to know."""
-        if self.reception.room is None:
+        if self.reception.pending is None:
             return None
         from quincepath.limits.fair import Footprint  # loaded with such a room only
 
         cells = tuple(sorted({self.front.planner.map.cell_at(part.shard) for part in plan.parts}))
         footprint = Footprint(plan.kind, len(plan.parts), cells, plan.span)
-        return Turn(attempt.scope, footprint, plan.entry.target, attempt.deadline)
+        return SchedulingInfo(attempt.scope, footprint, plan.entry.target, attempt.deadline)
 
     def _at_once(self, exchange: Exchange, reply: Reply, name: str) -> None:
         """The reply to a request that becomes no ask."""
@@ -147,7 +149,7 @@
         self.log.exception("internal error", query=name)
         return Reply(500, {"Content-Type": "text/plain"}, b"failed: internal error\n", Verdict.FAILED)
 
-    def _turn_away(self, exchange: Exchange, away: TurnAway, name: str) -> None:
+    def _turn_away(self, exchange: Exchange, away: Rejection, name: str) -> None:
         self.metrics.turn_away.labels(away.cause).inc()
         self.log.info("turned away", query=name, cause=away.cause)
         reply = self.front.refusal(f"refused: {away.cause}; asking again is harmless", away.retry_in)
@@ -158,7 +160,7 @@
         if held is not None:
             self.metrics.tries.labels("left").inc()
             self.log.info("client left", query=held.name)
-            self.reception.left(self.loop.now, handle)
+            self.reception.client_left(self.loop.now, handle)
 
     def _render(self, finish: Finish, plan: Plan) -> Rendered[Reply]:
         try:
@@ -167,7 +169,7 @@
             reply = self._internal(f"ask {finish.handle}")
         return Rendered(reply, len(reply.body), reply.verdict or Verdict.FAILED)
 
-    def owed(self, owed: Owed[Reply]) -> None:
+    def owed(self, owed: TryAnswer[Reply]) -> None:
         """The one final answer of a try, or that its own time is up."""
         held = self.open.pop(owed.handle, None)
         if held is None:
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -28,29 +28,29 @@
 from quincepath.upstream.remote_read import RemoteReadCalls
 
 if TYPE_CHECKING:
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
 
 MakeModule = Callable[[Settings, int], Module]
 ORDER_BODY = 192 * 1024  # bytes of a command that proposes a shard map, or a change of the configuration
 METRICS_TIMES = Times(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
 
 
-def waiting_room(config: Config, seed: int) -> "WaitingRoom | None":
+def waiting_room(config: Config, seed: int) -> "FairPendingQueue | None":
     """Where slow queries wait for their turn; None without ``limits.fair``, and nothing of it is loaded."""
     fair = config.limits.fair
     if fair is None:
         return None
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
     from quincepath.limits.fair import FairSettings
-    from quincepath.limits.fair.core import Turns
+    from quincepath.limits.fair.scheduler import FairScheduler
 
     settings = FairSettings(
         slots=fair.slots, quick_slots=fair.quick_slots, slow_from=fair.slow_from,
         waiting_most=fair.waiting_most, waiting_tenant_most=fair.waiting_tenant_most,
         weights={tenant.name: tenant.weight for tenant in config.tenants}, brokers=config.broker.brokers,
-        return_most=config.limits.max_retry_after,
+        retry_after_most=config.limits.max_retry_after,
     )  # fmt: skip
-    return WaitingRoom(Turns(settings, seed))
+    return FairPendingQueue(FairScheduler(settings, seed))
 
 
 def _order_body(config: Config) -> int:
@@ -142,7 +142,7 @@
                         guest.fleet.shared,
                         self.driver,
                         self.map,
-                        self.reception.note,
+                        self.reception.enqueue,
                         lambda: self.upstream.counts.opened,
                         self.waiting_room,
                     )  # fmt: skip
@@ -183,7 +183,7 @@
 
     def told(self, news: Members) -> None:
         """News of the list: for the next batch, and connections to who is going are closed."""
-        self.reception.note(Listed(news))
+        self.reception.enqueue(Listed(news))
         for entry in news.entries:
             if entry.phase.name != "READY":
                 self.upstream.close_node(entry.node)
--- a/quincepath/broker/service/figures.py
+++ b/quincepath/broker/service/figures.py
@@ -5,11 +5,11 @@
 
 import psutil
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
-from quincepath.limits.memory import MemoryCircuit, Pressure
+from quincepath.limits.memory import MemoryPressureMonitor, Pressure
 from quincepath.net.loop import Loop
 from quincepath.observe.metrics import Metrics
 from quincepath.orders import Ended, Verdict
@@ -83,7 +83,7 @@
         press: Callable[[Pressure], None],
         serving: Callable[[], bool],
     ) -> None:
-        self.circuit = MemoryCircuit(most)
+        self.circuit = MemoryPressureMonitor(most)
         self.resident: Callable[[], int] = loop.system.resident_bytes or _resident_bytes
         self.loop, self.metrics, self.log, self.press = loop, metrics, log, press
         self.serving = serving
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -19,7 +19,7 @@
 from quincepath.net.server import Exchange
 
 if TYPE_CHECKING:
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
 
 
 def open_keepers_store(path: Path, fleet: str, member: str, first: Stable) -> Storage:
@@ -42,7 +42,7 @@
         base: Path,
         holders: Holders,
         driver: Driver,
-        room: "WaitingRoom | None",
+        room: "FairPendingQueue | None",
     ) -> None:
         self.fleet = Fleet(config, entry, loop, log, registry, base, open_keepers_store)
         self.fleet.on_drained = holders.drained
@@ -62,7 +62,7 @@
         self.fleet.close()
 
 
-def put_in_force(edits: Sequence[Edit], holders: Holders, room: "WaitingRoom | None") -> None:
+def put_in_force(edits: Sequence[Edit], holders: Holders, room: "FairPendingQueue | None") -> None:
     """Nodes and tenants that edits of the distributed configuration name; all in this turn."""
     nodes: dict[str, Holder | None] = {}
     whole: bool | None = None
--- a/quincepath/broker/service/guest.py
+++ b/quincepath/broker/service/guest.py
@@ -5,11 +5,11 @@
 from typing import Protocol
 
 from quincepath.asks.book import Try
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.net.server import Exchange
 from quincepath.orders import Ask, Ended, StartCall
 
@@ -29,7 +29,7 @@
     All are called on the loop, ``now`` is the loop's time in nanoseconds, and none may wait or raise.
     """
 
-    def arrive(self, now: int, arrival: Arrival) -> TurnAway | None:
+    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
         """A query that is not known yet, before admission and before any part is sent; refuse it or not."""
         return None
 
@@ -76,7 +76,7 @@
         """From now on it is told."""
         self.all.append(guest)
 
-    def arrive(self, now: int, arrival: Arrival) -> TurnAway | None:
+    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
         for guest in self.all:
             away = guest.arrive(now, arrival)
             if away is not None:
--- a/quincepath/broker/service/maps.py
+++ b/quincepath/broker/service/maps.py
@@ -6,8 +6,8 @@
 
 from prometheus_client import CollectorRegistry, Gauge
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.broker.service.guest import Arrival, Guest
 from quincepath.fleet.adoption import Step
 from quincepath.fleet.forecast import Part
@@ -15,7 +15,7 @@
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan, Planner
 from quincepath.interface import Result
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.orders import Ended, Finish, Verdict
 from quincepath.shards.shardmap import ShardMap
 from quincepath.shards.versions import MapVersion
@@ -68,9 +68,9 @@
         found = self._built.get(version.number)
         self.planner.use(version.built(self.cells) if found is None else found, version.number)
 
-    def arrive(self, now: int, arrival: Arrival) -> TurnAway | None:
+    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
         if not self.maps.part.takes:
-            return TurnAway("shard map not read or not staged", UNREAD)
+            return Rejection("shard map not read or not staged", UNREAD)
         self._tenant = arrival.attempt.scope
         return None
 
--- a/quincepath/broker/service/sharing.py
+++ b/quincepath/broker/service/sharing.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import Driver, OpenPart
-from quincepath.broker.pending import NO_TURN
-from quincepath.broker.reception import AskEnded
+from quincepath.broker.pending import QUEUE_REFUSAL
 from quincepath.broker.service.guest import Arrival, Guest
 from quincepath.fleet.ledger.facts import Count, Spend, Totals
 from quincepath.fleet.overload import Arrival as Asked
@@ -16,12 +16,12 @@
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
 from quincepath.interface import Allowance, Result
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.orders import Allowed, Ended, Finish, Input, StartCall, Verdict
 from quincepath.shards.shardmap import ShardMap
 
 if TYPE_CHECKING:
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
 
 TURNED = (Result.FULL, Result.CONNECT_FAILED, Result.TIMEOUT, Result.ERROR)  # a set could not take the part
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self, shared: Shared, driver: Driver, shard_map: ShardMap, note: Callable[[Input], None],
-        dials: Callable[[], int], room: "WaitingRoom | None" = None,
+        dials: Callable[[], int], room: "FairPendingQueue | None" = None,
     ) -> None:  # fmt: skip
         self.shared, self.driver, self.note, self.dials = shared, driver, note, dials
         self.room = room
@@ -41,7 +41,7 @@
         shared.on_out = self._told
         shared.on_totals = self._totals
 
-    def arrive(self, now: int, arrival: Arrival) -> TurnAway | None:
+    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
         ask, attempt = arrival.ask, arrival.attempt
         cells = tuple(sorted({self._cell(part.shard) for part in ask.parts}))
         worth, left = arrival.plan.entry.worth, ask.time_left
@@ -49,7 +49,7 @@
         client = f"{attempt.client} {attempt.digest.hex()}"
         asked = Asked(ask.kind, worth, attempt.scope, client, cells, left, ask.repeat)
         shed = self.shared.arrive(asked)
-        return None if shed is None else TurnAway(shed.why.value, shed.retry_in)
+        return None if shed is None else Rejection(shed.why.value, shed.retry_in)
 
     def sent(self, now: int, order: StartCall) -> None:
         tally = self.shared.sharing.tally
@@ -89,7 +89,7 @@
             sharing = self.shared.sharing
             for tenant, used in self.room.served().items():
                 sharing.tally.slot_time(tenant, used)
-            self.room.elsewhere(sharing.elsewhere.served, max(self.shared.loop.now - totals.at, 0))
+            self.room.add_remote_usage(sharing.elsewhere.served, max(self.shared.loop.now - totals.at, 0))
 
     def close(self) -> None:
         self.shared.close()
@@ -99,7 +99,7 @@
     """What became of a query, for the ledger. ``target`` in ns."""
     if finish is None:
         return Count.LEFT
-    if finish.cause.startswith(NO_TURN):
+    if finish.cause.startswith(QUEUE_REFUSAL):
         return Count.TURNED_AWAY
     match finish.verdict:
         case Verdict.ANSWERED:
--- a/quincepath/broker/service/tracing.py
+++ b/quincepath/broker/service/tracing.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.broker.service.figures import answer_of
 from quincepath.broker.service.guest import Guest
 from quincepath.config.schema import Config
--- a/quincepath/broker/service/turn.py
+++ b/quincepath/broker/service/turn.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from quincepath.broker.dispatcher import AskEnded, TryAnswer
 from quincepath.broker.driver import Driver
-from quincepath.broker.reception import AskEnded, Owed
 from quincepath.broker.service.clients import Clients
 from quincepath.broker.service.figures import Figures
 from quincepath.broker.service.guest import Guests
@@ -46,7 +46,7 @@
         if part is not None:
             self.figures.came(part, ended, self.holders.name(part.attempts[ended.attempt].node))
             self.guests.came(self.loop.now, part, ended)
-        self.reception.note(ended)
+        self.reception.enqueue(ended)
 
     def run(self) -> None:
         """One batch to the driver, its orders to the edge."""
@@ -70,7 +70,7 @@
                 self.upstream.start(order)
             case StopAttempt(part, attempt):
                 self.upstream.stop(part, attempt)
-            case Owed():
+            case TryAnswer():
                 self.clients.owed(order)
             case AskEnded():
                 self.figures.ended(order)
--- a/quincepath/lab/emulator/world/actors.py
+++ b/quincepath/lab/emulator/world/actors.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from quincepath.broker.dispatcher import Dispatcher
 from quincepath.broker.driver import Driver
-from quincepath.broker.reception import Reception
 from quincepath.interface import Entry, NodeId
 from quincepath.lab.emulator.server import Job, Server
 from quincepath.orders import AttemptOrder
@@ -88,7 +88,7 @@
     def __init__(self, number: int, zone: int) -> None:
         self.number, self.zone = number, zone
         self.driver: Driver
-        self.reception: Reception[Client, Ending]
+        self.reception: Dispatcher[Client, Ending]
         self.life = 0
         self.alive = True
         self.stalled_until = 0
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -6,12 +6,12 @@
 from quincepath.asks.book import Again, Begin, How, Join
 from quincepath.asks.book import Mark as KeyMark
 from quincepath.asks.book import Try as BookTry
-from quincepath.broker.reception import Owed, Rendered
+from quincepath.broker.dispatcher import Rendered, TryAnswer
 from quincepath.lab.emulator.chance import draw_query, part_work
 from quincepath.lab.emulator.world.actors import Broker, Client, Ending, Try
 from quincepath.lab.emulator.world.day import MS, SECOND
 from quincepath.lab.emulator.world.turns import Turns
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.orders import Ask, Finish, PartAsk, Verdict
 from quincepath.standins.record import Ask as AskLine
 from quincepath.standins.record import End
@@ -105,7 +105,7 @@
             self.now, book_try, self._ask(attempt), client, self.script.classes[client.kind].worth
         )
         match said:
-            case TurnAway(retry_in=retry_in):
+            case Rejection(retry_in=retry_in):
                 self._answer_client(broker, attempt, Ending(503, retry_in=retry_in))
             case Again(reply=reply):
                 self._answer_client(broker, attempt, reply, How.REPLAYED)
@@ -147,7 +147,7 @@
         for handle, known in broker.tries.items():
             if known is attempt:
                 del broker.tries[handle]
-                broker.reception.left(self.now, handle)
+                broker.reception.client_left(self.now, handle)
                 self._poke(broker)
                 return
 
@@ -196,7 +196,7 @@
         ending = Ending(STATUS[order.verdict], mark, order.parts_in, order.parts_asked, order.retry_in)
         return Rendered(ending, 1, order.verdict)
 
-    def _owed(self, broker: Broker, owed: Owed[Ending]) -> None:
+    def _owed(self, broker: Broker, owed: TryAnswer[Ending]) -> None:
         attempt = broker.tries.pop(owed.handle, None)
         if attempt is not None:
             self._answer_client(broker, attempt, owed.reply or Ending(504), owed.how)
--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from quincepath.asks.desk import Desk
+from quincepath.broker.dispatcher import Dispatcher, TryAnswer
 from quincepath.broker.driver import Driver, Module
-from quincepath.broker.reception import Owed, Reception
 from quincepath.config.schema import admission_bounds, book_limits
 from quincepath.interface import Members, Scope, Settings
 from quincepath.lab.emulator.script import Script
@@ -61,7 +61,7 @@
         broker.driver = Driver(self.make_module(settings, seed), settings, self.script.rules.drain_grace)
         bounds = admission_bounds(self.script.limits)
         desk: Desk[Ending] = Desk(book_limits(self.script.asks, TICK), bounds, seed)
-        broker.reception = Reception(broker.driver, desk, self._render)
+        broker.reception = Dispatcher(broker.driver, desk, self._render)
         broker.alive, broker.stalled_until, broker.step_at = True, 0, None
         broker.held_io, broker.held_timers = [], []
         broker.pools, broker.calls, broker.tries = {}, {}, {}
@@ -69,7 +69,7 @@
         broker.known = dict(known)
         # What changed while it was dead, or was on its way when it died, comes with the list's next news.
         broker.missed = [name for name, entry in self.truth.items() if known.get(entry.node) != entry]
-        broker.reception.note(Listed(Members(Scope.CACHED, 1, tuple(known.values()))))
+        broker.reception.enqueue(Listed(Members(Scope.CACHED, 1, tuple(known.values()))))
         self._poke(broker)
         if broker.missed:
             lag = self.source("list").between(*self.script.discovery.lag) * broker.lag
@@ -83,7 +83,7 @@
                     self._start_call(broker, order)
                 case StopAttempt(part, attempt):
                     self._stop_attempt(broker, part, attempt)
-                case Owed():
+                case TryAnswer():
                     self._owed(broker, order)
                 case Breach(name, detail):
                     raise ContractBroken(f"broker {broker.number}: contract broken: {name}: {detail}")
--- a/quincepath/lab/fair_plan.py
+++ b/quincepath/lab/fair_plan.py
@@ -7,7 +7,7 @@
 
 from quincepath.lab.fair_rivals import Giver
 from quincepath.limits.fair import FairSettings
-from quincepath.limits.fair.facts import MS, SECOND
+from quincepath.limits.fair.types import MS, SECOND
 
 WINDOW = 10 * SECOND
 
--- a/quincepath/lab/fair_rivals.py
+++ b/quincepath/lab/fair_rivals.py
@@ -13,17 +13,17 @@
 
 from quincepath.limits.admission import Admission, AdmissionBounds, Cost
 from quincepath.limits.fair import (
+    Cancelled,
     Done,
     Enter,
+    FairScheduler,
     FairSettings,
     Freed,
-    Gone,
     Input,
     Output,
     Refuse,
     Run,
     Speed,
-    Turns,
 )
 
 ADVICE = 500_000_000
@@ -47,7 +47,7 @@
     """Fair queues; news of the ledger come as an input, or do not."""
 
     def __init__(self, settings: FairSettings, seed: int) -> None:
-        self.turns = Turns(settings, seed)
+        self.turns = FairScheduler(settings, seed)
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]:
         return self.turns.step(now, inputs)
@@ -86,7 +86,7 @@
                     self.queue[one.number] = one, now
             elif isinstance(one, Freed) and one.number in self.out:
                 self.out[one.number] = max(0, self.out[one.number] - one.parts)
-            elif isinstance(one, Done | Gone):
+            elif isinstance(one, Done | Cancelled):
                 self.out.pop(one.number, None)
                 self.queue.pop(one.number, None)
         for number, (enter, came) in list(self.queue.items()):
@@ -119,7 +119,7 @@
     def __init__(self, settings: FairSettings, seed: int) -> None:
         self.settings = settings
         slots = settings.slow_slots
-        self.admission = Admission(AdmissionBounds(slots, slots, 1 << 40, settings.return_most), seed)
+        self.admission = Admission(AdmissionBounds(slots, slots, 1 << 40, settings.retry_after_most), seed)
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]:
         told: list[Output] = []
@@ -131,7 +131,7 @@
                     told.append(Run(one.number, Speed.SLOW, 0))
                 else:
                     told.append(Refuse(one.number, away.cause, away.retry_in))
-            elif isinstance(one, Done | Gone):
+            elif isinstance(one, Done | Cancelled):
                 self.admission.ended(one.number)
         return told
 
--- a/quincepath/lab/fair_world.py
+++ b/quincepath/lab/fair_world.py
@@ -20,8 +20,8 @@
 from random import Random
 
 from quincepath.lab.fair_plan import WINDOW, Found, Plan, Query, Tenant
-from quincepath.limits.fair import Done, Elsewhere, Enter, Footprint, Freed, Input, Refuse, Run
-from quincepath.limits.fair.facts import MS, SECOND
+from quincepath.limits.fair import Done, Enter, Footprint, Freed, Input, Refuse, RemoteUsage, Run
+from quincepath.limits.fair.types import MS, SECOND
 
 LOOK_EVERY = 250 * MS
 
@@ -234,5 +234,5 @@
                     totals[then].update(told)
             own = all_told[broker]
             served = {name: total - own[name] for name, total in totals[then].items()}
-            self._tell(broker, Elsewhere(served, self.now - then))
+            self._tell(broker, RemoteUsage(served, self.now - then))
         self._at(self.now + self.plan.news_every, self._ledger)
--- a/quincepath/limits/admission.py
+++ b/quincepath/limits/admission.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from quincepath.limits.door import Bounds as DoorBounds
-from quincepath.limits.door import Door, TurnAway
+from quincepath.limits.gate import AdmissionGate, Rejection
+from quincepath.limits.gate import Bounds as GateBounds
 from quincepath.limits.memory import Pressure
 
 CROWDED = 0.7
@@ -63,7 +63,7 @@
 
     def __init__(self, bounds: AdmissionBounds, seed: int) -> None:
         self.bounds = bounds
-        self.door = Door(DoorBounds(bounds.work, bounds.max_retry_after), seed)
+        self.gate = AdmissionGate(GateBounds(bounds.work, bounds.max_retry_after), seed)
         self.pressure = Pressure.NONE
         self.refused: Counter[str] = Counter()
         self.asks = self.work = self.bytes = 0
@@ -73,12 +73,12 @@
 
     # --- decisions ---
 
-    def admit(self, now: int, ask: int, cost: Cost, lingering: int = 0) -> TurnAway | None:
+    def admit(self, now: int, ask: int, cost: Cost, lingering: int = 0) -> Rejection | None:
         """None: it is taken as number ``ask``. ``lingering``: ended queries' parts that are still out."""
         why = self._why_not(cost, lingering)
         if why:
             self.refused[why] += 1
-            return self.door.shut(now, why)
+            return self.gate.reject(now, why)
         size = self._expected(cost)
         self._held[ask] = _Held(cost, size)
         client = self._clients.setdefault(cost.client, _Client())
@@ -89,7 +89,7 @@
         return None
 
     def _why_not(self, cost: Cost, lingering: int) -> str:
-        if self.door.stopping:
+        if self.gate.stopping:
             return "stopping"
         if self.pressure is Pressure.HARD:
             return "memory is short"
@@ -159,4 +159,4 @@
         return len(self._clients)
 
 
-__all__ = ["Admission", "AdmissionBounds", "Cost", "TurnAway"]
+__all__ = ["Admission", "AdmissionBounds", "Cost", "Rejection"]
--- a/quincepath/limits/fair/cost.py
+++ b/quincepath/limits/fair/cost.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from quincepath.limits.fair.facts import FairSettings, Footprint, Speed
+from quincepath.limits.fair.types import FairSettings, Footprint, Speed
 
 NEW_WEIGHT = 0.2  # of the newest sample in the mean, once there are five
 SURE_FROM = 3  # samples
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Guess:
+class CostEstimate:
     """Of one query.
 
     Slot time (ns) as charged and as expected, its duration (ns), and what it is taken for.
@@ -52,14 +52,14 @@
         return self.mean + 2 * self.deviation if self.samples >= SURE_FROM else 2 * self.mean
 
 
-class Costs:
+class CostModel:
     """One a broker."""
 
     def __init__(self, settings: FairSettings) -> None:
         self.settings = settings
         self._likes: dict[_Like, _Figure] = {}  # in the order of their last use
 
-    def guess(self, tenant: str, footprint: Footprint) -> Guess:
+    def estimate(self, tenant: str, footprint: Footprint) -> CostEstimate:
         """Nothing is known of it: slow, by twice the bound between quick and slow."""
         slow_from, parts = self.settings.slow_from, max(1, footprint.parts)
         for like in _likes(tenant, footprint):
@@ -68,8 +68,8 @@
                 self._likes[like] = figure
                 cost = max(1, int(figure.high() * parts))
                 speed = Speed.QUICK if cost < slow_from else Speed.SLOW
-                return Guess(cost, max(1, int(figure.mean * parts)), int(figure.wall), speed)
-        return Guess(2 * slow_from, slow_from, slow_from // parts, Speed.SLOW)
+                return CostEstimate(cost, max(1, int(figure.mean * parts)), int(figure.wall), speed)
+        return CostEstimate(2 * slow_from, slow_from, slow_from // parts, Speed.SLOW)
 
     def learn(self, tenant: str, footprint: Footprint, slot_time: int, wall: int) -> None:
         """A query ended after ``wall`` ns of running and ``slot_time`` ns of slots."""
@@ -77,7 +77,7 @@
             figure = self._likes.pop(like, None) or _Figure()
             figure.add(slot_time / max(1, footprint.parts), wall)
             self._likes[like] = figure
-        while len(self._likes) > self.settings.likes_most:
+        while len(self._likes) > self.settings.cost_entries_most:
             del self._likes[next(iter(self._likes))]
 
     def __len__(self) -> int:
--- a/quincepath/limits/fair/queues.py
+++ b/quincepath/limits/fair/queues.py
@@ -16,8 +16,8 @@
 from enum import IntEnum
 from zlib import crc32
 
-from quincepath.limits.fair.cost import Guess
-from quincepath.limits.fair.facts import FairSettings, Footprint
+from quincepath.limits.fair.cost import CostEstimate
+from quincepath.limits.fair.types import FairSettings, Footprint
 
 
 class Lane(IntEnum):
@@ -35,7 +35,7 @@
     number: int
     tenant: str
     footprint: Footprint
-    guess: Guess
+    estimate: CostEstimate
     lane: Lane
     came: int
     latest: int
@@ -87,7 +87,7 @@
         self.queued = 0
         self.in_lane = [0] * len(Lane)  # how many wait
 
-    def of(self, tenant: str) -> Queue:
+    def queue_of(self, tenant: str) -> Queue:
         """The tenant's queue, made where it has none."""
         queue = self.own.get(tenant)
         if queue is not None:
@@ -123,13 +123,13 @@
             del self.own[left.key[1:]]
         return left
 
-    def tidy(self, virtual: int) -> None:
+    def drop_idle(self, virtual: int) -> None:
         """Idle queues that are not ahead of virtual time say nothing: they are dropped."""
         for table in (self.own, self.shared):
             for key in [key for key, queue in table.items() if queue.tag <= virtual and queue.idle()]:
                 del table[key]
 
-    def displaced(self, queue: Queue) -> Waiting | None:
+    def newest_of_longest(self, queue: Queue) -> Waiting | None:
         """Whose place a newcomer to ``queue`` takes when as many wait as may."""
         longest = max(self.backlogged.values(), key=lambda q: (q.waiting / q.weight, q.key), default=None)
         if longest is None or longest.waiting / longest.weight <= (queue.waiting + 1) / queue.weight:
@@ -140,19 +140,19 @@
         """Put a query at the end of its lane."""
         queue.lanes[one.lane][one.number] = one
         queue.waiting += 1
-        queue.queued += one.guess.mean
-        self.queued += one.guess.mean
+        queue.queued += one.estimate.mean
+        self.queued += one.estimate.mean
         self.in_lane[one.lane] += 1
         self.backlogged[queue.key] = queue
         self.waiting[one.number] = one, queue
 
-    def take(self, number: int) -> tuple[Waiting, Queue]:
+    def remove(self, number: int) -> tuple[Waiting, Queue]:
         """Out of its queue: it starts, is refused, or is gone."""
         one, queue = self.waiting.pop(number)
         del queue.lanes[one.lane][number]
         queue.waiting -= 1
-        queue.queued -= one.guess.mean
-        self.queued -= one.guess.mean
+        queue.queued -= one.estimate.mean
+        self.queued -= one.estimate.mean
         self.in_lane[one.lane] -= 1
         if not queue.waiting:
             del self.backlogged[queue.key]
--- a/quincepath/limits/fair/running.py
+++ b/quincepath/limits/fair/running.py
@@ -9,18 +9,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from quincepath.limits.fair.facts import FairSettings, Footprint
 from quincepath.limits.fair.queues import Lane, Queue, Queues, Waiting
-from quincepath.limits.fair.slots import Held, Pool
-from quincepath.limits.fair.turns import Tags
+from quincepath.limits.fair.slots import Allocation, Pool
+from quincepath.limits.fair.tags import Tags
+from quincepath.limits.fair.types import FairSettings, Footprint
 
 
 @dataclass(slots=True)
-class Run:
+class RunningQuery:
     """``charged`` and ``used``: ns of slots; ``queue`` is None while it runs as quick, on nobody's turn."""
 
     footprint: Footprint
-    held: Held
+    allocation: Allocation
     queue: Queue | None
     charged: int
     began: int
@@ -30,7 +30,7 @@
     told: int = 0  # of it, what ``served`` has told
 
 
-class Runs:
+class RunningQueries:
     """All running queries of a broker.
 
     Bounded by the pool: at most one a slot, with what quick ones overdraw.
@@ -41,52 +41,60 @@
     ) -> None:
         self.settings, self.pool, self.queues, self.tags = settings, pool, queues, tags
         self.learn = learn
-        self.moved = 0  # taken for quick, ran long
-        self.all: dict[int, Run] = {}
+        self.reclassified = 0  # taken for quick, ran long
+        self.all: dict[int, RunningQuery] = {}
         self._served: dict[str, int] = {}
 
-    def quick(self, now: int, number: int, tenant: str, footprint: Footprint, own_part: bool) -> None:
+    def start_quick(self, now: int, number: int, tenant: str, footprint: Footprint, own_part: bool) -> None:
         """A quick query starts; ``own_part``: on the slots that are kept for such."""
-        self._start(now, number, footprint, Held(tenant, self._seats(footprint), own_part, False), None, 0)
+        self._start(
+            now, number, footprint, Allocation(tenant, self._seats(footprint), own_part, False), None, 0
+        )
 
-    def turn(self, now: int, one: Waiting, queue: Queue) -> None:
+    def start_waiting(self, now: int, one: Waiting, queue: Queue) -> None:
         """One that waited starts."""
         quick = one.lane is Lane.QUICK and self.pool.quick < self.settings.quick_slots
-        held = Held(one.tenant, self._seats(one.footprint), quick, one.lane is Lane.LARGE)
-        self._start(now, one.number, one.footprint, held, queue, one.guess.cost)
-        self.tags.starts(queue, one.guess.cost)
-        self._tell(self.all[one.number], one.guess.mean)
+        held = Allocation(one.tenant, self._seats(one.footprint), quick, one.lane is Lane.LARGE)
+        self._start(now, one.number, one.footprint, held, queue, one.estimate.cost)
+        self.tags.query_started(queue, one.estimate.cost)
+        self._tell(self.all[one.number], one.estimate.mean)
 
     def _start(
-        self, now: int, number: int, footprint: Footprint, held: Held, queue: Queue | None, cost: int
+        self,
+        now: int,
+        number: int,
+        footprint: Footprint,
+        allocation: Allocation,
+        queue: Queue | None,
+        cost: int,
     ) -> None:
-        self.all[number] = Run(footprint, held, queue, cost, now, footprint.parts, now)
-        self.pool.take(now, held)
+        self.all[number] = RunningQuery(footprint, allocation, queue, cost, now, footprint.parts, now)
+        self.pool.acquire(now, allocation)
 
     def _seats(self, footprint: Footprint) -> int:
-        return max(1, min(footprint.parts, self.settings.seats_most))
+        return max(1, min(footprint.parts, self.settings.query_slots_most))
 
     # --- while it runs ---
 
-    def reckon(self, now: int) -> None:
+    def account(self, now: int) -> None:
         """Time has passed: what runs is charged for it, and what runs long is taken for what it is."""
         for run in self.all.values():
             self._use(now, run)
 
-    def _use(self, now: int, run: Run) -> None:
-        settings, held = self.settings, run.held
-        run.used += held.seats * (now - run.at)
+    def _use(self, now: int, run: RunningQuery) -> None:
+        settings, held = self.settings, run.allocation
+        run.used += held.slots * (now - run.at)
         run.at = now
         if run.queue is None and run.used >= settings.slow_from:
-            self.moved += 1
-            run.queue = self.queues.of(held.tenant)
-            self.tags.waits(run.queue)
+            self.reclassified += 1
+            run.queue = self.queues.queue_of(held.tenant)
+            self.tags.before_enqueue(run.queue)
             run.queue.running += 1
-            self.pool.becomes(now, held, quick=False, large=False)
+            self.pool.reclassify(now, held, quick=False, large=False)
         if run.queue is None:
             return
         if run.used >= settings.large_from and not held.large:
-            self.pool.becomes(now, held, quick=False, large=True)
+            self.pool.reclassify(now, held, quick=False, large=True)
         if run.used > run.charged:
             self.tags.charge(run.queue, run.used - run.charged)
             run.charged = run.used
@@ -99,15 +107,15 @@
         if run is not None and parts > 0:
             self._use(now, run)
             run.parts_out = max(0, run.parts_out - parts)
-            self.pool.free(run.held, max(0, run.held.seats - run.parts_out))
+            self.pool.release(run.allocation, max(0, run.allocation.slots - run.parts_out))
 
-    def slow_at(self) -> int | None:
+    def next_reclassification(self) -> int | None:
         """When the next quick one will have run long, which frees a quick slot."""
         slow_from = self.settings.slow_from
         ats = [
-            run.at + math.ceil((slow_from - run.used) / run.held.seats)
+            run.at + math.ceil((slow_from - run.used) / run.allocation.slots)
             for run in self.all.values()
-            if run.queue is None and run.held.seats
+            if run.queue is None and run.allocation.slots
         ]
         return min(ats, default=None)
 
@@ -119,17 +127,17 @@
         if run is None:
             return
         self._use(now, run)
-        self.pool.give_back(run.held)
+        self.pool.release_all(run.allocation)
         cost = slot_time if whole or slot_time > 0 else run.used
-        self.learn(run.held.tenant, run.footprint, cost, now - run.began, whole)
+        self.learn(run.allocation.tenant, run.footprint, cost, now - run.began, whole)
         if run.queue is not None:
-            self.tags.ends(run.queue, cost - run.charged)
+            self.tags.query_ended(run.queue, cost - run.charged)
             self._tell(run, cost)
 
     # --- what is told ---
 
-    def _tell(self, run: Run, total: int) -> None:
-        tenant = run.held.tenant
+    def _tell(self, run: RunningQuery, total: int) -> None:
+        tenant = run.allocation.tenant
         name = tenant if tenant in self._served or len(self._served) < self.settings.tenants_most else ""
         self._served[name] = self._served.get(name, 0) + total - run.told
         run.told = total
@@ -139,7 +147,7 @@
 
         Further tenants as one, "". What was put right is minus.
         """
-        self.reckon(now)
+        self.account(now)
         told, self._served = self._served, {}
         return told
 
@@ -149,11 +157,11 @@
 
     def check(self) -> None:
         """``AssertionError`` where what is counted is not what runs."""
-        self.pool.check(run.held for run in self.all.values())
+        self.pool.check(run.allocation for run in self.all.values())
         for queue in (*self.queues.own.values(), *self.queues.shared.values()):
             runs = sum(run.queue is queue for run in self.all.values())
             if queue.running != runs:
                 raise AssertionError(f"queue {queue.key} counts {queue.running} running, {runs} run")
 
 
-__all__ = ["Run", "Runs"]
+__all__ = ["RunningQuery", "RunningQueries"]
--- a/quincepath/limits/fair/core.py
+++ b/quincepath/limits/fair/scheduler.py
@@ -6,7 +6,7 @@
 advice when to come. Whatever ends a query gives its slots back; a number that is not known is ignored.
 
 A tenant that has nothing running and nothing waiting may always let one query wait, for half of its time at
-least, whatever is guessed of it: else a guess that is far too high would be kept for ever, as nothing would
+least, whatever its estimate: else an estimate that is far too high would be kept for ever, as nothing would
 run that corrects it.
 """
 
@@ -15,40 +15,40 @@
 from collections.abc import Iterable
 from random import Random
 
-from quincepath.limits.fair.cost import Costs
-from quincepath.limits.fair.facts import (
+from quincepath.limits.fair.cost import CostModel
+from quincepath.limits.fair.queues import Lane, Queue, Queues, Waiting
+from quincepath.limits.fair.running import RunningQueries
+from quincepath.limits.fair.slots import Pool
+from quincepath.limits.fair.tags import Tags
+from quincepath.limits.fair.types import (
+    Cancelled,
     Done,
-    Elsewhere,
     Enter,
     FairSettings,
     Footprint,
     Freed,
-    Gone,
     Input,
     Output,
     Refuse,
+    RemoteUsage,
     Run,
     Speed,
     Stop,
 )
-from quincepath.limits.fair.queues import Lane, Queue, Queues, Waiting
-from quincepath.limits.fair.running import Runs
-from quincepath.limits.fair.slots import Pool
-from quincepath.limits.fair.turns import Tags
 
 STOPPING = "the broker stops"
-LATE = "it cannot have its turn in its time"
+TOO_LATE = "it cannot have its turn in its time"
 TENANT_FULL = "too many of its tenant wait"
 FULL = "too many wait"
-GONE_BY = "its time is up"
+TIME_UP = "its time is up"
 
 
-class Turns:
+class FairScheduler:
     """One a broker."""
 
     def __init__(self, settings: FairSettings, seed: int) -> None:
         self.settings = settings
-        self.costs = Costs(settings)
+        self.costs = CostModel(settings)
         self.queues = Queues(settings)
         self.pool = self.new_pool()
         self.tags = self.new_tags()
@@ -68,9 +68,9 @@
         """The order of tenants; a test may plant another."""
         return Tags(self.settings, self.queues)
 
-    def new_runs(self) -> Runs:
+    def new_runs(self) -> RunningQueries:
         """The running queries; a test may plant another."""
-        return Runs(self.settings, self.pool, self.queues, self.tags, self._learn)
+        return RunningQueries(self.settings, self.pool, self.queues, self.tags, self._learn)
 
     def set_weight(self, tenant: str, weight: float | None) -> None:
         """Another weight from the next step on; None: the one that the settings name, else 1."""
@@ -89,8 +89,8 @@
         self._now = now
         out: list[Output] = []
         if self.queues.waiting or self.pool.full():
-            self.runs.reckon(now)
-            self.tags.fade(now)
+            self.runs.account(now)
+            self.tags.fade_remote_usage(now)
         for one in inputs:
             match one:
                 case Enter():
@@ -101,19 +101,19 @@
                     self.runs.freed(now, number, parts)
                 case Done(number, slot_time):
                     self.runs.ended(now, number, slot_time, whole=True)
-                case Gone(number, slot_time):
+                case Cancelled(number, slot_time):
                     if number in self.queues.waiting:
-                        self.queues.take(number)
+                        self.queues.remove(number)
                     else:
                         self.runs.ended(now, number, slot_time, whole=False)
-                case Elsewhere(served, age):
-                    self.tags.elsewhere(now, served, age)
+                case RemoteUsage(served, age):
+                    self.tags.add_remote_usage(now, served, age)
                 case Stop(end):
                     self._stopping(now, end, out)
         self._expire(now, out)
         self._give(now, out)
         if not self._order % 64:
-            self.queues.tidy(self.tags.virtual)
+            self.queues.drop_idle(self.tags.virtual)
         return out
 
     def due(self) -> int | None:
@@ -124,7 +124,7 @@
             heapq.heappop(self._ends)
         dues = [self._ends[0][0] + 1]  # the first moment that is too late
         if self.queues.in_lane[Lane.QUICK]:
-            dues.append(self.runs.slow_at() or dues[0])
+            dues.append(self.runs.next_reclassification() or dues[0])
         if self.queues.in_lane[Lane.LARGE]:
             dues.append(self.pool.next_change(self._now) or dues[0])
         return max(min(dues), self._now + 1)
@@ -137,41 +137,41 @@
             raise ValueError(f"query {number} entered twice; expected a number that is free")
         self._order += 1
         if self._stop is not None:
-            return self._refuse(number, STOPPING, self.settings.return_most, out)
+            return self._refuse(number, STOPPING, self.settings.retry_after_most, out)
         until = min(now + enter.target, enter.deadline)
         if until <= now:
-            return self._refuse(number, GONE_BY, self.settings.return_least, out)
-        guess = self.costs.guess(tenant, footprint)
-        if guess.speed is Speed.QUICK:
-            own_part = self.pool.quick_now(tenant)
+            return self._refuse(number, TIME_UP, self.settings.retry_after_least, out)
+        estimate = self.costs.estimate(tenant, footprint)
+        if estimate.speed is Speed.QUICK:
+            own_part = self.pool.quick_slots_for(tenant)
             if own_part is not None:
-                self.runs.quick(now, number, tenant, footprint, own_part)
+                self.runs.start_quick(now, number, tenant, footprint, own_part)
                 out.append(Run(number, Speed.QUICK, 0))
                 return None
-        lane = Lane.QUICK if guess.speed is Speed.QUICK else Lane.SMALL
-        if guess.cost >= self.settings.large_from:
+        lane = Lane.QUICK if estimate.speed is Speed.QUICK else Lane.SMALL
+        if estimate.cost >= self.settings.large_from:
             lane = Lane.LARGE
-        latest = max(now, until - guess.wall)
-        queue = self.queues.of(tenant)
+        latest = max(now, until - estimate.wall)
+        queue = self.queues.queue_of(tenant)
         if queue.idle():
             latest = max(latest, now + (until - now) // 2)
-        one = Waiting(number, tenant, footprint, guess, lane, now, latest, self._order)
+        one = Waiting(number, tenant, footprint, estimate, lane, now, latest, self._order)
         return self._line_up(now, one, queue, out)
 
     def _line_up(self, now: int, one: Waiting, queue: Queue, out: list[Output]) -> None:
-        wait = self.tags.foreseen(now, queue)
+        wait = self.tags.expected_wait(now, queue)
         if queue.waiting >= self.settings.waiting_tenant_most:
             return self._refuse(one.number, TENANT_FULL, wait, out)
-        may_start = one.lane in self.pool.open(now)
+        may_start = one.lane in self.pool.startable_lanes(now)
         if not may_start and not queue.idle() and now + max(1, wait) > one.latest:
-            return self._refuse(one.number, LATE, now + wait - one.latest, out)
+            return self._refuse(one.number, TOO_LATE, now + wait - one.latest, out)
         if len(self.queues.waiting) >= self.settings.waiting_most:
-            other = self.queues.displaced(queue)
+            other = self.queues.newest_of_longest(queue)
             if other is None:
                 return self._refuse(one.number, FULL, wait, out)
-            self.queues.take(other.number)
+            self.queues.remove(other.number)
             self._refuse(other.number, FULL, wait, out)
-        self.tags.waits(queue)
+        self.tags.before_enqueue(queue)
         self.queues.add(queue, one)
         heapq.heappush(self._ends, (one.latest, one.order, one.number))
         if len(self._ends) > 2 * len(self.queues.waiting) + 64:
@@ -180,7 +180,7 @@
         return None
 
     def _learn(self, tenant: str, footprint: Footprint, cost: int, wall: int, whole: bool) -> None:
-        if whole or cost > self.costs.guess(tenant, footprint).mean:
+        if whole or cost > self.costs.estimate(tenant, footprint).mean:
             self.costs.learn(tenant, footprint, cost, wall)
 
     def _stopping(self, now: int, end: int, out: list[Output]) -> None:
@@ -189,12 +189,12 @@
         work = self.runs.outstanding()
         for one, _ in sorted(self.queues.waiting.values(), key=lambda pair: (pair[1].tag, pair[0].order)):
             start = now + work // self.settings.slow_slots
-            if start + one.guess.wall > end or start > one.latest:
-                self.queues.take(one.number)
-                self._refuse(one.number, STOPPING, self.settings.return_least, out)
+            if start + one.estimate.wall > end or start > one.latest:
+                self.queues.remove(one.number)
+                self._refuse(one.number, STOPPING, self.settings.retry_after_least, out)
             else:
-                work += one.guess.mean
-                one.latest = min(one.latest, end - one.guess.wall)
+                work += one.estimate.mean
+                one.latest = min(one.latest, end - one.estimate.wall)
                 heapq.heappush(self._ends, (one.latest, one.order, one.number))
 
     # --- turns ---
@@ -202,20 +202,20 @@
     def _give(self, now: int, out: list[Output]) -> None:
         """As long as a slot is free for one that waits."""
         while self.queues.waiting:
-            lanes = self.pool.open(now)
+            lanes = self.pool.startable_lanes(now)
             one = self.tags.next(lanes) if lanes else None
             if one is None:
                 return
-            _, queue = self.queues.take(one.number)
-            self.runs.turn(now, one, queue)
-            out.append(Run(one.number, one.guess.speed, now - one.came))
+            _, queue = self.queues.remove(one.number)
+            self.runs.start_waiting(now, one, queue)
+            out.append(Run(one.number, one.estimate.speed, now - one.came))
 
     def _expire(self, now: int, out: list[Output]) -> None:
         while self._ends and (self._ends[0][0] < now or not self._live(self._ends[0])):
             end = heapq.heappop(self._ends)
             if self._live(end):
-                _, queue = self.queues.take(end[2])
-                self._refuse(end[2], GONE_BY, self.tags.foreseen(now, queue), out)
+                _, queue = self.queues.remove(end[2])
+                self._refuse(end[2], TIME_UP, self.tags.expected_wait(now, queue), out)
 
     def _live(self, end: tuple[int, int, int]) -> bool:
         waits = self.queues.waiting.get(end[2])
@@ -226,20 +226,22 @@
         self.refused[cause] += 1
         drawn = int(retry_in * (0.75 + 0.5 * self._random.random()))
         settings = self.settings
-        out.append(Refuse(number, cause, min(settings.return_most, max(settings.return_least, drawn))))
+        out.append(
+            Refuse(number, cause, min(settings.retry_after_most, max(settings.retry_after_least, drawn)))
+        )
 
     # --- what is told ---
 
     def served(self) -> dict[str, int]:
-        """For the ledger: slot time (ns) by tenant since the last call; see ``Runs.served``."""
+        """For the ledger: slot time (ns) by tenant since the last call; see ``RunningQueries.served``."""
         return self.runs.served(self._now)
 
     def check(self) -> None:
         """``AssertionError``: slots are not those of what runs, or one is idle for one that may start."""
         self.runs.check()
-        idle = self.tags.next(self.pool.open(self._now)) if self.queues.waiting else None
+        idle = self.tags.next(self.pool.startable_lanes(self._now)) if self.queues.waiting else None
         if idle is not None:
             raise AssertionError(f"query {idle.number} waits though it may start")
 
 
-__all__ = ["FULL", "GONE_BY", "LATE", "STOPPING", "TENANT_FULL", "Turns"]
+__all__ = ["FULL", "TIME_UP", "TOO_LATE", "STOPPING", "TENANT_FULL", "FairScheduler"]
--- a/quincepath/limits/fair/slots.py
+++ b/quincepath/limits/fair/slots.py
@@ -1,8 +1,8 @@
 """The pool of slots towards the holders: who may start, and who holds how many.
 
-A query holds a slot for each of its parts that are out, ``seats_most`` at most. It may start while one slot
-is free, so no slot stays idle because the next query is wide; the pool is overshot by one query's width at
-most.
+A query holds a slot for each of its parts that are out, ``query_slots_most`` at most. It may start while one
+slot is free, so no slot stays idle because the next query is wide; the pool is overshot by one query's width
+at most.
 
 Quick queries have ``quick_slots`` of their own and borrow free ones of the others. When both are full, a
 tenant that holds less than an even share of the quick slots runs all the same (up to twice the quick slots
@@ -21,27 +21,27 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from quincepath.limits.fair.facts import SECOND, FairSettings
 from quincepath.limits.fair.queues import Lane
+from quincepath.limits.fair.types import SECOND, FairSettings
 
 WINDOW = 5 * SECOND
 
 
 @dataclass(slots=True)
-class Held:
+class Allocation:
     """Slots of a running query.
 
     ``quick``: they count to the quick ones' part; ``large``: as a large one's.
     """
 
     tenant: str
-    seats: int
+    slots: int
     quick: bool
     large: bool
 
 
 class Pool:
-    """One a broker. What is taken by ``take`` is given back by ``free`` and ``give_back``."""
+    """One a broker. What is taken by ``take`` is given back by ``free`` and ``release_all``."""
 
     def __init__(self, settings: FairSettings) -> None:
         self.settings = settings
@@ -52,7 +52,7 @@
 
     # --- who may start ---
 
-    def quick_now(self, tenant: str) -> bool | None:
+    def quick_slots_for(self, tenant: str) -> bool | None:
         """Whether a quick query of the tenant that came starts at once.
 
         True on quick slots, False on others.
@@ -69,21 +69,21 @@
         """Whether either part has no free slot."""
         return self.quick >= self.settings.quick_slots or self.slow >= self.settings.slow_slots
 
-    def open(self, now: int) -> tuple[Lane, ...]:
+    def startable_lanes(self, now: int) -> tuple[Lane, ...]:
         """Lanes of which a waiting query may start."""
         lanes = []
-        settings, kept = self.settings, self.kept(now)
+        settings, kept = self.settings, self.reserved(now)
         slow_free = self.slow < settings.slow_slots
         if slow_free or self.quick < settings.quick_slots:
             lanes.append(Lane.QUICK)
-        over = settings.slow_slots + max(kept, settings.seats_most - 1)
+        over = settings.slow_slots + max(kept, settings.query_slots_most - 1)
         if slow_free or (self.slow - self.large < kept and self.slow < over):
             lanes.append(Lane.SMALL)
         if slow_free and self.large < settings.slow_slots - kept:
             lanes.append(Lane.LARGE)
         return tuple(lanes)
 
-    def kept(self, now: int) -> int:
+    def reserved(self, now: int) -> int:
         """Slow slots that large queries leave free."""
         self._turn(now)
         most = int(self.settings.small_share * self.settings.slow_slots)
@@ -98,38 +98,38 @@
 
     # --- what is held ---
 
-    def take(self, now: int, held: Held) -> None:
+    def acquire(self, now: int, held: Allocation) -> None:
         """A query takes the slots that it holds."""
-        self._add(held, held.seats)
+        self._add(held, held.slots)
         self._note(now)
 
-    def free(self, held: Held, seats: int) -> None:
+    def release(self, held: Allocation, slots: int) -> None:
         """Some of its slots are free."""
-        seats = min(seats, held.seats)
-        self._add(held, -seats)
-        held.seats -= seats
+        slots = min(slots, held.slots)
+        self._add(held, -slots)
+        held.slots -= slots
 
-    def give_back(self, held: Held) -> None:
+    def release_all(self, held: Allocation) -> None:
         """All that it still holds."""
-        self.free(held, held.seats)
+        self.release(held, held.slots)
 
-    def becomes(self, now: int, held: Held, *, quick: bool, large: bool) -> None:
+    def reclassify(self, now: int, held: Allocation, *, quick: bool, large: bool) -> None:
         """It is taken for something else from now on."""
-        self._add(held, -held.seats)
+        self._add(held, -held.slots)
         held.quick, held.large = quick, large
-        self._add(held, held.seats)
+        self._add(held, held.slots)
         self._note(now)
 
-    def _add(self, held: Held, seats: int) -> None:
+    def _add(self, held: Allocation, slots: int) -> None:
         if held.quick:
-            self.quick += seats
-            self._quick_of[held.tenant] += seats
+            self.quick += slots
+            self._quick_of[held.tenant] += slots
             if not self._quick_of[held.tenant]:
                 del self._quick_of[held.tenant]
             return
-        self.slow += seats
+        self.slow += slots
         if held.large:
-            self.large += seats
+            self.large += slots
 
     def _turn(self, now: int) -> None:
         if now >= self._window + WINDOW:
@@ -141,12 +141,12 @@
         self._turn(now)
         self._peaks[1] = max(self._peaks[1], self.slow - self.large)
 
-    def check(self, holds: Iterable[Held]) -> None:
+    def check(self, holds: Iterable[Allocation]) -> None:
         """Raises ``AssertionError`` unless what is counted is what the running queries hold."""
         held = list(holds)
-        quick = sum(one.seats for one in held if one.quick)
-        slow = sum(one.seats for one in held if not one.quick)
-        large = sum(one.seats for one in held if one.large and not one.quick)
+        quick = sum(one.slots for one in held if one.quick)
+        slow = sum(one.slots for one in held if not one.quick)
+        large = sum(one.slots for one in held if one.large and not one.quick)
         counted = self.quick, self.slow, self.large, sum(self._quick_of.values())
         if counted != (quick, slow, large, quick):
             raise AssertionError(f"slots counted {counted}, held {(quick, slow, large, quick)}")
--- a/quincepath/limits/fair/turns.py
+++ b/quincepath/limits/fair/tags.py
@@ -20,7 +20,7 @@
 
 News of service elsewhere raises tags only: it can make a tenant wait, never let it run sooner than alone.
 What news added to a tag is kept apart until virtual time has caught up with it. It is at most what all
-brokers are heard to serve while news fade (``elsewhere_fades``), and this bound falls to nothing as the
+brokers are heard to serve while news fade (``remote_usage_fades``), and this bound falls to nothing as the
 news age to that: so when news end, shares return to those of this broker alone within that time and with no
 step. After a silence only the last such span of what was served counts. In one news nobody can have used
 more than all slots of ``brokers`` other brokers since the last.
@@ -28,8 +28,8 @@
 
 from collections.abc import Iterable, Mapping
 
-from quincepath.limits.fair.facts import SECOND, FairSettings
 from quincepath.limits.fair.queues import Lane, Queue, Queues, Waiting
+from quincepath.limits.fair.types import SECOND, FairSettings
 
 SLOWEST = 0.02  # of its even speed: how slowly a queue is thought to move at least
 NEWS_MOST = 4  # times ``tenants_most``: names of one news that are read; the others as not named
@@ -48,7 +48,7 @@
         self._speed = 0.0  # of virtual time, from news to news
         self._virtual_then = 0
 
-    def waits(self, queue: Queue) -> None:
+    def before_enqueue(self, queue: Queue) -> None:
         """Called before a query is put into the queue."""
         if not queue.waiting:
             credit = int(self.settings.credit_most / queue.weight)
@@ -66,7 +66,7 @@
                     best, found = (queue.tag, one.order), one
         return found
 
-    def starts(self, queue: Queue, cost: int) -> None:
+    def query_started(self, queue: Queue, cost: int) -> None:
         """A query of it starts and is charged ``cost``."""
         self.virtual = max(self.virtual, queue.tag)
         queue.running += 1
@@ -76,18 +76,18 @@
         """More, or with a minus what is given back (ns of slots)."""
         queue.tag += int(cost / queue.weight)
 
-    def ends(self, queue: Queue, put_right: int) -> None:
+    def query_ended(self, queue: Queue, put_right: int) -> None:
         """A query has ended; ``put_right``: what its charge was off by."""
         queue.running -= 1
         self.charge(queue, put_right)
 
-    def elsewhere(self, now: int, served: Mapping[str, int], age: int) -> None:
+    def add_remote_usage(self, now: int, served: Mapping[str, int], age: int) -> None:
         """News.
 
         Slot time of each tenant at all other brokers, since ever. What runs backwards starts anew.
         """
         settings = self.settings
-        fades = settings.elsewhere_fades
+        fades = settings.remote_usage_fades
         counts = max(0.0, 1 - max(0, age) / fades)
         since = fades if self._heard_at is None else max(1, now - self._heard_at)
         most = since * settings.slow_slots * settings.brokers
@@ -114,9 +114,9 @@
             self._owe(tenant, more)
         for name, queue in self.queues.own.items():
             queue.news_speed += weight * (owed.get(name, 0) / queue.weight / since - queue.news_speed)
-        self.fade(now)
+        self.fade_remote_usage(now)
 
-    def foreseen(self, now: int, queue: Queue) -> int:
+    def expected_wait(self, now: int, queue: Queue) -> int:
         """Wait (ns) of a query that would come to the end of the queue now.
 
         Its start tag is reached at the speed of virtual time, less that at which news push the tag on.
@@ -127,24 +127,24 @@
             return queue.queued // slots
         weights = sum(one.weight for one in waiting.values()) + (0 if queue.waiting else queue.weight)
         speed = alone = slots / weights
-        if self._as_of > now - self.settings.elsewhere_fades and self._speed:
+        if self._as_of > now - self.settings.remote_usage_fades and self._speed:
             speed = max(self._speed - queue.news_speed, SLOWEST * alone)
         ahead = max(0, queue.tag - self.virtual) + queue.queued / queue.weight
         return int(ahead / speed)
 
     def _owe(self, tenant: str, more: int) -> None:
         """A tenant that would share a queue is left out: its news is not the others' fault."""
-        queue = self.queues.of(tenant)
+        queue = self.queues.queue_of(tenant)
         if queue.key == "=" + tenant:
             behind = int(more / queue.weight)
             queue.tag = max(queue.tag, self.virtual) + behind
             queue.news += behind
 
-    def fade(self, now: int) -> None:
+    def fade_remote_usage(self, now: int) -> None:
         """What news added is no more than virtual time has not caught up with, and than its bound by now."""
         if self._heard_at is None:
             return
-        fades = self.settings.elsewhere_fades
+        fades = self.settings.remote_usage_fades
         left = max(0.0, 1 - (now - self._as_of) / fades)
         most = int(left * fades * (self.settings.slow_slots + self._rate))
         for queue in self.queues.own.values():
--- a/quincepath/limits/fair/facts.py
+++ b/quincepath/limits/fair/types.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class Cancelled:
     """The client of a query left, or the query was ended by something else, while it waited or ran.
 
     ``slot_time`` 0 means unknown: a query that ran is charged what it held.
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Elsewhere:
+class RemoteUsage:
     """News of the ledger: slot time (ns, grows only) of tenants at all other brokers, and its age (ns)."""
 
     served: Mapping[str, int]
@@ -78,7 +78,7 @@
     end: int
 
 
-Input = Enter | Freed | Done | Gone | Elsewhere | Stop
+Input = Enter | Freed | Done | Cancelled | RemoteUsage | Stop
 
 
 @dataclass(slots=True, frozen=True)
@@ -111,7 +111,7 @@
 
     slots: int = 64  # parts of all queries that may be out towards the holders at once
     quick_slots: int = 16  # of these, kept for quick queries
-    seats_most: int = 16  # slots that one query counts for at most
+    query_slots_most: int = 16  # slots that one query counts for at most
     slow_from: int = 250 * MS  # slot time from which a query counts as slow
     large_from: int = 5 * SECOND  # slot time from which a slow query counts as large
     small_share: float = 0.25  # most of the slow slots that is kept from large ones, as small ones come
@@ -120,18 +120,18 @@
     waiting_tenant_most: int = 100  # and of one
     tenants_most: int = 256  # tenants with a queue of their own; further ones share
     shared_queues: int = 8  # queues that further tenants share, by a hash of the name
-    likes_most: int = 2048  # kinds of query whose cost is remembered
+    cost_entries_most: int = 2048  # kinds of query whose cost is remembered
     credit_most: int = 0  # slot time that an idle tenant may have saved: none
     weights: Mapping[str, float] | None = None  # 1 where not named
     brokers: int = 200  # bound on what news may say: all slots of as many brokers like this one
-    elsewhere_fades: int = 5 * SECOND  # news of the ledger older than that counts no more
-    return_least: int = 100 * MS  # advice: no sooner
-    return_most: int = 10 * SECOND  # advice: no later
+    remote_usage_fades: int = 5 * SECOND  # news of the ledger older than that counts no more
+    retry_after_least: int = 100 * MS  # advice: no sooner
+    retry_after_most: int = 10 * SECOND  # advice: no later
 
     def __post_init__(self) -> None:
-        for name in ("slots", "seats_most", "slow_from", "large_from", "waiting_most", "waiting_tenant_most",
-                     "tenants_most", "shared_queues", "likes_most", "elsewhere_fades",
-                     "return_least"):  # fmt: skip
+        for name in ("slots", "query_slots_most", "slow_from", "large_from", "waiting_most",
+                     "waiting_tenant_most", "tenants_most", "shared_queues", "cost_entries_most",
+                     "remote_usage_fades", "retry_after_least"):  # fmt: skip
             if getattr(self, name) < 1:
                 raise ValueError(f"fair.{name} is {getattr(self, name)}; expected 1 or more")
         if not 0 <= self.quick_slots < self.slots:
@@ -140,10 +140,10 @@
             raise ValueError(f"fair.small_share is {self.small_share}; expected 0 up to 1, without 1")
         if not 0 <= self.small_floor < self.slow_slots:
             raise ValueError(f"fair.small_floor is {self.small_floor}; expected 0 to {self.slow_slots - 1}")
-        if self.credit_most < 0 or self.return_most < self.return_least:
+        if self.credit_most < 0 or self.retry_after_most < self.retry_after_least:
             raise ValueError(
-                f"fair.credit_most is {self.credit_most}, return_most {self.return_most}; "
-                f"expected 0 or more, and at least return_least ({self.return_least})"
+                f"fair.credit_most is {self.credit_most}, retry_after_most {self.retry_after_most}; "
+                f"expected 0 or more, and at least retry_after_least ({self.retry_after_least})"
             )
         for tenant, weight in (self.weights or {}).items():
             if not 0.01 <= weight <= 100:
--- a/quincepath/limits/door.py
+++ b/quincepath/limits/gate.py
@@ -24,14 +24,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TurnAway:
+class Rejection:
     """Not taken; ``cause`` is one of a few, ``retry_in`` is ns."""
 
     cause: str
     retry_in: int
 
 
-class Door:
+class AdmissionGate:
     """One a broker. ``admit`` is asked for each query before it becomes one."""
 
     def __init__(self, bounds: Bounds, seed: int) -> None:
@@ -44,27 +44,27 @@
         """Take nothing more; there is no way back."""
         self.stopping = True
 
-    def admit(self, now: int, held: int, work: int) -> TurnAway | None:
+    def admit(self, now: int, held: int, work: int) -> Rejection | None:
         """None: take it. ``held`` queries and parts are open or on their way in, this one adds ``work``."""
         if self.stopping:
-            return self.shut(now, "stopping")
+            return self.reject(now, "stopping")
         if held + work <= self.bounds.open_work:
             return None
-        return self.shut(now, "too much open")
+        return self.reject(now, "too much open")
 
-    def shut(self, now: int, cause: str) -> TurnAway:
+    def reject(self, now: int, cause: str) -> Rejection:
         """Turn away, for whatever cause: the advice is the longer, the longer it has been so."""
         if self.stopping:
-            return TurnAway("stopping", self._spread(STOPPING_WAIT))
+            return Rejection("stopping", self._spread(STOPPING_WAIT))
         if now > self._shut_last + LINGER:
             self._shut_since = now
         self._shut_last = now
         # Shut for a moment: come back soon. Shut for long: the backlog of clients is long as well.
-        return TurnAway(cause, self._spread(LEAST_WAIT + (now - self._shut_since)))
+        return Rejection(cause, self._spread(LEAST_WAIT + (now - self._shut_since)))
 
-    def turn_away(self, cause: str) -> TurnAway:
+    def reject_with_base_delay(self, cause: str) -> Rejection:
         """For a bound that is not the door's own: not taken, with advice spread like all others."""
-        return TurnAway(cause, self._spread(LEAST_WAIT))
+        return Rejection(cause, self._spread(LEAST_WAIT))
 
     def _spread(self, middle: int) -> int:
         most = self.bounds.max_retry_after
--- a/quincepath/limits/memory.py
+++ b/quincepath/limits/memory.py
@@ -19,7 +19,7 @@
     HARD = 2
 
 
-class MemoryCircuit:
+class MemoryPressureMonitor:
     """``limit`` in bytes of resident memory; 0: none."""
 
     def __init__(self, limit: int) -> None:
--- a/quincepath/platform/service.py
+++ b/quincepath/platform/service.py
@@ -12,7 +12,7 @@
 
 from quincepath.broker.driver import Driver, Module
 from quincepath.interface import Members, NodeId, Phase, Scope, Settings
-from quincepath.limits.door import Bounds, Door
+from quincepath.limits.gate import AdmissionGate, Bounds
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop, Timer
 from quincepath.net.server import Exchange, HttpServer, Peer, Times
@@ -65,7 +65,7 @@
         self.config, self.loop, self.site, self._wall_ms = config, loop, config.site, wall_ms
         self.counts: Counter[str] = Counter()
         self.driver = Driver(make_module(config.settings, config.seed), config.settings, config.site.grace)
-        self.door = Door(
+        self.door = AdmissionGate(
             Bounds(config.site.max_open, config.settings.limits.max_retry_after), config.seed + 1
         )
         self.targets = Targets(config.site.zones, config.site.kinds)
@@ -144,7 +144,9 @@
         if left is None:
             self.counts["turned away at the end"] += 1
             exchange.request.keep_alive = False
-            exchange.respond(*refusal("stopping", self._advice(self.door.turn_away("stopping").retry_in)))
+            exchange.respond(
+                *refusal("stopping", self._advice(self.door.reject_with_base_delay("stopping").retry_in))
+            )
             return
         if left < ask.time_left:
             ask = replace(ask, time_left=left)
--- a/tests/conformance/run_fair.py
+++ b/tests/conformance/run_fair.py
@@ -3,18 +3,18 @@
 from typing import Any
 
 from quincepath.limits.fair import (
+    Cancelled,
     Done,
-    Elsewhere,
     Enter,
+    FairScheduler,
     FairSettings,
     Footprint,
     Freed,
-    Gone,
     Refuse,
+    RemoteUsage,
     Stop,
-    Turns,
 )
-from quincepath.limits.fair.facts import MS
+from quincepath.limits.fair.types import MS
 from tests.conformance.runner import runner
 
 COSTS = {1: 1000, 2: 10, 3: 10000}  # ms
@@ -23,7 +23,7 @@
 @runner("fair")
 def run(row: dict[str, Any]) -> dict[str, Any]:
     """What came of a row: numbers of queries."""
-    turns = Turns(FairSettings(slots=4, quick_slots=1, seats_most=3, weights={"heavy": 3.0},
+    turns = FairScheduler(FairSettings(slots=4, quick_slots=1, query_slots_most=3, weights={"heavy": 3.0},
                                small_floor=row.get("floor", 0), waiting_most=row.get("waiting", 1000),
                                waiting_tenant_most=3 if "waiting" in row else 100), 1)  # fmt: skip
     for kind, cost in COSTS.items():
@@ -40,11 +40,11 @@
             case "done", [which, cost]:
                 inputs = [Done(which, cost * MS)]
             case "gone", [which]:
-                inputs = [Gone(which)]
+                inputs = [Cancelled(which)]
             case "free", [which, parts]:
                 inputs = [Freed(which, parts)]
             case "news", [served, age]:
-                inputs = [Elsewhere({name: total * MS for name, total in served.items()}, age * MS)]
+                inputs = [RemoteUsage({name: total * MS for name, total in served.items()}, age * MS)]
             case "at", [when]:
                 now, inputs = when * MS, []
             case "stop", [left]:
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -7,7 +7,7 @@
 from structlog.testing import CapturingLogger
 
 from quincepath.asks.book import Try
-from quincepath.broker.reception import AskEnded
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.service.guest import Arrival
 from quincepath.broker.service.maps import MapsGuest
 from quincepath.config.load import parse
--- a/tests/fleet/distribution/inside.py
+++ b/tests/fleet/distribution/inside.py
@@ -162,7 +162,7 @@
         """Of tenants, in a broker's fair turns."""
         room = self.brokers[name].waiting_room
         assert room is not None
-        return room.turns.queues.weights
+        return room.scheduler.queues.weights
 
     def revision(self, name: str) -> int:
         return self.subscriber(name).applier.revision
--- a/tests/limits/fair/bench.py
+++ b/tests/limits/fair/simulator.py
@@ -1,6 +1,6 @@
 """One pool in virtual time.
 
-Queries with their true cost, run by ``Turns`` alone; slots and turns checked each step.
+Queries with their true cost, run by ``FairScheduler`` alone; slots and turns checked each step.
 """
 
 import heapq
@@ -8,8 +8,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from quincepath.limits.fair import Done, Enter, Footprint, Freed, Gone, Input, Refuse, Run, Turns
-from quincepath.limits.fair.facts import MS, SECOND
+from quincepath.limits.fair import Cancelled, Done, Enter, FairScheduler, Footprint, Freed, Input, Refuse, Run
+from quincepath.limits.fair.types import MS, SECOND
 
 HOUR = 3600 * SECOND
 
@@ -30,7 +30,7 @@
 class Bench:
     """Events in order of time; ``now`` in ns."""
 
-    turns: Turns
+    turns: FairScheduler
     now: int = 0
     used: Counter[str] = field(default_factory=Counter)
     ran: dict[int, Run] = field(default_factory=dict)
@@ -61,7 +61,7 @@
         return numbers
 
     def leave(self, number: int) -> None:
-        self.step([Gone(number)])
+        self.step([Cancelled(number)])
 
     def step(self, inputs: Iterable[Input] = ()) -> None:
         for output in self.turns.step(self.now, inputs):
--- a/tests/limits/fair/test_broker.py
+++ b/tests/limits/fair/test_broker.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from quincepath.broker.pending import NO_TURN
-from quincepath.broker.waiting import WaitingRoom
+from quincepath.broker.fair_pending import FairPendingQueue
+from quincepath.broker.pending import QUEUE_REFUSAL
 from quincepath.lab.load import Seen
 from quincepath.standins.leaf import Service
 from tests.world import MS, World
@@ -20,8 +20,8 @@
 
     def __init__(self, folder: Path, work: int = 200 * MS, **more: Any) -> None:
         super().__init__(folder, service=Service(work=work), limits={"fair": {**FAIR, **more}})
-        room = self.broker.reception.room
-        assert isinstance(room, WaitingRoom)
+        room = self.broker.reception.pending
+        assert isinstance(room, FairPendingQueue)
         self.room = room
 
     def run(self, until: Any, longest: float = 30.0) -> None:
@@ -50,7 +50,7 @@
     def done() -> bool:
         nonlocal most
         most = max(most, world.room.waiting())
-        world.room.turns.check()
+        world.room.scheduler.check()
         return len(ends) == 4
 
     world.run(done)
@@ -69,7 +69,7 @@
     world.run(lambda: sum(end.status == 503 for end in ends) >= 3)
     assert world.loop.clock() < began + 100 * MS  # not at its end
     refused = next(end for end in ends if end.status == 503)
-    assert refused.response is not None and NO_TURN.encode() in refused.response.body
+    assert refused.response is not None and QUEUE_REFUSAL.encode() in refused.response.body
     assert float(refused.response.headers["retry-after"]) > 0
     world.run(lambda: len(ends) == 6)
     world.close()
@@ -89,8 +89,8 @@
     world.run(lambda: not world.room._held)
     world.run(lambda: world.room.next_due() is None)
     world.room.step(world.loop.now, whole=True)
-    world.room.turns.check()
-    assert world.room.waiting() == 0 and world.room.turns.runs.all == {}
+    world.room.scheduler.check()
+    assert world.room.waiting() == 0 and world.room.scheduler.runs.all == {}
 
 
 def test_a_broker_that_is_told_to_end_with_a_full_queue_answers_every_query(world: Turned) -> None:
@@ -124,6 +124,6 @@
 
 def test_without_its_section_no_room_is_made(tmp_path: Path) -> None:
     world = World(tmp_path)
-    assert world.broker.reception.room is None
+    assert world.broker.reception.pending is None
     assert world.ask(world.plan())[0].status == 200
     world.close()
--- a/tests/limits/fair/test_fleet.py
+++ b/tests/limits/fair/test_fleet.py
@@ -7,9 +7,9 @@
 from quincepath.lab.fair_plan import Found, Plan, Tenant
 from quincepath.lab.fair_rivals import EvenShares, Fair, FirstCome
 from quincepath.lab.fair_world import World
-from quincepath.limits.fair import FairSettings, Stop, Turns
-from quincepath.limits.fair.facts import MS, SECOND
-from tests.limits.fair.bench import Bench, Query
+from quincepath.limits.fair import FairScheduler, FairSettings, Stop
+from quincepath.limits.fair.types import MS, SECOND
+from tests.limits.fair.simulator import Bench, Query
 
 ALL = tuple(range(5))
 SETTINGS = FairSettings(slots=10, quick_slots=2)
@@ -76,7 +76,7 @@
     """Each that waited has run or was refused by the end, over seeds and times of the stop."""
     for seed in range(10):
         random = Random(seed)
-        world = Bench(Turns(FairSettings(slots=12, quick_slots=4), seed))
+        world = Bench(FairScheduler(FairSettings(slots=12, quick_slots=4), seed))
         for _ in range(100):
             cost = int(SECOND * random.lognormvariate(0, 1))
             world.enter(
--- a/tests/limits/fair/test_turns.py
+++ b/tests/limits/fair/test_scheduler.py
@@ -3,29 +3,29 @@
 import pytest
 
 from quincepath.limits.fair import (
+    Cancelled,
     Done,
     Enter,
+    FairScheduler,
     FairSettings,
     Footprint,
     Freed,
-    Gone,
     Refuse,
     Run,
     Speed,
     Stop,
-    Turns,
 )
-from quincepath.limits.fair.core import FULL, GONE_BY, LATE, STOPPING, TENANT_FULL
-from tests.limits.fair.bench import HOUR, MS, SECOND, Bench, Query
+from quincepath.limits.fair.scheduler import FULL, STOPPING, TENANT_FULL, TIME_UP, TOO_LATE
+from tests.limits.fair.simulator import HOUR, MS, SECOND, Bench, Query
 
-SMALL = FairSettings(slots=12, quick_slots=4, seats_most=4, small_floor=0)
+SMALL = FairSettings(slots=12, quick_slots=4, query_slots_most=4, small_floor=0)
 
 
 def bench(settings: FairSettings = SMALL) -> Bench:
-    return Bench(Turns(settings, 1))
+    return Bench(FairScheduler(settings, 1))
 
 
-def teach(turns: Turns, tenant: str, kind: int, cost: int, times: int = 5, parts: int = 1) -> None:
+def teach(turns: FairScheduler, tenant: str, kind: int, cost: int, times: int = 5, parts: int = 1) -> None:
     for _ in range(times):
         turns.costs.learn(tenant, Footprint(kind, parts, (0,)), cost, cost // parts)
 
@@ -116,7 +116,7 @@
     number = world.enter(Query("a", 20 * SECOND, kind=2))
     assert world.ran[number].speed is Speed.QUICK and world.turns.pool.quick == 1
     world.run(251 * MS)
-    assert (world.turns.pool.quick, world.turns.pool.slow, world.turns.runs.moved) == (0, 9, 1)
+    assert (world.turns.pool.quick, world.turns.pool.slow, world.turns.runs.reclassified) == (0, 9, 1)
     world.run(5 * SECOND)
     queue = world.turns.queues.own["a"]
     assert queue.running == 1 and queue.tag >= 4 * SECOND
@@ -140,7 +140,7 @@
 
 def test_wide_large_ones_on_all_slots_do_not_hold_up_a_small_one() -> None:
     """The last of them is wider than what was left; the small one starts over the bound, once."""
-    world = bench(FairSettings(slots=12, quick_slots=4, seats_most=4))
+    world = bench(FairSettings(slots=12, quick_slots=4, query_slots_most=4))
     teach(world.turns, "huge", 1, 100 * SECOND, parts=4)
     teach(world.turns, "small", 2, 300 * MS)
     world.enter_all([Query("huge", 100 * SECOND, kind=1, parts=4, target=HOUR)] * 4)
@@ -163,7 +163,7 @@
 def test_a_hundred_thousand_invented_names_stay_bounded_and_push_nobody_out() -> None:
     """The one that is named asks for a quarter of the pool, and its weight is worth more."""
     settings = FairSettings(slots=12, quick_slots=4, waiting_most=100, tenants_most=32, shared_queues=4,
-                            likes_most=64, weights={"real": 16.0})  # fmt: skip
+                            cost_entries_most=64, weights={"real": 16.0})  # fmt: skip
     world = bench(settings)
     served: list[int] = []
     for start in range(0, 100_000, 500):
@@ -185,7 +185,7 @@
     teach(world.turns, "a", 1, 4 * SECOND)
     numbers = world.enter_all([Query("a", 4 * SECOND, target=10 * SECOND)] * 60)
     late = [world.refused[number] for number in numbers if number in world.refused]
-    assert len(late) > 30 and {refuse.cause for refuse in late} == {LATE}
+    assert len(late) > 30 and {refuse.cause for refuse in late} == {TOO_LATE}
     assert all(100 * MS <= refuse.retry_in <= 10 * SECOND for refuse in late)
     world.run(60 * SECOND)
     assert not world.late and len(world.ran) + len(world.refused) == 60
@@ -201,7 +201,7 @@
     world.run(4 * SECOND)
     assert number not in world.refused
     world.run(5 * SECOND)
-    assert world.refused[number].cause == GONE_BY and not world.turns.queues.waiting
+    assert world.refused[number].cause == TIME_UP and not world.turns.queues.waiting
 
 
 def test_bounds_of_the_queues_and_who_gives_way_when_all_are_full() -> None:
@@ -235,16 +235,16 @@
     [
         [Done(1, SECOND)],
         [Done(1, 0)],
-        [Gone(1)],
-        [Gone(1, 5 * SECOND)],
-        [Gone(1), Done(1, SECOND), Gone(1)],
+        [Cancelled(1)],
+        [Cancelled(1, 5 * SECOND)],
+        [Cancelled(1), Done(1, SECOND), Cancelled(1)],
         [Freed(1, 2), Done(1, SECOND)],
-        [Freed(1, 99), Freed(1, 99), Gone(1)],
+        [Freed(1, 99), Freed(1, 99), Cancelled(1)],
         [Freed(1, 4), Done(1, SECOND), Freed(1, 4)],
     ],
 )
-def test_whatever_ends_a_query_its_slots_come_back(ends: list[Done | Gone | Freed]) -> None:
-    turns = Turns(SMALL, 1)
+def test_whatever_ends_a_query_its_slots_come_back(ends: list[Done | Cancelled | Freed]) -> None:
+    turns = FairScheduler(SMALL, 1)
     assert isinstance(turns.step(0, [Enter(1, "a", Footprint(1, 4, (0,)), HOUR, HOUR)])[0], Run)
     assert turns.pool.slow == 4
     for at, end in enumerate(ends, 1):
@@ -254,7 +254,7 @@
 
 
 def test_parts_that_came_back_let_another_run() -> None:
-    turns = Turns(SMALL, 1)
+    turns = FairScheduler(SMALL, 1)
     enters = [Enter(n, "a", Footprint(1, 4, (0,)), HOUR, HOUR) for n in (1, 2, 3)]
     assert [out.number for out in turns.step(0, enters)] == [1, 2]
     assert [out.number for out in turns.step(SECOND, [Freed(1, 1)])] == [3]
@@ -278,7 +278,7 @@
         ({"small_share": 1.0}, "fair.small_share is 1.0"),
         ({"small_floor": 48}, "fair.small_floor is 48; expected 0 to 47"),
         ({"weights": {"a": 0.0}}, "fair.weights['a'] is 0.0; expected 0.01 to 100"),
-        ({"return_most": 1}, "return_most 1"),
+        ({"retry_after_most": 1}, "retry_after_most 1"),
     ],
 )
 def test_settings_that_cannot_be_are_told_with_place_and_value(bad: dict[str, object], says: str) -> None:
@@ -288,7 +288,7 @@
 
 
 def test_a_number_that_is_not_free_and_time_that_runs_backwards_are_errors() -> None:
-    turns = Turns(SMALL, 1)
+    turns = FairScheduler(SMALL, 1)
     enter = Enter(1, "a", Footprint(1, 1, (0,)), HOUR, HOUR)
     turns.step(5, [enter])
     with pytest.raises(ValueError, match="query 1 entered twice"):
@@ -298,5 +298,5 @@
 
 
 def test_a_query_that_comes_when_its_time_is_up_is_refused() -> None:
-    [out] = Turns(SMALL, 1).step(5, [Enter(1, "a", Footprint(1, 1, (0,)), 0, HOUR)])
-    assert isinstance(out, Refuse) and out.cause == GONE_BY
+    [out] = FairScheduler(SMALL, 1).step(5, [Enter(1, "a", Footprint(1, 1, (0,)), 0, HOUR)])
+    assert isinstance(out, Refuse) and out.cause == TIME_UP
--- a/tests/limits/fair/test_machine.py
+++ b/tests/limits/fair/test_state_machine.py
@@ -1,6 +1,6 @@
-"""Turns explored: no slot lost, work conserved, bounds kept, the lag of two tenants; planted bugs are found.
+"""The scheduler explored: no slot lost, work conserved, bounds kept, lag of two tenants; planted bugs found.
 
-The bugs are planted through the factories of ``Turns``: what they make is what the checks run on.
+The bugs are planted through the factories of ``FairScheduler``: what they make is what the checks run on.
 """
 
 from itertools import count
@@ -18,26 +18,26 @@
 )
 
 from quincepath.limits.fair import (
+    Cancelled,
     Done,
-    Elsewhere,
     Enter,
+    FairScheduler,
     FairSettings,
     Footprint,
     Freed,
-    Gone,
     Input,
     Refuse,
+    RemoteUsage,
     Run,
     Stop,
-    Turns,
 )
-from quincepath.limits.fair.facts import MS, SECOND
 from quincepath.limits.fair.queues import Queue
-from quincepath.limits.fair.running import Runs
-from quincepath.limits.fair.turns import Tags
+from quincepath.limits.fair.running import RunningQueries
+from quincepath.limits.fair.tags import Tags
+from quincepath.limits.fair.types import MS, SECOND
 
-BOUNDS = FairSettings(slots=6, quick_slots=2, seats_most=3, waiting_most=12, waiting_tenant_most=6,
-                      tenants_most=4, shared_queues=2, likes_most=16, large_from=2 * SECOND,
+BOUNDS = FairSettings(slots=6, quick_slots=2, query_slots_most=3, waiting_most=12, waiting_tenant_most=6,
+                      tenants_most=4, shared_queues=2, cost_entries_most=16, large_from=2 * SECOND,
                       weights={"a": 2.0}, brokers=5)  # fmt: skip
 NAMES = st.sampled_from(["a", "b", "c", "d", "e", "f", "g"])
 COSTS = st.integers(MS, 5 * SECOND)
@@ -46,7 +46,7 @@
 class Machine(RuleBasedStateMachine):
     """All inputs in any order, against a model of who waits, who runs and with how many parts out."""
 
-    make = Turns
+    make = FairScheduler
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,7 +64,7 @@
                 assert output.waited <= enter.target and self.now <= enter.deadline
                 self.runs[output.number] = enter.footprint.parts
             else:
-                assert BOUNDS.return_least <= output.retry_in <= BOUNDS.return_most
+                assert BOUNDS.retry_after_least <= output.retry_in <= BOUNDS.retry_after_most
 
     @rule(tenant=NAMES, kind=st.integers(1, 3), parts=st.integers(1, 4), wanted=st.integers(1, 10 * SECOND),
           times=st.integers(1, 4))  # fmt: skip
@@ -97,9 +97,9 @@
         number = data.draw(st.sampled_from(sorted({**self.runs, **self.waits})))
         self.runs.pop(number, None)
         self.waits.pop(number, None)
-        self.step(Gone(number, cost))
+        self.step(Cancelled(number, cost))
 
-    @rule(number=st.integers(0, 5), which=st.sampled_from([Done, Gone, Freed]))
+    @rule(number=st.integers(0, 5), which=st.sampled_from([Done, Cancelled, Freed]))
     def strange(self, number: int, which: Any) -> None:
         self.step(which(1_000_000 + number, 1))
 
@@ -120,7 +120,7 @@
 
     @rule(tenant=NAMES, total=st.integers(0, 100 * SECOND), age=st.integers(0, 6 * SECOND))
     def news(self, tenant: str, total: int, age: int) -> None:
-        self.step(Elsewhere({tenant: total, "b": self.now}, age))
+        self.step(RemoteUsage({tenant: total, "b": self.now}, age))
 
     @rule(left=st.integers(0, 3 * SECOND), often=st.integers(0, 20))
     def stop(self, left: int, often: int) -> None:
@@ -134,22 +134,24 @@
         assert set(self.turns.runs.all) == set(self.runs)
         assert set(self.turns.queues.waiting) == set(self.waits)
         pool = self.turns.pool
-        held = sum(run.held.seats for run in self.turns.runs.all.values())
-        most = sum(min(BOUNDS.seats_most, parts) for parts in self.runs.values())
+        held = sum(run.allocation.slots for run in self.turns.runs.all.values())
+        most = sum(min(BOUNDS.query_slots_most, parts) for parts in self.runs.values())
         assert held == pool.quick + pool.slow <= most
         free = pool.slow < BOUNDS.slow_slots
         large = pool.large >= BOUNDS.slow_slots - BOUNDS.small_floor
         if free and not large:
-            kept = pool.kept(self.now)
+            kept = pool.reserved(self.now)
             assert not self.waits or pool.large >= BOUNDS.slow_slots - kept, "a slot is idle, somebody waits"
 
     @invariant()
     def bounded(self) -> None:
         queues = self.turns.queues
         assert len(queues.waiting) <= BOUNDS.waiting_most and len(queues.shared) <= BOUNDS.shared_queues
-        assert len(queues.own) <= BOUNDS.tenants_most + 1 and len(self.turns.costs) <= BOUNDS.likes_most
+        assert (
+            len(queues.own) <= BOUNDS.tenants_most + 1 and len(self.turns.costs) <= BOUNDS.cost_entries_most
+        )
         assert sum(queues.in_lane) == len(queues.waiting) and min(queues.in_lane) >= 0
-        assert queues.queued == sum(one.guess.mean for one, _ in queues.waiting.values())
+        assert queues.queued == sum(one.estimate.mean for one, _ in queues.waiting.values())
         assert all(queue.waiting <= BOUNDS.waiting_tenant_most for queue in queues.backlogged.values())
 
     def teardown(self) -> None:
@@ -169,14 +171,14 @@
 class Lag(RuleBasedStateMachine):
     """Two tenants that always have more waiting: the bound of turns.py, after every step."""
 
-    make = Turns
+    make = FairScheduler
     SLOTS = 3
     WEIGHTS = {"f": 1.0, "g": 3.0}
 
     def __init__(self) -> None:
         super().__init__()
-        bounds = FairSettings(slots=self.SLOTS + 1, quick_slots=1, seats_most=1, small_floor=0, small_share=0,
-                              slow_from=1, large_from=1 << 60,
+        bounds = FairSettings(slots=self.SLOTS + 1, quick_slots=1, query_slots_most=1, small_floor=0,
+                              small_share=0, slow_from=1, large_from=1 << 60,
                               weights=self.WEIGHTS)  # fmt: skip
         self.turns = self.make(bounds, 1)
         self.now = 0
@@ -194,7 +196,7 @@
             assert isinstance(output, Run)
             self.began[output.number] = self.now
             run = self.turns.runs.all[output.number]
-            self.largest[self.tenant[output.number]] = max(self.largest[run.held.tenant], run.charged)
+            self.largest[self.tenant[output.number]] = max(self.largest[run.allocation.tenant], run.charged)
         for tenant in self.WEIGHTS:
             while sum(one.tenant == tenant for one, _ in self.turns.queues.waiting.values()) < 2:
                 number = next(self.numbers)
@@ -214,7 +216,7 @@
         cost = max(1, self.now - self.began.pop(number))
         self.used[self.tenant[number]] += cost
         self.largest[self.tenant[number]] = max(self.largest[self.tenant[number]], cost)
-        self.step(Gone(number, cost) if gone else Done(number, cost))
+        self.step(Cancelled(number, cost) if gone else Done(number, cost))
 
     @rule(times=st.integers(5, 20), passed=st.integers(100 * MS, 3 * SECOND), left=st.sampled_from([0, 3]))
     def serve(self, times: int, passed: int, left: int) -> None:
@@ -224,7 +226,7 @@
             for number in new[:left]:
                 del self.began[number]
                 self.used["g"] += 1
-                self.step(Gone(number, 1))
+                self.step(Cancelled(number, 1))
             self.now += passed
             number = min(self.began)
             cost = self.now - self.began.pop(number)
@@ -240,7 +242,7 @@
         self.idled = True
         for tenant in "gf":
             for number in [n for n, _ in self.turns.queues.waiting.items() if self.tenant[n] == tenant]:
-                self.turns.step(self.now, [Gone(number)])
+                self.turns.step(self.now, [Cancelled(number)])
         for number in sorted(self.began):
             self.turns.step(self.now, [Done(number, max(1, self.now - self.began[number]))])
         self.began.clear()
@@ -284,7 +286,7 @@
 # --- planted bugs: each must be found ---
 
 
-class LosesSlot(Runs):
+class LosesSlot(RunningQueries):
     """A query that its client left while it ran keeps its slots."""
 
     def ended(self, now: int, number: int, slot_time: int, whole: bool) -> None:
@@ -297,45 +299,45 @@
 class KeepsTag(Tags):
     """A tenant's tag is not brought up to virtual time when it comes back from idling."""
 
-    def waits(self, queue: Queue) -> None:
+    def before_enqueue(self, queue: Queue) -> None:
         pass
 
 
 class KeepsCharge(Tags):
     """What was charged too much is not given back."""
 
-    def ends(self, queue: Queue, put_right: int) -> None:
-        super().ends(queue, max(0, put_right))
+    def query_ended(self, queue: Queue, put_right: int) -> None:
+        super().query_ended(queue, max(0, put_right))
 
 
-class LeavesIdle(Turns):
+class LeavesIdle(FairScheduler):
     """Only one query is started a step."""
 
     def _give(self, now: int, out: list[Run | Refuse]) -> None:
         if self.queues.waiting and not any(isinstance(one, Run) for one in out):
-            one = self.tags.next(self.pool.open(now))
+            one = self.tags.next(self.pool.startable_lanes(now))
             if one is not None:
-                _, queue = self.queues.take(one.number)
-                self.runs.turn(now, one, queue)
-                out.append(Run(one.number, one.guess.speed, now - one.came))
+                _, queue = self.queues.remove(one.number)
+                self.runs.start_waiting(now, one, queue)
+                out.append(Run(one.number, one.estimate.speed, now - one.came))
 
 
-def planted(bug: type) -> type[Turns]:
-    """``Turns`` with the bug in the place of what it is a kind of."""
+def planted(bug: type) -> type[FairScheduler]:
+    """``FairScheduler`` with the bug in the place of what it is a kind of."""
 
-    class WithTags(Turns):
+    class WithTags(FairScheduler):
         def new_tags(self) -> Tags:
             made = bug(self.settings, self.queues)
             assert isinstance(made, Tags)
             return made
 
-    class WithRuns(Turns):
-        def new_runs(self) -> Runs:
+    class WithRuns(FairScheduler):
+        def new_runs(self) -> RunningQueries:
             made = bug(self.settings, self.pool, self.queues, self.tags, self._learn)
-            assert isinstance(made, Runs)
+            assert isinstance(made, RunningQueries)
             return made
 
-    if issubclass(bug, Turns):
+    if issubclass(bug, FairScheduler):
         return bug
     return WithTags if issubclass(bug, Tags) else WithRuns
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,8 +8,8 @@
 import pytest
 
 from quincepath.limits.admission import Admission, AdmissionBounds, Cost
-from quincepath.limits.door import SECOND
-from quincepath.limits.memory import MemoryCircuit, Pressure
+from quincepath.limits.gate import SECOND
+from quincepath.limits.memory import MemoryPressureMonitor, Pressure
 from tests.world import MS, World
 
 BOUNDS = AdmissionBounds(asks=20, work=100, bytes=1000, max_retry_after=10 * SECOND)
@@ -118,7 +118,7 @@
 
 
 def test_memory_shuts_the_door_at_its_marks_and_opens_it_below_them() -> None:
-    circuit, door = MemoryCircuit(100 * MIB), admission()
+    circuit, door = MemoryPressureMonitor(100 * MIB), admission()
     seen = []
     for mib in (10, 74, 76, 70, 66, 99, 101, 95, 89, 60):
         door.pressure = circuit.sample(mib * MIB)
@@ -130,7 +130,7 @@
     assert cause(door, ONE) == "" and "worth too little" in cause(door, replace(ONE, worth=0.9))
     door.pressure = Pressure.HARD
     assert cause(door, ONE) == "memory is short"
-    assert MemoryCircuit(0).sample(1 << 50) is Pressure.NONE
+    assert MemoryPressureMonitor(0).sample(1 << 50) is Pressure.NONE
 
 
 def test_same_events_same_decisions_and_advice_is_spread() -> None:
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -26,8 +26,8 @@
     Try,
 )
 from quincepath.asks.desk import Desk
+from quincepath.broker.dispatcher import AskEnded, Dispatcher, Rendered, TryAnswer
 from quincepath.broker.driver import Driver
-from quincepath.broker.reception import AskEnded, Owed, Reception, Rendered
 from quincepath.interface import Members, Result, Scope
 from quincepath.lab.load import Client, QueryPlan, Seen
 from quincepath.limits.admission import AdmissionBounds
@@ -226,10 +226,10 @@
         limits = {"attempts": 3, "duplicate": False}
         driver = Driver(Aggregator(one := settings((kind,), limits=limits, cells=3), 1), one, 500 * MS)
         desk: Desk[Any] = Desk(replace(LIMITS, linger=self.linger), ROOMY, 1)
-        self.desk = Reception[str, Any](driver, desk, lambda f, _c: Rendered(f, 1, f.verdict))
+        self.desk = Dispatcher[str, Any](driver, desk, lambda f, _c: Rendered(f, 1, f.verdict))
         self.now = START
         entries = tuple(entry(n + 1, n) for n in range(3))
-        self.desk.note(Listed(Members(Scope.CACHED, 1, entries)))
+        self.desk.enqueue(Listed(Members(Scope.CACHED, 1, entries)))
         self.step()
 
     def step(self) -> None:
@@ -243,8 +243,8 @@
                             self.out[one.part, one.attempt] = one
                     case StopAttempt(part, number):
                         del self.out[part, number]
-                        self.desk.note(Ended(part, number, Result.CANCELLED))
-                    case Owed(handle, reply, _how):
+                        self.desk.enqueue(Ended(part, number, Result.CANCELLED))
+                    case TryAnswer(handle, reply, _how):
                         self.seen.setdefault(handle, []).append(reply)
                         assert handle not in self.gone, "an answer to a client that had left"
                     case AskEnded():
@@ -267,7 +267,7 @@
         one = next((one for one in self.out.values() if one.shard == shard), None)
         if one is not None:
             del self.out[one.part, one.attempt]
-            self.desk.note(Ended(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x"))
+            self.desk.enqueue(Ended(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x"))
 
     def wait(self, until: int) -> None:
         """Let time pass, stepping whenever something is due."""
@@ -281,7 +281,7 @@
             for key, one in list(self.out.items()):
                 if one.deadline <= self.now:
                     del self.out[key]
-                    self.desk.note(Ended(one.part, one.attempt, Result.TIMEOUT))
+                    self.desk.enqueue(Ended(one.part, one.attempt, Result.TIMEOUT))
             self.step()
         self.now = until
 
@@ -318,7 +318,7 @@
             case "gone":
                 if 1 not in case.seen:
                     case.gone[1] = case.now
-                    case.desk.left(case.now, 1)
+                    case.desk.client_left(case.now, 1)
     case.step()
     # All holders that are still asked answer in the end; then all time passes.
     for one in list(case.out.values()):
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -3,12 +3,12 @@
 from collections.abc import Mapping
 from pathlib import Path
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.broker.service import Arrival, Guest
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.net.server import Exchange
 from quincepath.orders import Ended, StartCall
 from tests.world import SECOND, World
@@ -22,11 +22,11 @@
         self.told: list[str] = []
         self.parts: list[int] = []
 
-    def arrive(self, now: int, arrival: Arrival) -> TurnAway | None:
+    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
         self.told.append(f"arrive {arrival.plan.entry.name}")
         self.parts.append(len(arrival.ask.parts))
         refuse = arrival.plan.entry.name == self.refused
-        return TurnAway("over its share", 3 * SECOND) if refuse else None
+        return Rejection("over its share", 3 * SECOND) if refuse else None
 
     def began(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
         self.told.append("began")
--- a/tests/test_rings.py
+++ b/tests/test_rings.py
@@ -23,8 +23,8 @@
 PLANTED = [  # contract, file, the bad line
     ("pure", "asks/desk.py", "import time"),
     ("pure", "fleet/ledger/sums.py", "from os import path"),  # a room and a file that nobody has listed
-    ("edge", "broker/reception.py", "from quincepath.net import loop"),
-    ("edge", "limits/fair/turns.py", "from quincepath.observe.logs import *"),
+    ("edge", "broker/dispatcher.py", "from quincepath.net import loop"),
+    ("edge", "limits/fair/tags.py", "from quincepath.observe.logs import *"),
     ("rooms", "shards/versions.py", "from quincepath.net.loop import Loop"),
     ("store", "fleet/budget.py", "from quincepath.store.keeper import KeeperStore"),
     ("tools", "upstream/outcomes.py", "from quincepath.lab import audit"),
