--- a/quincepath/broker/dispatcher.py
+++ b/quincepath/broker/dispatcher.py
@@ -1,12 +1,14 @@
-"""Tries in, answers out: the book of asks, the door and the driver as one pure state machine.
+"""Coordinates the book of asks, admission, the pending queue and the driver as one pure state machine.
 
-What runs on sockets and what runs in the laboratory differ in who calls this and who carries the orders out.
-``C`` is what the edge wants to know again of an ask (its plan), ``R`` is a reply as the edge sends it.
+Tries come in, answers go out. Production and the laboratory differ only in who calls the dispatcher and who
+executes its orders. ``C`` is the context that the edge keeps with an ask (its plan), ``R`` is a reply as the
+edge sends it.
 
-    arrive(now, try, ask, context)  a request; the decision says whether it is owed an answer later
-    left(now, handle)               its client has gone
-    note(input)                     what else came in: ends of attempts, news of the list
-    step(now)                       one batch to the module; orders, among them ``TryAnswer`` and ``AskEnded``
+    arrive(now, try, ask, context)  a request; the decision says whether it gets an answer later
+    client_left(now, handle)        the client of a try has left
+    enqueue(input)                  any other input: ends of attempts, changes of the list of holders
+    step(now)                       one batch to the decision module; returns orders, among them ``TryAnswer``
+                                    and ``AskEnded``
 """
 
 from collections.abc import Callable
@@ -27,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rendered(Generic[R]):
-    """A final answer as the edge sends it, its size in bytes, and how it counts."""
+    """A final answer as the edge sends it, its size in bytes, and its verdict."""
 
     reply: R
     size: int
@@ -39,18 +41,18 @@
 
 @dataclass(slots=True, frozen=True)
 class TryAnswer(Generic[R]):
-    """Send this to the try: its one final answer. No reply: its own time is up while its ask goes on."""
+    """Send this final answer to the try. Without a reply, its time is up while its ask goes on."""
 
     handle: int
     reply: R | None
     how: How
-    run: str  # under which name the ask's parts went to holders
+    run: str  # name under which the ask's parts went to holders
     ask: int
 
 
 @dataclass(slots=True, frozen=True)
 class AskEnded(Generic[C, R]):
-    """An ask is over, once, whatever the number of its tries; without ``finish`` all its clients had left."""
+    """An ask is over; reported once, however many tries it had. Without ``finish`` all its clients left."""
 
     context: C
     name: str
@@ -68,7 +70,7 @@
 
 
 class Dispatcher(Generic[C, R]):
-    """One a broker. ``pending``: where asks wait for a slot; None: each goes to the driver at once."""
+    """One per broker. ``pending``: asks that wait for a slot; None: each ask goes to the driver at once."""
 
     def __init__(
         self, driver: Driver, desk: Desk[R], render: Render[C, R], pending: PendingQueue | None = None
@@ -79,11 +81,11 @@
         self._ended: list[AskEnded[C, R]] = []
 
     def running(self) -> int:
-        """Asks that have not ended."""
+        """Number of asks that have not ended."""
         return len(self._running)
 
     def known(self, now: int, attempt: Try) -> tuple[bool, C | None]:
-        """Whether the try belongs to an ask that is known, and the context of that ask while it runs."""
+        """Whether the try belongs to a known ask, and the context of that ask while it runs."""
         ask = self.desk.known(now, attempt)
         running = self._running.get(ask) if ask is not None else None
         return ask is not None, running.context if running else None
@@ -98,17 +100,17 @@
         size: int = 0,
         scheduling: SchedulingInfo | None = None,
     ) -> "Decision[R] | Rejection":
-        """A request; ``ask`` and ``context`` are needed only where it is not known. ``Begin`` has begun.
+        """Handle a request; a decision ``Begin`` means that its ask was started or queued.
 
-        ``worth`` is its class's from 0 to 1, ``size`` the bytes of the request; ``scheduling`` is needed
-        where there is a pending queue.
+        ``ask`` and ``context`` are needed only if the try belongs to no known ask. ``worth`` of its class is
+        0 to 1, ``size`` is the bytes of the request; ``scheduling`` is needed where there is a pending queue.
         """
         cost = Cost(attempt.client, ask.kind, worth, 1 + len(ask.parts), size) if ask else None
-        # A burst in one turn counts as it comes: the driver gets it only with the next step.
+        # Admission counts each ask of a burst as it arrives: the driver gets them only with the next step.
         decision = self.desk.arrive(now, attempt, cost, self.driver.lingering())
         if isinstance(decision, Begin):
             if ask is None or context is None:
-                raise ValueError("a try of an unknown ask came without what to run")
+                raise ValueError("a try that belongs to no known ask needs an ask and a context")
             self._begin(now, replace(ask, handle=decision.ask), context, scheduling)
         return decision
 
@@ -120,7 +122,7 @@
             self.pending.enqueue(now, ask, scheduling)
 
     def client_left(self, now: int, handle: int) -> None:
-        """The client of a try has gone."""
+        """The client of a try has left."""
         drop = self.desk.book.left(now, handle)
         if drop is not None:
             self._drop(now, drop)
@@ -135,7 +137,7 @@
             self._ended.append(AskEnded(running.context, running.ask.name, None, None, 0, drop.ask))
 
     def enqueue(self, item: Input) -> None:
-        """Something else came in; it is in the next batch."""
+        """Add any other input to the next batch."""
         self._inbox.append(item)
 
     def due(self, now: int) -> bool:
@@ -144,20 +146,22 @@
         return when is not None and when <= now
 
     def next_due(self) -> int | None:
-        """When ``step`` must be called at the latest; now, as 0, where something is in the inbox."""
+        """When ``step`` must be called at the latest; 0 (now) if there is input."""
         if self._inbox or self._ended:
             return 0
-        room = self.pending.next_due() if self.pending is not None else None
-        dues = [due for due in (self.driver.next_due(), self.desk.book.next_due(), room) if due is not None]
+        pending = self.pending.next_due() if self.pending is not None else None
+        dues = [
+            due for due in (self.driver.next_due(), self.desk.book.next_due(), pending) if due is not None
+        ]
         return min(dues, default=None)
 
     def step(self, now: int) -> list[Order | TryAnswer[R] | AskEnded[C, R]]:
-        """One batch: what came in, what is due, and what the module makes of it."""
+        """Pass one batch of input and timers to the decision module; return the resulting orders."""
         orders: list[Order | TryAnswer[R] | AskEnded[C, R]] = []
         if self.pending is not None:
-            self._turns(now, self.pending, orders)
+            self._schedule(now, self.pending, orders)
         inbox, self._inbox = self._inbox, []
-        # Replies of this batch come first: a try whose time is up now gets the answer that is there.
+        # Replies come before expiry, so that a try whose time is up now still gets an answer of this batch.
         for order in self.driver.step(now, inbox):
             if isinstance(order, Finish):
                 self._finish(now, order, orders)
@@ -173,15 +177,15 @@
         ended, self._ended = self._ended, []
         return [*orders, *ended]
 
-    def _turns(
+    def _schedule(
         self, now: int, pending: PendingQueue, orders: list[Order | TryAnswer[R] | AskEnded[C, R]]
     ) -> None:
-        """What came frees slots; whose turn it is joins this batch, who has none is answered."""
+        """Ended attempts free slots; asks that start join this batch, refused asks are answered."""
         for item in self._inbox:
             if isinstance(item, Ended):
                 pending.attempt_ended(now, item)
-        runs, refused = pending.step(now)
-        self._inbox.extend(runs)
+        started, refused = pending.step(now)
+        self._inbox.extend(started)
         for finish in refused:
             self._finish(now, finish, orders)
 
@@ -191,10 +195,10 @@
             return
         if self.pending is not None:
             self.pending.ask_ended(now, finish.handle, finish)
-        said = self.render(finish, running.context)
-        answered = said.verdict is Verdict.ANSWERED
-        owed = self.desk.book.finish(now, finish.handle, said.reply, said.size, answered)
-        for one in owed:
+        rendered = self.render(finish, running.context)
+        answered = rendered.verdict is Verdict.ANSWERED
+        results = self.desk.book.finish(now, finish.handle, rendered.reply, rendered.size, answered)
+        for one in results:
             if isinstance(one, Restart):
                 time_left = one.deadline - now
                 name = one.name or running.ask.name
@@ -205,8 +209,8 @@
                     scheduling = replace(scheduling, deadline=one.deadline)
                 self._begin(now, again, running.context, scheduling)
             else:
-                orders.append(TryAnswer(one.handle, said.reply, one.how, running.ask.name, finish.handle))
-        self.desk.admission.ended(finish.handle, said.size if answered else 0)
+                orders.append(TryAnswer(one.handle, rendered.reply, one.how, running.ask.name, finish.handle))
+        self.desk.admission.ended(finish.handle, rendered.size if answered else 0)
         orders.append(
-            AskEnded(running.context, running.ask.name, finish, said.reply, len(owed), finish.handle)
+            AskEnded(running.context, running.ask.name, finish, rendered.reply, len(results), finish.handle)
         )
--- a/quincepath/broker/pending.py
+++ b/quincepath/broker/pending.py
@@ -1,7 +1,7 @@
-"""The pending queue as the reception sees it: what waits for a fair-queueing slot, and what it must do.
+"""The pending queue as the dispatcher sees it: asks that wait for a fair-queueing slot.
 
-It stands between the reception and the waiting room, so that neither imports the other. Nothing of
-``limits.fair`` is loaded by it: without slots in the configuration there is no queue.
+The protocol stands between the dispatcher and its implementation in ``fair_pending``, so that neither imports
+the other. It loads nothing of ``limits.fair``: without slots in the configuration there is no queue.
 """
 
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from quincepath.limits.fair import Footprint
 
-QUEUE_REFUSAL = "no turn: "  # how the cause of a refusal by the queue begins
+QUEUE_REFUSAL = "no turn: "  # prefix of the cause of a refusal by the queue
 
 
 @dataclass(slots=True, frozen=True)
 class SchedulingInfo:
-    """What the queue has to know of an ask. ``target``: ns from its arrival; ``deadline``: own clock."""
+    """What the queue needs to know of an ask. ``target``: ns from its arrival; ``deadline``: broker clock."""
 
     tenant: str
     footprint: "Footprint"
@@ -26,22 +26,22 @@
 
 
 class PendingQueue(Protocol):
-    """Asks that admission took and that have no slot yet, and the slot time of those that run. Times: ns."""
+    """Admitted asks that have no slot yet, and the slot time of running asks. Times in ns."""
 
     def enqueue(self, now: int, ask: Ask, scheduling: SchedulingInfo) -> None:
-        """An ask that admission took."""
+        """An ask was admitted."""
 
     def attempts_started(self, now: int, order: StartCall) -> None:
-        """Attempts go out."""
+        """Attempts are sent."""
 
     def attempt_ended(self, now: int, item: Ended) -> None:
         """An attempt has ended."""
 
     def ask_ended(self, now: int, handle: int, finish: Finish | None) -> None:
-        """An ask is over; without ``finish`` its clients had left."""
+        """An ask is over; without ``finish`` all its clients had left."""
 
     def next_due(self) -> int | None:
         """When ``step`` must be called; 0: now."""
 
     def step(self, now: int) -> tuple[list[Arrived], list[Finish]]:
-        """Asks that run from now on, and those that are refused."""
+        """Asks that run from now on, and asks that are refused."""
--- a/quincepath/limits/__init__.py
+++ b/quincepath/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What is refused at the door, before the module hears of it: pure decisions on bounds."""
+"""Admission control and fair queueing: pure decisions, taken before the decision module sees a query."""
--- a/quincepath/limits/admission.py
+++ b/quincepath/limits/admission.py
@@ -1,15 +1,20 @@
-"""Whether a new ask is taken while much is open. Pure: own seeded source, no clock, same events alike.
+"""Admission control: whether a new ask is admitted while many are open.
 
-The module refuses what it takes and cannot serve in time; it never queues, and nothing is queued here either.
-Admission refuses before that, at once and with advice, what this broker has no room to hold:
+Pure: own seeded random source, no clock; the same events give the same decisions.
 
-    all      any bound is full, or memory is at its hard mark, or the broker stops
-    worth    the fuller the broker, the more a class must be worth: at ``CROWDED`` of a bound a class worth
-             nothing is refused, at the whole bound one worth everything; so it is at memory's soft mark
-    share    from ``CONTENDED`` of a bound on, a client that holds more than an even share among the clients
-             that hold anything is refused, so that the loudest does not push the quiet ones out
+The decision module refuses queries that it has taken and cannot serve in time; neither it nor admission
+queues anything. Admission refuses before that, at once and with a retry delay, what exceeds the capacity of
+this broker:
 
-A single client is never refused for its share. Design: docs/design/admission.md.
+    bounds   any bound is full, memory pressure is hard, or the broker stops
+    worth    the fuller the broker, the more a class must be worth: at ``WORTH_THRESHOLD`` of a bound a class
+             worth 0 is refused, at the whole bound one worth 1; at soft memory pressure all classes worth
+             less than 1 are refused
+    share    from ``SHARE_THRESHOLD`` of a bound on, a client that holds more than an even share among the
+             clients with open asks is refused, so that the client with the highest demand does not crowd
+             out the others
+
+A client that is alone is never refused for its share. Design: docs/design/admission.md.
 """
 
 from collections import Counter
@@ -19,14 +24,14 @@
 from quincepath.limits.gate import Bounds as GateBounds
 from quincepath.limits.memory import Pressure
 
-CROWDED = 0.7
-CONTENDED = 0.5
-MEAN_WEIGHT = 0.2  # of a new answer's size in what is expected of its class
+WORTH_THRESHOLD = 0.7  # of a bound
+SHARE_THRESHOLD = 0.5  # of a bound
+MEAN_WEIGHT = 0.2  # of a new answer's size in the moving average of its class
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionBounds:
-    """Most asks, queries and parts together, bytes, and the longest advice (ns)."""
+    """Most asks, queries and parts together, and bytes, and the longest retry delay (ns)."""
 
     asks: int
     work: int
@@ -36,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """What a new ask brings. ``client`` is whom its load is counted to; ``worth`` of its class is 0 to 1."""
+    """Load of a new ask. It is counted to ``client``; ``worth`` of its class is 0 to 1."""
 
     client: str
     kind: int
@@ -46,20 +51,20 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _Admitted:
     cost: Cost
     bytes: int
 
 
 @dataclass(slots=True)
-class _Client:
+class _ClientLoad:
     asks: int = 0
     work: int = 0
     bytes: int = 0
 
 
 class Admission:
-    """One a broker. Every ``admit`` that takes an ask is followed by one ``ended`` of the same number."""
+    """One per broker. Every ``admit`` that admits an ask is followed by one ``ended`` of the same number."""
 
     def __init__(self, bounds: AdmissionBounds, seed: int) -> None:
         self.bounds = bounds
@@ -67,33 +72,33 @@
         self.pressure = Pressure.NONE
         self.refused: Counter[str] = Counter()
         self.asks = self.work = self.bytes = 0
-        self._held: dict[int, _Held] = {}
-        self._clients: dict[str, _Client] = {}
-        self._sizes: dict[int, float] = {}  # expected answer by class
+        self._admitted: dict[int, _Admitted] = {}
+        self._clients: dict[str, _ClientLoad] = {}
+        self._sizes: dict[int, float] = {}  # expected bytes of an answer by class
 
     # --- decisions ---
 
     def admit(self, now: int, ask: int, cost: Cost, lingering: int = 0) -> Rejection | None:
-        """None: it is taken as number ``ask``. ``lingering``: ended queries' parts that are still out."""
-        why = self._why_not(cost, lingering)
-        if why:
-            self.refused[why] += 1
-            return self.gate.reject(now, why)
-        size = self._expected(cost)
-        self._held[ask] = _Held(cost, size)
-        client = self._clients.setdefault(cost.client, _Client())
-        for holder in (self, client):
-            holder.asks += 1
-            holder.work += cost.work
-            holder.bytes += size
+        """None: admitted as number ``ask``. ``lingering``: parts of ended queries that are still out."""
+        cause = self._refusal_cause(cost, lingering)
+        if cause:
+            self.refused[cause] += 1
+            return self.gate.reject(now, cause)
+        size = self._expected_bytes(cost)
+        self._admitted[ask] = _Admitted(cost, size)
+        client = self._clients.setdefault(cost.client, _ClientLoad())
+        for load in (self, client):
+            load.asks += 1
+            load.work += cost.work
+            load.bytes += size
         return None
 
-    def _why_not(self, cost: Cost, lingering: int) -> str:
+    def _refusal_cause(self, cost: Cost, lingering: int) -> str:
         if self.gate.stopping:
             return "stopping"
         if self.pressure is Pressure.HARD:
             return "memory is short"
-        bounds, size = self.bounds, self._expected(cost)
+        bounds, size = self.bounds, self._expected_bytes(cost)
         work = self.work + lingering
         fills = {
             "too many queries": (self.asks + 1) / bounds.asks,
@@ -103,59 +108,59 @@
         fullest = max(fills, key=lambda name: fills[name])
         if fills[fullest] > 1:
             return fullest
-        crowded = CROWDED + (1 - CROWDED) * cost.worth
-        if fills[fullest] > crowded or (self.pressure is Pressure.SOFT and cost.worth < 1):
+        threshold = WORTH_THRESHOLD + (1 - WORTH_THRESHOLD) * cost.worth
+        if fills[fullest] > threshold or (self.pressure is Pressure.SOFT and cost.worth < 1):
             return "its class is worth too little while much is open"
-        if fills[fullest] > CONTENDED and self._over_share(cost, size):
+        if fills[fullest] > SHARE_THRESHOLD and self._over_share(cost, size):
             return "its client holds more than its share"
         return ""
 
     def _over_share(self, cost: Cost, size: int) -> bool:
-        """Whether with this ask its client holds more of any bound than an even share of it."""
-        mine = self._clients.get(cost.client, _Client())
+        """Whether with this ask its client would hold more of any bound than an even share of it."""
+        load = self._clients.get(cost.client, _ClientLoad())
         clients = len(self._clients) + (cost.client not in self._clients)
         if clients < 2:
             return False
         bounds = self.bounds
-        most = max(
-            (mine.asks + 1) / bounds.asks,
-            (mine.work + cost.work) / bounds.work,
-            (mine.bytes + size) / bounds.bytes,
+        largest = max(
+            (load.asks + 1) / bounds.asks,
+            (load.work + cost.work) / bounds.work,
+            (load.bytes + size) / bounds.bytes,
         )
-        return most > 1 / clients
+        return largest > 1 / clients
 
-    def _expected(self, cost: Cost) -> int:
-        """Bytes that the ask will hold: its request, and an answer like those of its class before."""
+    def _expected_bytes(self, cost: Cost) -> int:
+        """Bytes that the ask will hold: its request, and an answer of the size usual in its class."""
         return cost.request_bytes + int(self._sizes.get(cost.kind, 0.0))
 
-    # --- what happens ---
+    # --- events ---
 
     def ended(self, ask: int, answer_bytes: int = 0) -> None:
-        """An ask is over; ``answer_bytes`` of its answer, 0 where it had none."""
-        held = self._held.pop(ask, None)
-        if held is None:
+        """An ask is over; ``answer_bytes`` is the size of its answer, 0 where it had none."""
+        admitted = self._admitted.pop(ask, None)
+        if admitted is None:
             return
-        cost = held.cost
+        cost = admitted.cost
         client = self._clients[cost.client]
-        for holder in (self, client):
-            holder.asks -= 1
-            holder.work -= cost.work
-            holder.bytes -= held.bytes
+        for load in (self, client):
+            load.asks -= 1
+            load.work -= cost.work
+            load.bytes -= admitted.bytes
         if not client.asks:
             del self._clients[cost.client]
         if answer_bytes:
-            before = self._sizes.get(cost.kind)
+            mean = self._sizes.get(cost.kind)
             size = float(answer_bytes)
-            self._sizes[cost.kind] = size if before is None else before + MEAN_WEIGHT * (size - before)
+            self._sizes[cost.kind] = size if mean is None else mean + MEAN_WEIGHT * (size - mean)
 
     def renumber(self, old: int, new: int) -> None:
-        """An ask runs once more under another number."""
-        held = self._held.pop(old, None)
-        if held is not None:
-            self._held[new] = held
+        """An ask runs again under another number."""
+        admitted = self._admitted.pop(old, None)
+        if admitted is not None:
+            self._admitted[new] = admitted
 
     def clients(self) -> int:
-        """How many hold anything."""
+        """Number of clients with open asks."""
         return len(self._clients)
 
 
--- a/quincepath/limits/fair/__init__.py
+++ b/quincepath/limits/fair/__init__.py
@@ -1,8 +1,7 @@
-"""Fair turns for slow queries: slots towards the holders, queues by tenant, start-time fair queueing.
+"""Fair queueing of slow queries: slots towards the holders, queues by tenant, start-time fair queueing.
 
-``FairScheduler(settings, seed)`` is the pure core: ``step(now, inputs) -> outputs``, ``due()``; ``served()``
-is what the ledger is told. Each query that entered is answered by ``Run`` or ``Refuse`` once, unless its
-client left.
+``FairScheduler(settings, seed)`` is the pure core: ``step(now, inputs) -> outputs`` and ``due()``; the ledger
+gets ``served()``. Each query that entered is answered once by ``Run`` or ``Refuse``, unless its client left.
 Design: docs/design/fair.md.
 """
 
--- a/quincepath/limits/fair/running.py
+++ b/quincepath/limits/fair/running.py
@@ -1,8 +1,9 @@
-"""What runs: its slots, what it has used, and whose turn it is charged to.
+"""Running queries: the slots that they hold, the slot time that they have used, and who is charged for it.
 
-Time is reckoned at each step in which somebody waits or the pool is full. A query that was taken for quick
-and has used ``slow_from`` is a slow one from then on: its slots count as such and its tenant is charged for
-all it used. At its end, whatever ends it, its slots are given back and the charge is put right, up or down.
+Slot time is accounted at each step in which a query waits or the pool is full. A query that was classified
+as quick and has used ``slow_from`` is slow from then on: its slots count as slow and its tenant is charged
+for all that it used. At its end, whatever ended it, its slots are returned and the charge is corrected, up or
+down.
 """
 
 import math
@@ -17,23 +18,23 @@
 
 @dataclass(slots=True)
 class RunningQuery:
-    """``charged`` and ``used``: ns of slots; ``queue`` is None while it runs as quick, on nobody's turn."""
+    """``charged`` and ``used``: ns of slots; ``queue`` is None while it runs as quick and is not charged."""
 
     footprint: Footprint
     allocation: Allocation
     queue: Queue | None
     charged: int
-    began: int
+    started: int
     parts_out: int
-    at: int  # up to when ``used`` was reckoned
+    accounted_until: int  # time up to which ``used`` is accounted
     used: int = 0
-    told: int = 0  # of it, what ``served`` has told
+    reported: int = 0  # slot time that ``served`` has reported
 
 
 class RunningQueries:
     """All running queries of a broker.
 
-    Bounded by the pool: at most one a slot, with what quick ones overdraw.
+    Bounded by the pool: at most one for each slot, plus those that quick queries start beyond it.
     """
 
     def __init__(
@@ -41,23 +42,25 @@
     ) -> None:
         self.settings, self.pool, self.queues, self.tags = settings, pool, queues, tags
         self.learn = learn
-        self.reclassified = 0  # taken for quick, ran long
+        self.reclassified = 0  # queries that were classified as quick and turned out slow
         self.all: dict[int, RunningQuery] = {}
         self._served: dict[str, int] = {}
 
-    def start_quick(self, now: int, number: int, tenant: str, footprint: Footprint, own_part: bool) -> None:
-        """A quick query starts; ``own_part``: on the slots that are kept for such."""
+    def start_quick(
+        self, now: int, number: int, tenant: str, footprint: Footprint, quick_slots: bool
+    ) -> None:
+        """A quick query starts; ``quick_slots``: on the slots reserved for quick queries."""
         self._start(
-            now, number, footprint, Allocation(tenant, self._seats(footprint), own_part, False), None, 0
+            now, number, footprint, Allocation(tenant, self._width(footprint), quick_slots, False), None, 0
         )
 
     def start_waiting(self, now: int, one: Waiting, queue: Queue) -> None:
-        """One that waited starts."""
+        """A query that waited starts."""
         quick = one.lane is Lane.QUICK and self.pool.quick < self.settings.quick_slots
-        held = Allocation(one.tenant, self._seats(one.footprint), quick, one.lane is Lane.LARGE)
-        self._start(now, one.number, one.footprint, held, queue, one.estimate.cost)
+        allocation = Allocation(one.tenant, self._width(one.footprint), quick, one.lane is Lane.LARGE)
+        self._start(now, one.number, one.footprint, allocation, queue, one.estimate.cost)
         self.tags.query_started(queue, one.estimate.cost)
-        self._tell(self.all[one.number], one.estimate.mean)
+        self._record_served(self.all[one.number], one.estimate.mean)
 
     def _start(
         self,
@@ -71,97 +74,99 @@
         self.all[number] = RunningQuery(footprint, allocation, queue, cost, now, footprint.parts, now)
         self.pool.acquire(now, allocation)
 
-    def _seats(self, footprint: Footprint) -> int:
+    def _width(self, footprint: Footprint) -> int:
         return max(1, min(footprint.parts, self.settings.query_slots_most))
 
-    # --- while it runs ---
+    # --- while a query runs ---
 
     def account(self, now: int) -> None:
-        """Time has passed: what runs is charged for it, and what runs long is taken for what it is."""
-        for run in self.all.values():
-            self._use(now, run)
-
-    def _use(self, now: int, run: RunningQuery) -> None:
-        settings, held = self.settings, run.allocation
-        run.used += held.slots * (now - run.at)
-        run.at = now
-        if run.queue is None and run.used >= settings.slow_from:
+        """Charge running queries for the time that has passed, and reclassify those that run long."""
+        for query in self.all.values():
+            self._account_query(now, query)
+
+    def _account_query(self, now: int, query: RunningQuery) -> None:
+        settings, allocation = self.settings, query.allocation
+        query.used += allocation.slots * (now - query.accounted_until)
+        query.accounted_until = now
+        if query.queue is None and query.used >= settings.slow_from:
             self.reclassified += 1
-            run.queue = self.queues.queue_of(held.tenant)
-            self.tags.before_enqueue(run.queue)
-            run.queue.running += 1
-            self.pool.reclassify(now, held, quick=False, large=False)
-        if run.queue is None:
+            query.queue = self.queues.queue_of(allocation.tenant)
+            self.tags.before_enqueue(query.queue)
+            query.queue.running += 1
+            self.pool.reclassify(now, allocation, quick=False, large=False)
+        if query.queue is None:
             return
-        if run.used >= settings.large_from and not held.large:
-            self.pool.reclassify(now, held, quick=False, large=True)
-        if run.used > run.charged:
-            self.tags.charge(run.queue, run.used - run.charged)
-            run.charged = run.used
-        if run.used > run.told:
-            self._tell(run, run.used)
+        if query.used >= settings.large_from and not allocation.large:
+            self.pool.reclassify(now, allocation, quick=False, large=True)
+        if query.used > query.charged:
+            self.tags.charge(query.queue, query.used - query.charged)
+            query.charged = query.used
+        if query.used > query.reported:
+            self._record_served(query, query.used)
 
     def freed(self, now: int, number: int, parts: int) -> None:
-        """So many parts of a running query have ended."""
-        run = self.all.get(number)
-        if run is not None and parts > 0:
-            self._use(now, run)
-            run.parts_out = max(0, run.parts_out - parts)
-            self.pool.release(run.allocation, max(0, run.allocation.slots - run.parts_out))
+        """Parts of a running query have ended."""
+        query = self.all.get(number)
+        if query is not None and parts > 0:
+            self._account_query(now, query)
+            query.parts_out = max(0, query.parts_out - parts)
+            self.pool.release(query.allocation, max(0, query.allocation.slots - query.parts_out))
 
     def next_reclassification(self) -> int | None:
-        """When the next quick one will have run long, which frees a quick slot."""
+        """When the next quick query will count as slow, which frees a quick slot."""
         slow_from = self.settings.slow_from
-        ats = [
-            run.at + math.ceil((slow_from - run.used) / run.allocation.slots)
-            for run in self.all.values()
-            if run.queue is None and run.allocation.slots
+        times = [
+            query.accounted_until + math.ceil((slow_from - query.used) / query.allocation.slots)
+            for query in self.all.values()
+            if query.queue is None and query.allocation.slots
         ]
-        return min(ats, default=None)
+        return min(times, default=None)
 
-    # --- its end ---
+    # --- at its end ---
 
     def ended(self, now: int, number: int, slot_time: int, whole: bool) -> None:
-        """Not ``whole``: it was left or broken off, so its cost teaches upwards only."""
-        run = self.all.pop(number, None)
-        if run is None:
+        """Not ``whole``: it was cancelled, so its cost may only raise the estimate."""
+        query = self.all.pop(number, None)
+        if query is None:
             return
-        self._use(now, run)
-        self.pool.release_all(run.allocation)
-        cost = slot_time if whole or slot_time > 0 else run.used
-        self.learn(run.allocation.tenant, run.footprint, cost, now - run.began, whole)
-        if run.queue is not None:
-            self.tags.query_ended(run.queue, cost - run.charged)
-            self._tell(run, cost)
-
-    # --- what is told ---
-
-    def _tell(self, run: RunningQuery, total: int) -> None:
-        tenant = run.allocation.tenant
+        self._account_query(now, query)
+        self.pool.release_all(query.allocation)
+        cost = slot_time if whole or slot_time > 0 else query.used
+        self.learn(query.allocation.tenant, query.footprint, cost, now - query.started, whole)
+        if query.queue is not None:
+            self.tags.query_ended(query.queue, cost - query.charged)
+            self._record_served(query, cost)
+
+    # --- reports ---
+
+    def _record_served(self, query: RunningQuery, total: int) -> None:
+        tenant = query.allocation.tenant
         name = tenant if tenant in self._served or len(self._served) < self.settings.tenants_most else ""
-        self._served[name] = self._served.get(name, 0) + total - run.told
-        run.told = total
+        self._served[name] = self._served.get(name, 0) + total - query.reported
+        query.reported = total
 
     def served(self, now: int) -> dict[str, int]:
         """Slot time by tenant since the last call.
 
-        Further tenants as one, "". What was put right is minus.
+        Tenants beyond ``tenants_most`` are summed under "". Corrections may make a value negative.
         """
         self.account(now)
-        told, self._served = self._served, {}
-        return told
+        report, self._served = self._served, {}
+        return report
 
     def outstanding(self) -> int:
         """Slot time that is charged and not yet used."""
-        return sum(max(0, run.charged - run.used) for run in self.all.values())
+        return sum(max(0, query.charged - query.used) for query in self.all.values())
 
     def check(self) -> None:
-        """``AssertionError`` where what is counted is not what runs."""
-        self.pool.check(run.allocation for run in self.all.values())
+        """Raise ``AssertionError`` where the counts do not match the running queries."""
+        self.pool.check(query.allocation for query in self.all.values())
         for queue in (*self.queues.own.values(), *self.queues.shared.values()):
-            runs = sum(run.queue is queue for run in self.all.values())
-            if queue.running != runs:
-                raise AssertionError(f"queue {queue.key} counts {queue.running} running, {runs} run")
+            running = sum(query.queue is queue for query in self.all.values())
+            if queue.running != running:
+                raise AssertionError(
+                    f"queue {queue.key} counts {queue.running} running queries, {running} run"
+                )
 
 
 __all__ = ["RunningQuery", "RunningQueries"]
--- a/quincepath/limits/fair/scheduler.py
+++ b/quincepath/limits/fair/scheduler.py
@@ -1,13 +1,15 @@
-"""The turns of a broker: what may run now, what waits, what is refused. Pure: own seeded source, no clock.
+"""The fair scheduler of a broker: which queries run now, wait, or are refused.
 
-A quick query runs at once. A slow one runs when a slot is free and it is its tenant's turn (turns.py), and
-waits only as long as it can still be answered: until its target, or its client's deadline, less the time
-that the like ran. What cannot be served by then is refused at its arrival where that is foreseen, with
-advice when to come. Whatever ends a query gives its slots back; a number that is not known is ignored.
+Pure: own seeded random source, no clock.
 
-A tenant that has nothing running and nothing waiting may always let one query wait, for half of its time at
-least, whatever its estimate: else an estimate that is far too high would be kept for ever, as nothing would
-run that corrects it.
+A quick query runs at once. A slow one runs when a slot is free and its tenant's queue is next (tags.py), and
+waits only as long as it can still be answered: until its target or its client's deadline, less the usual
+duration of similar queries. What cannot be served by then is refused on arrival where that is foreseen, with
+an advised retry delay. Whatever ends a query returns its slots; unknown query numbers are ignored.
+
+A tenant with no running and no waiting query may always let one query wait, for at least half of its time,
+whatever its estimate: else an estimate that is far too high would stay for ever, as no query would run that
+corrects it.
 """
 
 import heapq
@@ -44,7 +46,7 @@
 
 
 class FairScheduler:
-    """One a broker."""
+    """One per broker."""
 
     def __init__(self, settings: FairSettings, seed: int) -> None:
         self.settings = settings
@@ -55,34 +57,35 @@
         self.runs = self.new_runs()
         self.refused: Counter[str] = Counter()
         self._random = Random(seed)
-        self._ends: list[tuple[int, int, int]] = []  # (latest, order, number) of what waits, or did
+        # (latest start, order, number) of waiting queries; entries of queries that left the queue remain
+        self._latest_starts: list[tuple[int, int, int]] = []
         self._order = 0
-        self._stop: int | None = None
+        self._stop_at: int | None = None
         self._now = 0
 
     def new_pool(self) -> Pool:
-        """The slots; a test may plant another."""
+        """Factory of the slot pool; a test may override it."""
         return Pool(self.settings)
 
     def new_tags(self) -> Tags:
-        """The order of tenants; a test may plant another."""
+        """Factory of the tags; a test may override it."""
         return Tags(self.settings, self.queues)
 
     def new_runs(self) -> RunningQueries:
-        """The running queries; a test may plant another."""
+        """Factory of the running queries; a test may override it."""
         return RunningQueries(self.settings, self.pool, self.queues, self.tags, self._learn)
 
     def set_weight(self, tenant: str, weight: float | None) -> None:
-        """Another weight from the next step on; None: the one that the settings name, else 1."""
+        """Set the weight of a tenant from the next step on; None: as in the settings, else 1."""
         configured = (self.settings.weights or {}).get(tenant)
         self.queues.set_weight(tenant, configured if weight is None else weight, self.tags.virtual)
 
     # --- one step ---
 
     def step(self, now: int, inputs: Iterable[Input] = ()) -> list[Output]:
-        """What came in since the last step, in its order.
+        """Process the inputs since the last step, in their order.
 
-        Then turns are given. ``now`` never runs backwards.
+        Then start queries. ``now`` must not go backwards.
         """
         if now < self._now:
             raise ValueError(f"step at {now}: expected {self._now} or later")
@@ -94,9 +97,9 @@
         for one in inputs:
             match one:
                 case Enter():
-                    # A burst in one step counts as it comes: the next one finds the slots that are left.
+                    # Of a burst in one step, each query sees the slots that the ones before it left.
                     self._enter(now, one, out)
-                    self._give(now, out)
+                    self._start_eligible(now, out)
                 case Freed(number, parts):
                     self.runs.freed(now, number, parts)
                 case Done(number, slot_time):
@@ -111,96 +114,96 @@
                 case Stop(end):
                     self._stopping(now, end, out)
         self._expire(now, out)
-        self._give(now, out)
+        self._start_eligible(now, out)
         if not self._order % 64:
             self.queues.drop_idle(self.tags.virtual)
         return out
 
     def due(self) -> int | None:
-        """When ``step`` must be called at the latest, if nothing comes in."""
+        """When ``step`` must be called at the latest, if no input arrives."""
         if not self.queues.waiting:
             return None
-        while self._ends and not self._live(self._ends[0]):
-            heapq.heappop(self._ends)
-        dues = [self._ends[0][0] + 1]  # the first moment that is too late
+        while self._latest_starts and not self._is_current(self._latest_starts[0]):
+            heapq.heappop(self._latest_starts)
+        dues = [self._latest_starts[0][0] + 1]  # the first moment that is too late
         if self.queues.in_lane[Lane.QUICK]:
             dues.append(self.runs.next_reclassification() or dues[0])
         if self.queues.in_lane[Lane.LARGE]:
-            dues.append(self.pool.next_change(self._now) or dues[0])
+            dues.append(self.pool.next_reserve_change(self._now) or dues[0])
         return max(min(dues), self._now + 1)
 
-    # --- what comes ---
+    # --- arrivals and ends ---
 
     def _enter(self, now: int, enter: Enter, out: list[Output]) -> None:
         number, tenant, footprint = enter.number, enter.tenant, enter.footprint
         if number in self.runs.all or number in self.queues.waiting:
-            raise ValueError(f"query {number} entered twice; expected a number that is free")
+            raise ValueError(f"query {number} entered twice; expected an unused number")
         self._order += 1
-        if self._stop is not None:
+        if self._stop_at is not None:
             return self._refuse(number, STOPPING, self.settings.retry_after_most, out)
         until = min(now + enter.target, enter.deadline)
         if until <= now:
             return self._refuse(number, TIME_UP, self.settings.retry_after_least, out)
         estimate = self.costs.estimate(tenant, footprint)
         if estimate.speed is Speed.QUICK:
-            own_part = self.pool.quick_slots_for(tenant)
-            if own_part is not None:
-                self.runs.start_quick(now, number, tenant, footprint, own_part)
+            quick_slots = self.pool.quick_placement(tenant)
+            if quick_slots is not None:
+                self.runs.start_quick(now, number, tenant, footprint, quick_slots)
                 out.append(Run(number, Speed.QUICK, 0))
                 return None
         lane = Lane.QUICK if estimate.speed is Speed.QUICK else Lane.SMALL
         if estimate.cost >= self.settings.large_from:
             lane = Lane.LARGE
-        latest = max(now, until - estimate.wall)
+        latest = max(now, until - estimate.duration)
         queue = self.queues.queue_of(tenant)
         if queue.idle():
             latest = max(latest, now + (until - now) // 2)
         one = Waiting(number, tenant, footprint, estimate, lane, now, latest, self._order)
-        return self._line_up(now, one, queue, out)
+        return self._enqueue(now, one, queue, out)
 
-    def _line_up(self, now: int, one: Waiting, queue: Queue, out: list[Output]) -> None:
+    def _enqueue(self, now: int, one: Waiting, queue: Queue, out: list[Output]) -> None:
         wait = self.tags.expected_wait(now, queue)
         if queue.waiting >= self.settings.waiting_tenant_most:
             return self._refuse(one.number, TENANT_FULL, wait, out)
         may_start = one.lane in self.pool.startable_lanes(now)
-        if not may_start and not queue.idle() and now + max(1, wait) > one.latest:
-            return self._refuse(one.number, TOO_LATE, now + wait - one.latest, out)
+        if not may_start and not queue.idle() and now + max(1, wait) > one.latest_start:
+            return self._refuse(one.number, TOO_LATE, now + wait - one.latest_start, out)
         if len(self.queues.waiting) >= self.settings.waiting_most:
-            other = self.queues.newest_of_longest(queue)
-            if other is None:
+            replaced = self.queues.newest_of_longest(queue)
+            if replaced is None:
                 return self._refuse(one.number, FULL, wait, out)
-            self.queues.remove(other.number)
-            self._refuse(other.number, FULL, wait, out)
+            self.queues.remove(replaced.number)
+            self._refuse(replaced.number, FULL, wait, out)
         self.tags.before_enqueue(queue)
         self.queues.add(queue, one)
-        heapq.heappush(self._ends, (one.latest, one.order, one.number))
-        if len(self._ends) > 2 * len(self.queues.waiting) + 64:
-            self._ends = [end for end in self._ends if self._live(end)]
-            heapq.heapify(self._ends)
+        heapq.heappush(self._latest_starts, (one.latest_start, one.order, one.number))
+        if len(self._latest_starts) > 2 * len(self.queues.waiting) + 64:
+            self._latest_starts = [entry for entry in self._latest_starts if self._is_current(entry)]
+            heapq.heapify(self._latest_starts)
         return None
 
-    def _learn(self, tenant: str, footprint: Footprint, cost: int, wall: int, whole: bool) -> None:
+    def _learn(self, tenant: str, footprint: Footprint, cost: int, duration: int, whole: bool) -> None:
         if whole or cost > self.costs.estimate(tenant, footprint).mean:
-            self.costs.learn(tenant, footprint, cost, wall)
+            self.costs.learn(tenant, footprint, cost, duration)
 
     def _stopping(self, now: int, end: int, out: list[Output]) -> None:
-        """What waits is played through in turn order; what would end after ``end`` is refused now."""
-        self._stop = end if self._stop is None else min(end, self._stop)
+        """Simulate the waiting queries in order of their tags; refuse now what would end after ``end``."""
+        self._stop_at = end if self._stop_at is None else min(end, self._stop_at)
         work = self.runs.outstanding()
         for one, _ in sorted(self.queues.waiting.values(), key=lambda pair: (pair[1].tag, pair[0].order)):
             start = now + work // self.settings.slow_slots
-            if start + one.estimate.wall > end or start > one.latest:
+            if start + one.estimate.duration > end or start > one.latest_start:
                 self.queues.remove(one.number)
                 self._refuse(one.number, STOPPING, self.settings.retry_after_least, out)
             else:
                 work += one.estimate.mean
-                one.latest = min(one.latest, end - one.estimate.wall)
-                heapq.heappush(self._ends, (one.latest, one.order, one.number))
+                one.latest_start = min(one.latest_start, end - one.estimate.duration)
+                heapq.heappush(self._latest_starts, (one.latest_start, one.order, one.number))
 
-    # --- turns ---
+    # --- starts and refusals ---
 
-    def _give(self, now: int, out: list[Output]) -> None:
-        """As long as a slot is free for one that waits."""
+    def _start_eligible(self, now: int, out: list[Output]) -> None:
+        """Start waiting queries while one may start."""
         while self.queues.waiting:
             lanes = self.pool.startable_lanes(now)
             one = self.tags.next(lanes) if lanes else None
@@ -208,21 +211,23 @@
                 return
             _, queue = self.queues.remove(one.number)
             self.runs.start_waiting(now, one, queue)
-            out.append(Run(one.number, one.estimate.speed, now - one.came))
+            out.append(Run(one.number, one.estimate.speed, now - one.arrived))
 
     def _expire(self, now: int, out: list[Output]) -> None:
-        while self._ends and (self._ends[0][0] < now or not self._live(self._ends[0])):
-            end = heapq.heappop(self._ends)
-            if self._live(end):
-                _, queue = self.queues.remove(end[2])
-                self._refuse(end[2], TIME_UP, self.tags.expected_wait(now, queue), out)
-
-    def _live(self, end: tuple[int, int, int]) -> bool:
-        waits = self.queues.waiting.get(end[2])
-        return waits is not None and (waits[0].latest, waits[0].order) == end[:2]
+        while self._latest_starts and (
+            self._latest_starts[0][0] < now or not self._is_current(self._latest_starts[0])
+        ):
+            entry = heapq.heappop(self._latest_starts)
+            if self._is_current(entry):
+                _, queue = self.queues.remove(entry[2])
+                self._refuse(entry[2], TIME_UP, self.tags.expected_wait(now, queue), out)
+
+    def _is_current(self, entry: tuple[int, int, int]) -> bool:
+        waiting = self.queues.waiting.get(entry[2])
+        return waiting is not None and (waiting[0].latest_start, waiting[0].order) == entry[:2]
 
     def _refuse(self, number: int, cause: str, retry_in: float, out: list[Output]) -> None:
-        """Advice is spread by half around its middle: those refused together do not return together."""
+        """The delay is jittered by a quarter either way, so that queries refused together return apart."""
         self.refused[cause] += 1
         drawn = int(retry_in * (0.75 + 0.5 * self._random.random()))
         settings = self.settings
@@ -230,18 +235,18 @@
             Refuse(number, cause, min(settings.retry_after_most, max(settings.retry_after_least, drawn)))
         )
 
-    # --- what is told ---
+    # --- reports ---
 
     def served(self) -> dict[str, int]:
         """For the ledger: slot time (ns) by tenant since the last call; see ``RunningQueries.served``."""
         return self.runs.served(self._now)
 
     def check(self) -> None:
-        """``AssertionError``: slots are not those of what runs, or one is idle for one that may start."""
+        """Raise ``AssertionError`` if the slot counts are wrong, or a query waits that may start."""
         self.runs.check()
-        idle = self.tags.next(self.pool.startable_lanes(self._now)) if self.queues.waiting else None
-        if idle is not None:
-            raise AssertionError(f"query {idle.number} waits though it may start")
+        startable = self.tags.next(self.pool.startable_lanes(self._now)) if self.queues.waiting else None
+        if startable is not None:
+            raise AssertionError(f"query {startable.number} waits though it may start")
 
 
 __all__ = ["FULL", "TIME_UP", "TOO_LATE", "STOPPING", "TENANT_FULL", "FairScheduler"]
--- a/quincepath/limits/fair/slots.py
+++ b/quincepath/limits/fair/slots.py
@@ -1,20 +1,20 @@
-"""The pool of slots towards the holders: who may start, and who holds how many.
+"""The pool of slots towards the holders: which queries may start, and how many slots each holds.
 
 A query holds a slot for each of its parts that are out, ``query_slots_most`` at most. It may start while one
-slot is free, so no slot stays idle because the next query is wide; the pool is overshot by one query's width
-at most.
+slot is free, so that no slot stays idle because the next query is wide; the pool is exceeded by the width of
+one query at most.
 
-Quick queries have ``quick_slots`` of their own and borrow free ones of the others. When both are full, a
-tenant that holds less than an even share of the quick slots runs all the same (up to twice the quick slots
-in sum); one that holds more waits for its turn as if it were slow.
+Quick queries have ``quick_slots`` of their own and borrow free slow slots. When both are full, a tenant that
+holds less than an even share of the quick slots may still start (up to twice the quick slots in total); a
+tenant that holds more waits as if its query were slow.
 
-Large queries leave slots to small ones: as many as small ones held at once in the last ``WINDOW`` to twice
-that, ``small_share`` at most, ``small_floor`` at least. Where large ones are on these all the same, as the
-last of them was wide or as small ones turned out large, small ones start over the bound until they hold as
-many; in sum the pool is overshot by what is kept or by one query's width, whichever is more, and once more
-by one query's width.
+Large queries leave slots to small ones: the number that small queries held at once in the last one to two
+``PEAK_WINDOW``, ``small_share`` at most, ``small_floor`` at least. Where large queries hold these slots all
+the same, since the last of them was wide or since small queries turned out large, small ones start beyond the
+bound until they hold as many; in total the pool is exceeded by the reserve or by the width of one query,
+whichever is more, and once more by the width of one query.
 
-A query that turns out slow or large is counted as such from then on: nothing is taken from what runs.
+A query that turns out slow or large is counted as such from then on; no slot is taken from a running query.
 """
 
 from collections import Counter
@@ -24,14 +24,14 @@
 from quincepath.limits.fair.queues import Lane
 from quincepath.limits.fair.types import SECOND, FairSettings
 
-WINDOW = 5 * SECOND
+PEAK_WINDOW = 5 * SECOND  # ns
 
 
 @dataclass(slots=True)
 class Allocation:
     """Slots of a running query.
 
-    ``quick``: they count to the quick ones' part; ``large``: as a large one's.
+    ``quick``: they count as quick slots; ``large``: they count as slots of large queries.
     """
 
     tenant: str
@@ -41,112 +41,112 @@
 
 
 class Pool:
-    """One a broker. What is taken by ``take`` is given back by ``free`` and ``release_all``."""
+    """One per broker. Slots taken by ``acquire`` are returned by ``release`` and ``release_all``."""
 
     def __init__(self, settings: FairSettings) -> None:
         self.settings = settings
         self.quick = self.slow = self.large = 0
-        self._quick_of: Counter[str] = Counter()
-        self._peaks = [0, 0]  # of small ones' slots: in the last whole window, and in this
-        self._window = 0  # when this one began
+        self._quick_by_tenant: Counter[str] = Counter()
+        self._peaks = [0, 0]  # most slots of small queries at once: in the previous window, in this one
+        self._window_start = 0
 
-    # --- who may start ---
+    # --- which queries may start ---
 
-    def quick_slots_for(self, tenant: str) -> bool | None:
-        """Whether a quick query of the tenant that came starts at once.
+    def quick_placement(self, tenant: str) -> bool | None:
+        """Whether a quick query of the tenant may start at once.
 
-        True on quick slots, False on others.
+        True: on quick slots; False: on slow slots; None: it has to wait.
         """
         if self.quick < self.settings.quick_slots:
             return True
         if self.slow < self.settings.slow_slots:
             return False
-        mine = self._quick_of.get(tenant, 0)
-        share = self.settings.quick_slots / (len(self._quick_of) + (not mine))
-        return True if mine < share and self.quick < 2 * self.settings.quick_slots else None
+        held = self._quick_by_tenant.get(tenant, 0)
+        share = self.settings.quick_slots / (len(self._quick_by_tenant) + (not held))
+        return True if held < share and self.quick < 2 * self.settings.quick_slots else None
 
     def full(self) -> bool:
-        """Whether either part has no free slot."""
+        """Whether no quick slot or no slow slot is free."""
         return self.quick >= self.settings.quick_slots or self.slow >= self.settings.slow_slots
 
     def startable_lanes(self, now: int) -> tuple[Lane, ...]:
-        """Lanes of which a waiting query may start."""
+        """Lanes from which a waiting query may start."""
         lanes = []
-        settings, kept = self.settings, self.reserved(now)
+        settings, reserved = self.settings, self.reserved(now)
         slow_free = self.slow < settings.slow_slots
         if slow_free or self.quick < settings.quick_slots:
             lanes.append(Lane.QUICK)
-        over = settings.slow_slots + max(kept, settings.query_slots_most - 1)
-        if slow_free or (self.slow - self.large < kept and self.slow < over):
+        bound = settings.slow_slots + max(reserved, settings.query_slots_most - 1)
+        if slow_free or (self.slow - self.large < reserved and self.slow < bound):
             lanes.append(Lane.SMALL)
-        if slow_free and self.large < settings.slow_slots - kept:
+        if slow_free and self.large < settings.slow_slots - reserved:
             lanes.append(Lane.LARGE)
         return tuple(lanes)
 
     def reserved(self, now: int) -> int:
         """Slow slots that large queries leave free."""
-        self._turn(now)
+        self._rotate_window(now)
         most = int(self.settings.small_share * self.settings.slow_slots)
         return max(self.settings.small_floor, min(most, max(self._peaks)))
 
-    def next_change(self, now: int) -> int | None:
-        """When ``kept`` may fall by the passing of time alone; None while it would let nobody start."""
+    def next_reserve_change(self, now: int) -> int | None:
+        """When ``reserved`` may fall by the passing of time alone; None while no query could start by it."""
         if self.slow >= self.settings.slow_slots:
             return None
-        self._turn(now)
-        return self._window + WINDOW
-
-    # --- what is held ---
-
-    def acquire(self, now: int, held: Allocation) -> None:
-        """A query takes the slots that it holds."""
-        self._add(held, held.slots)
-        self._note(now)
-
-    def release(self, held: Allocation, slots: int) -> None:
-        """Some of its slots are free."""
-        slots = min(slots, held.slots)
-        self._add(held, -slots)
-        held.slots -= slots
-
-    def release_all(self, held: Allocation) -> None:
-        """All that it still holds."""
-        self.release(held, held.slots)
-
-    def reclassify(self, now: int, held: Allocation, *, quick: bool, large: bool) -> None:
-        """It is taken for something else from now on."""
-        self._add(held, -held.slots)
-        held.quick, held.large = quick, large
-        self._add(held, held.slots)
-        self._note(now)
-
-    def _add(self, held: Allocation, slots: int) -> None:
-        if held.quick:
+        self._rotate_window(now)
+        return self._window_start + PEAK_WINDOW
+
+    # --- allocations ---
+
+    def acquire(self, now: int, allocation: Allocation) -> None:
+        """Count the slots of a query that starts."""
+        self._add(allocation, allocation.slots)
+        self._record_peak(now)
+
+    def release(self, allocation: Allocation, slots: int) -> None:
+        """Return some slots of an allocation."""
+        slots = min(slots, allocation.slots)
+        self._add(allocation, -slots)
+        allocation.slots -= slots
+
+    def release_all(self, allocation: Allocation) -> None:
+        """Return all remaining slots of an allocation."""
+        self.release(allocation, allocation.slots)
+
+    def reclassify(self, now: int, allocation: Allocation, *, quick: bool, large: bool) -> None:
+        """Count an allocation as another kind from now on."""
+        self._add(allocation, -allocation.slots)
+        allocation.quick, allocation.large = quick, large
+        self._add(allocation, allocation.slots)
+        self._record_peak(now)
+
+    def _add(self, allocation: Allocation, slots: int) -> None:
+        if allocation.quick:
             self.quick += slots
-            self._quick_of[held.tenant] += slots
-            if not self._quick_of[held.tenant]:
-                del self._quick_of[held.tenant]
+            self._quick_by_tenant[allocation.tenant] += slots
+            if not self._quick_by_tenant[allocation.tenant]:
+                del self._quick_by_tenant[allocation.tenant]
             return
         self.slow += slots
-        if held.large:
+        if allocation.large:
             self.large += slots
 
-    def _turn(self, now: int) -> None:
-        if now >= self._window + WINDOW:
-            gap = now >= self._window + 2 * WINDOW
+    def _rotate_window(self, now: int) -> None:
+        if now >= self._window_start + PEAK_WINDOW:
+            gap = now >= self._window_start + 2 * PEAK_WINDOW
             self._peaks = [0 if gap else self._peaks[1], self.slow - self.large]
-            self._window = now - now % WINDOW
+            self._window_start = now - now % PEAK_WINDOW
 
-    def _note(self, now: int) -> None:
-        self._turn(now)
+    def _record_peak(self, now: int) -> None:
+        self._rotate_window(now)
         self._peaks[1] = max(self._peaks[1], self.slow - self.large)
 
-    def check(self, holds: Iterable[Allocation]) -> None:
-        """Raises ``AssertionError`` unless what is counted is what the running queries hold."""
-        held = list(holds)
+    def check(self, allocations: Iterable[Allocation]) -> None:
+        """Raise ``AssertionError`` unless the counts match the allocations of the running queries."""
+        held = list(allocations)
         quick = sum(one.slots for one in held if one.quick)
         slow = sum(one.slots for one in held if not one.quick)
         large = sum(one.slots for one in held if one.large and not one.quick)
-        counted = self.quick, self.slow, self.large, sum(self._quick_of.values())
+        counted = self.quick, self.slow, self.large, sum(self._quick_by_tenant.values())
         if counted != (quick, slow, large, quick):
-            raise AssertionError(f"slots counted {counted}, held {(quick, slow, large, quick)}")
+            raise AssertionError(f"slots counted {counted}, allocated {(quick, slow, large, quick)}")
--- a/quincepath/limits/fair/types.py
+++ b/quincepath/limits/fair/types.py
@@ -1,15 +1,15 @@
-"""Turns of slow queries for the slots towards the holders: types only (docs/design/fair.md)."""
+"""Inputs, outputs and settings of the fair scheduler for slow queries; types only (docs/design/fair.md)."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 
-MS = 1_000_000
-SECOND = 1000 * MS
+MS = 1_000_000  # ns
+SECOND = 1000 * MS  # ns
 
 
 class Speed(Enum):
-    """What a query is taken for; a slow one may be corrected while it runs, and so may a quick one."""
+    """The expected speed of a query; it may be corrected while the query runs."""
 
     QUICK = "quick"
     SLOW = "slow"
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Footprint:
-    """What is known of a query's cost before it runs: its class, parts, replica sets and time range (ns)."""
+    """What predicts a query's cost before it runs: class, number of parts, replica sets, time range (ns)."""
 
     kind: int
     parts: int
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Enter:
-    """A query that came: ``number`` is the caller's own, and free (not waiting, not running)."""
+    """A query arrived. The caller chooses ``number``; no waiting or running query may have it."""
 
     number: int
     tenant: str
     footprint: Footprint
-    target: int  # ns until its client wants the answer, from now
-    deadline: int  # own clock: when its client stops waiting
+    target: int  # ns from now until its client wants the answer
+    deadline: int  # by the broker's clock: when its client stops waiting
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Done:
-    """A query that ran has ended, however. ``slot_time``: ns of slots that it used, all parts together."""
+    """A running query has ended, whatever its result. ``slot_time``: ns of slots used by all its parts."""
 
     number: int
     slot_time: int
@@ -54,9 +54,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancelled:
-    """The client of a query left, or the query was ended by something else, while it waited or ran.
+    """The client of a waiting or running query left, or something else ended the query.
 
-    ``slot_time`` 0 means unknown: a query that ran is charged what it held.
+    ``slot_time`` 0 means unknown: a query that ran is then charged for the time it held its slots.
     """
 
     number: int
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoteUsage:
-    """News of the ledger: slot time (ns, grows only) of tenants at all other brokers, and its age (ns)."""
+    """Report of the ledger: total slot time (ns) of tenants at all other brokers, and its age (ns)."""
 
     served: Mapping[str, int]
     age: int
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stop:
-    """The broker is told to end: what waits and cannot be served in the time left is refused at once."""
+    """The broker stops at ``end``: waiting queries that cannot be served by then are refused at once."""
 
     end: int
 
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """It may run now. ``waited``: ns; the module gets what is left of its time."""
+    """The query may run now. ``waited``: ns; the decision module gets what is left of its time."""
 
     number: int
     speed: Speed
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """It cannot be answered in its time: refused at once. ``retry_in``: ns of advice."""
+    """The query cannot be answered in its time and is refused. ``retry_in``: advised delay in ns."""
 
     number: int
     cause: str
@@ -104,29 +104,29 @@
 
 @dataclass(slots=True, frozen=True)
 class FairSettings:
-    """The pool and its queues.
+    """Settings of the slot pool and its queues.
 
-    Times in ns, slot time in ns of one slot. ``ValueError`` for what cannot be.
+    Times in ns, slot time in ns of one slot. Raises ``ValueError`` for values out of range.
     """
 
-    slots: int = 64  # parts of all queries that may be out towards the holders at once
-    quick_slots: int = 16  # of these, kept for quick queries
+    slots: int = 64  # parts of all queries that may be out at the holders at once
+    quick_slots: int = 16  # of these, reserved for quick queries
     query_slots_most: int = 16  # slots that one query counts for at most
     slow_from: int = 250 * MS  # slot time from which a query counts as slow
     large_from: int = 5 * SECOND  # slot time from which a slow query counts as large
-    small_share: float = 0.25  # most of the slow slots that is kept from large ones, as small ones come
-    small_floor: int = 1  # slow slots that large ones never take
-    waiting_most: int = 1000  # queries that wait at once, of all tenants
-    waiting_tenant_most: int = 100  # and of one
-    tenants_most: int = 256  # tenants with a queue of their own; further ones share
+    small_share: float = 0.25  # largest share of the slow slots that demand of small queries keeps from large
+    small_floor: int = 1  # slow slots that large queries never take
+    waiting_most: int = 1000  # waiting queries of all tenants
+    waiting_tenant_most: int = 100  # waiting queries of one tenant
+    tenants_most: int = 256  # tenants with a queue of their own; further ones share queues
     shared_queues: int = 8  # queues that further tenants share, by a hash of the name
-    cost_entries_most: int = 2048  # kinds of query whose cost is remembered
-    credit_most: int = 0  # slot time that an idle tenant may have saved: none
-    weights: Mapping[str, float] | None = None  # 1 where not named
-    brokers: int = 200  # bound on what news may say: all slots of as many brokers like this one
-    remote_usage_fades: int = 5 * SECOND  # news of the ledger older than that counts no more
-    retry_after_least: int = 100 * MS  # advice: no sooner
-    retry_after_most: int = 10 * SECOND  # advice: no later
+    cost_entries_most: int = 2048  # entries of the cost model
+    credit_most: int = 0  # slot time that an idle tenant may save up: none
+    weights: Mapping[str, float] | None = None  # by tenant; 1 where not named
+    brokers: int = 200  # bounds remote usage: all slots of as many brokers like this one
+    remote_usage_fades: int = 5 * SECOND  # age from which a report of remote usage counts no more
+    retry_after_least: int = 100 * MS  # shortest advised retry delay
+    retry_after_most: int = 10 * SECOND  # longest advised retry delay
 
     def __post_init__(self) -> None:
         for name in ("slots", "query_slots_most", "slow_from", "large_from", "waiting_most",
@@ -137,7 +137,7 @@
         if not 0 <= self.quick_slots < self.slots:
             raise ValueError(f"fair.quick_slots is {self.quick_slots}; expected 0 to {self.slots - 1}")
         if not 0 <= self.small_share < 1:
-            raise ValueError(f"fair.small_share is {self.small_share}; expected 0 up to 1, without 1")
+            raise ValueError(f"fair.small_share is {self.small_share}; expected 0 or more and less than 1")
         if not 0 <= self.small_floor < self.slow_slots:
             raise ValueError(f"fair.small_floor is {self.small_floor}; expected 0 to {self.slow_slots - 1}")
         if self.credit_most < 0 or self.retry_after_most < self.retry_after_least:
@@ -151,5 +151,5 @@
 
     @property
     def slow_slots(self) -> int:
-        """What is not kept for quick queries."""
+        """Slots that are not reserved for quick queries."""
         return self.slots - self.quick_slots
--- a/quincepath/limits/gate.py
+++ b/quincepath/limits/gate.py
@@ -1,23 +1,26 @@
-"""Whether a query is taken at all. Pure: own seeded source, no clock, same events give the same decisions.
+"""Admission gate: a bound on what is open, and the retry delay that a rejected client is given.
 
-The module refuses what it takes and cannot serve in time. The door refuses before that what this broker has
-no room to hold, and all that comes while it stops. Who is turned away is told when to come back: later the
-longer the door has been shut without a break, and spread, so that clients do not come back together.
+Pure: own seeded random source, no clock; the same events give the same decisions.
+
+The decision module refuses queries that it has taken and cannot serve in time. The gate rejects before that
+what exceeds the broker's bound, and everything while the broker stops. The retry delay grows with the time
+for which the gate has rejected without a break, and it is jittered, so that rejected clients do not return
+at the same time.
 """
 
 import random
 from dataclasses import dataclass
 
-SECOND = 1_000_000_000
-LEAST_WAIT = SECOND // 2  # advice when the door has just been shut
-SPREAD = 0.5  # the advice is drawn from this share below to this share above its middle
-LINGER = SECOND  # a door that took a query for so long without turning one away has been open again
-STOPPING_WAIT = 2 * SECOND  # by then another broker, or this one anew, should be there
+SECOND = 1_000_000_000  # ns
+BASE_DELAY = SECOND // 2  # ns; middle of the retry delay when the gate has just begun to reject
+JITTER = 0.5  # the retry delay is drawn from this share below to this share above its middle
+RECOVERY_TIME = SECOND  # ns; after this long without a rejection the retry delay starts again at its base
+STOPPING_DELAY = 2 * SECOND  # ns; by then another broker, or this one restarted, should take queries
 
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """Most queries and parts held at once, and the longest advice (ns) that clients honour."""
+    """Most queries and parts open at once, and the longest retry delay (ns) that clients honour."""
 
     open_work: int
     max_retry_after: int
@@ -25,27 +28,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """Not taken; ``cause`` is one of a few, ``retry_in`` is ns."""
+    """A query was not admitted; ``cause`` is one of a few texts, ``retry_in`` is ns."""
 
     cause: str
     retry_in: int
 
 
 class AdmissionGate:
-    """One a broker. ``admit`` is asked for each query before it becomes one."""
+    """One per broker. ``admit`` is called for each request before it becomes a query."""
 
     def __init__(self, bounds: Bounds, seed: int) -> None:
         self.bounds = bounds
         self.random = random.Random(seed)
         self.stopping = False
-        self._shut_since = self._shut_last = -2 * LINGER
+        self._rejecting_since = self._last_rejection = -2 * RECOVERY_TIME
 
     def stop(self) -> None:
-        """Take nothing more; there is no way back."""
+        """Reject everything from now on; this cannot be undone."""
         self.stopping = True
 
     def admit(self, now: int, held: int, work: int) -> Rejection | None:
-        """None: take it. ``held`` queries and parts are open or on their way in, this one adds ``work``."""
+        """None: admitted. ``held`` queries and parts are open or on their way in, this one adds ``work``."""
         if self.stopping:
             return self.reject(now, "stopping")
         if held + work <= self.bounds.open_work:
@@ -53,22 +56,22 @@
         return self.reject(now, "too much open")
 
     def reject(self, now: int, cause: str) -> Rejection:
-        """Turn away, for whatever cause: the advice is the longer, the longer it has been so."""
+        """Reject for any cause; the retry delay grows with the time since rejections began."""
         if self.stopping:
-            return Rejection("stopping", self._spread(STOPPING_WAIT))
-        if now > self._shut_last + LINGER:
-            self._shut_since = now
-        self._shut_last = now
-        # Shut for a moment: come back soon. Shut for long: the backlog of clients is long as well.
-        return Rejection(cause, self._spread(LEAST_WAIT + (now - self._shut_since)))
+            return Rejection("stopping", self._jittered(STOPPING_DELAY))
+        if now > self._last_rejection + RECOVERY_TIME:
+            self._rejecting_since = now
+        self._last_rejection = now
+        # A short overload clears soon. After a long one many rejected clients are due to return.
+        return Rejection(cause, self._jittered(BASE_DELAY + (now - self._rejecting_since)))
 
     def reject_with_base_delay(self, cause: str) -> Rejection:
-        """For a bound that is not the door's own: not taken, with advice spread like all others."""
-        return Rejection(cause, self._spread(LEAST_WAIT))
+        """Reject for a bound that the gate does not keep; the delay is jittered but does not grow."""
+        return Rejection(cause, self._jittered(BASE_DELAY))
 
-    def _spread(self, middle: int) -> int:
+    def _jittered(self, middle: int) -> int:
         most = self.bounds.max_retry_after
-        drawn = middle * (1 - SPREAD + 2 * SPREAD * self.random.random())
-        if drawn >= most:  # a bound must not bring them all back at the same moment
-            drawn = most * (1 - SPREAD * self.random.random())
-        return max(int(drawn), 1)
+        delay = middle * (1 - JITTER + 2 * JITTER * self.random.random())
+        if delay >= most:  # cutting off at the bound would bring all clients back at the same moment
+            delay = most * (1 - JITTER * self.random.random())
+        return max(int(delay), 1)
--- a/quincepath/limits/memory.py
+++ b/quincepath/limits/memory.py
@@ -1,18 +1,18 @@
-"""A circuit for memory: how pressed the process is; its marks are left lower than they are entered. Pure.
+"""Memory pressure level of the process, with hysteresis: a level is left lower than it is entered. Pure.
 
-Soft: answers that are only remembered are given up and classes of little worth are refused. Hard: nothing new
-is taken until what is open has ended. The edge samples the resident size; without a limit the circuit is off.
+Soft: remembered answers are dropped and classes of low worth are refused. Hard: nothing new is admitted until
+open queries have ended. The edge samples the resident size; without a limit the level is always NONE.
 """
 
 from collections import Counter
 from enum import Enum
 
-SOFT_SHARE = 0.75  # of the limit
-LEAVE = 0.9  # a mark is left below this share of it, so that it is not crossed to and fro
+SOFT_SHARE = 0.75  # of the limit, from which the pressure is soft
+LEAVE_SHARE = 0.9  # of its threshold, below which a level is left, so that it does not flap
 
 
 class Pressure(Enum):
-    """How pressed the process is."""
+    """Memory pressure level."""
 
     NONE = 0
     SOFT = 1
@@ -20,7 +20,7 @@
 
 
 class MemoryPressureMonitor:
-    """``limit`` in bytes of resident memory; 0: none."""
+    """``limit`` in bytes of resident memory; 0: no limit."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -28,16 +28,16 @@
         self.changes: Counter[str] = Counter()
 
     def sample(self, resident: int) -> Pressure:
-        """The process holds so many bytes now."""
+        """Update the level from the resident size (bytes)."""
         if not self.limit:
             return self.pressure
-        marks = {Pressure.SOFT: self.limit * SOFT_SHARE, Pressure.HARD: float(self.limit)}
-        found = Pressure.NONE
+        thresholds = {Pressure.SOFT: self.limit * SOFT_SHARE, Pressure.HARD: float(self.limit)}
+        current = Pressure.NONE
         for level in (Pressure.SOFT, Pressure.HARD):
-            held = self.pressure.value >= level.value
-            if resident >= marks[level] * (LEAVE if held else 1):
-                found = level
-        if found is not self.pressure:
-            self.changes[found.name.lower()] += 1
-            self.pressure = found
-        return found
+            entered = self.pressure.value >= level.value
+            if resident >= thresholds[level] * (LEAVE_SHARE if entered else 1):
+                current = level
+        if current is not self.pressure:
+            self.changes[current.name.lower()] += 1
+            self.pressure = current
+        return current
--- a/tests/limits/fair/test_broker.py
+++ b/tests/limits/fair/test_broker.py
@@ -56,7 +56,7 @@
     world.run(done)
     assert most >= 2  # they did wait
     assert {end.status for end in ends} <= {200, 503} and sum(end.status == 200 for end in ends) >= 3
-    assert not world.room._held and not world.room._asks  # nothing is left of them
+    assert not world.room._entries and not world.room._ask_of_part  # nothing is left of them
 
 
 def test_one_that_cannot_have_its_turn_in_time_is_refused_at_once_with_advice(tmp_path: Path) -> None:
@@ -86,9 +86,9 @@
         gauge = world.broker.metrics.waiting._value
         world.run(lambda: gauge.get() >= 1)
     world.client.close()
-    world.run(lambda: not world.room._held)
+    world.run(lambda: not world.room._entries)
     world.run(lambda: world.room.next_due() is None)
-    world.room.step(world.loop.now, whole=True)
+    world.room.step(world.loop.now, flush=True)
     world.room.scheduler.check()
     assert world.room.waiting() == 0 and world.room.scheduler.runs.all == {}
 
--- a/tests/limits/fair/test_state_machine.py
+++ b/tests/limits/fair/test_state_machine.py
@@ -313,13 +313,13 @@
 class LeavesIdle(FairScheduler):
     """Only one query is started a step."""
 
-    def _give(self, now: int, out: list[Run | Refuse]) -> None:
+    def _start_eligible(self, now: int, out: list[Run | Refuse]) -> None:
         if self.queues.waiting and not any(isinstance(one, Run) for one in out):
             one = self.tags.next(self.pool.startable_lanes(now))
             if one is not None:
                 _, queue = self.queues.remove(one.number)
                 self.runs.start_waiting(now, one, queue)
-                out.append(Run(one.number, one.estimate.speed, now - one.came))
+                out.append(Run(one.number, one.estimate.speed, now - one.arrived))
 
 
 def planted(bug: type) -> type[FairScheduler]:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -114,7 +114,7 @@
     assert cause(door, replace(ONE, kind=1)) == ""  # another class, of which nothing is known
     for number in range(10, 60):
         door.ended(number, answer_bytes=10)
-    assert 10 <= door._expected(ONE) < 25
+    assert 10 <= door._expected_bytes(ONE) < 25
 
 
 def test_memory_shuts_the_door_at_its_marks_and_opens_it_below_them() -> None:
