--- a/benchmarks/laboratory.py
+++ b/benchmarks/laboratory.py
@@ -32,7 +32,7 @@
     def _poisoned(self, query: QueryState) -> bool:
         return False
 
-    def _must_wait_for_proof(self, query: QueryState) -> bool:
+    def _must_wait_for_success(self, query: QueryState) -> bool:
         return False
 
 
--- a/quincepath/drill.py
+++ b/quincepath/drill.py
@@ -48,7 +48,7 @@
     def _start(self, i: int, start: Start, out: Out) -> None:
         self.failed.pop(i, None)
         try:
-            self.instances[i] = Aggregator(read_settings(start.facts), start.seed)
+            self.instances[i] = Aggregator(read_settings(start.settings), start.seed)
         except SettingsError as error:
             self._fault(i, str(error), out)
 
--- a/quincepath/lab/emulator/story.py
+++ b/quincepath/lab/emulator/story.py
@@ -73,7 +73,7 @@
                 known = self.inner.nodes[node]
                 kind = self.inner.parts[part].query.kind
                 others = ", ".join(
-                    f"{n.name} {n.load(now, kind)} out, {n.speed(now):.1f} times the usual"
+                    f"{n.name} {n.load(now, kind)} out, {n.slowdown(now):.1f} times the usual"
                     for n in self.inner._replicas(self.ours[part]) if n is not known
                 )  # fmt: skip
                 said = f"sends shard {self.ours[part]} to {known.name} (with it {known.load(now, kind)} out"
--- a/quincepath/policy/aggregator.py
+++ b/quincepath/policy/aggregator.py
@@ -17,7 +17,7 @@
 )
 from quincepath.policy.queries import PartState, QueryState
 from quincepath.policy.sending import Sending
-from quincepath.policy.tuning import ANSWER_TICKS, LIST_TOKEN, SHORT_MEMORY
+from quincepath.policy.tuning import ANSWER_MARGIN_TICKS, LIST_TOKEN, SIGNAL_TTL
 
 
 class Aggregator(Sending):
@@ -25,20 +25,20 @@
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         """Take in all events first, then decide once for each query that they touch."""
-        self.now, self.out = now, []
-        touched = [self._take_in(event) for event in events]
+        self.now, self.actions = now, []
+        touched = [self._apply_event(event) for event in events]
         for query in dict.fromkeys(touched):
             if query is not None and query.id in self.queries:
                 self._advance(query)
-        return self.out
+        return self.actions
 
-    def _take_in(self, event: Event) -> QueryState | None:
+    def _apply_event(self, event: Event) -> QueryState | None:
         match event:
             case Outcome():
-                return self._outcome(event)
+                return self._apply_outcome(event)
             case TimerFired(token):
                 if token == LIST_TOKEN:
-                    self.out.append(Watch(True))
+                    self.actions.append(Watch(True))
                 return self.queries.get(token)
             case Query():
                 return self._accept(event)
@@ -46,92 +46,96 @@
                 return self._add_part(event)
             case Left(rid):
                 if rid in self.queries:
-                    self._forget(self.queries[rid])
+                    self._remove_query(self.queries[rid])
                 elif rid in self.parts:  # its query is sent no more, but answered
                     query = self.parts[rid].query
                     query.unsent.clear()
                     for part in query.parts:
-                        part.dead = True
+                        part.closed = True
                     return self.queries.get(query.id)
             case Members():
-                self._members(event)
+                self._apply_members(event)
             case Allowance():
-                self.allowed.tell(self.now, event)
+                self.fleet_allowance.update(self.now, event)
         return None
 
     def _accept(self, event: Query) -> QueryState:
-        self.budget.take(self.now)
+        self.budget.record_accepted(self.now)
         spec = self.settings.classes[event.kind]
-        end = self.now + max(event.time_left - ANSWER_TICKS * self.settings.tick, 0)
-        query = QueryState(event, spec, self._aim(event, spec), end)
-        query.hasty = self._hasty(event)
+        end = self.now + max(event.time_left - ANSWER_MARGIN_TICKS * self.settings.tick, 0)
+        query = QueryState(event, spec, self._target_at(event, spec), end)
+        query.short_timeout = self._has_short_timeout(event)
         self.queries[query.id] = self.by_number[query.number] = query
         return query
 
-    def _aim(self, event: Query, spec: QueryClass) -> int:
+    def _target_at(self, event: Query, spec: QueryClass) -> int:
         """When the client wants its answer: counted from its first try, which a repeat may be long past."""
         # A repeat with less time than a full try has what its deadline leaves, and so tells its age; but not
         # while first tries come short, too: then the client's patience is short.
-        full = self.full_try[event.kind] = max(self.full_try.get(event.kind, 0), event.time_left)
-        short = event.time_left < full - ANSWER_TICKS * self.settings.tick
-        self.short_at = self.now if short and not event.repeat else self.short_at
-        tells = short and self.now > self.short_at + SHORT_MEMORY
+        full = self.longest_timeout[event.kind] = max(
+            self.longest_timeout.get(event.kind, 0), event.time_left
+        )
+        short = event.time_left < full - ANSWER_MARGIN_TICKS * self.settings.tick
+        self.short_timeout_at = self.now if short and not event.repeat else self.short_timeout_at
+        tells = short and self.now > self.short_timeout_at + SIGNAL_TTL
         return self.now + spec.target - (max(spec.deadline - event.time_left, 0) if tells else 0)
 
-    def _hasty(self, event: Query) -> bool:
+    def _has_short_timeout(self, event: Query) -> bool:
         """Whether a client gives less time than its class's target, as others do not now: it is soon gone."""
         if event.time_left >= self.settings.classes[event.kind].target:
-            self.full_at[event.kind] = self.now
-        return self.now > self.full_at.get(event.kind, -SHORT_MEMORY) >= self.now - SHORT_MEMORY
+            self.full_timeout_at[event.kind] = self.now
+        return self.now > self.full_timeout_at.get(event.kind, -SIGNAL_TTL) >= self.now - SIGNAL_TTL
 
     def _add_part(self, event: Part) -> QueryState | None:
-        self.budget.take(self.now)
+        self.budget.record_accepted(self.now)
         query = self.by_number.get(event.number)
         if query is None:
             return None
-        if query.waiting:
+        if query.awaiting_second_step:
             query.begin_step(2)
         part = self.parts[event.id] = PartState(query, event)
         query.parts.append(part)
         query.unsent.setdefault(part.shard % self.settings.cells, []).append(part)
-        part.count(1)
+        part.add_to_sums(1)
         query.heaviest = max(query.heaviest, part.weight)
         return query
 
     def _advance(self, query: QueryState) -> None:
         """Decide all that can be decided for one query now."""
-        if query.waiting and self.now < query.end:  # a second step that never comes must still be ended
+        if (
+            query.awaiting_second_step and self.now < query.end
+        ):  # a second step that never comes must still be ended
             self._wait_until(query, query.end)
             return
-        weight = query.weight_in if query.parts and not query.waiting else -1.0
+        weight = query.weight_in if query.parts and not query.awaiting_second_step else -1.0
         if weight >= query.need() and not self._too_late_for_second(query):
             self._answer(query, True)
-        elif weight >= query.need() or weight >= query.floor() and self.now >= self._last_call(query):
+        elif weight >= query.need() or weight >= query.floor() and self.now >= self._partial_answer_at(query):
             self._give_up(query)
         elif self.now >= query.end or self._poisoned(query) or not self._can_finish(query):
             self._give_up(query)
-        elif query.fresh and not self._is_trial(query) and self._hopeless(query):
-            self._note_refusal()
+        elif query.awaiting_admission and not self._is_probe(query) and self._expected_too_late(query):
+            self._record_refusal()
             self._give_up(query)
         else:
-            self.tried[query.kind] += query.fresh
-            query.fresh = False
-            self._note_calm()
+            self.admitted[query.kind] += query.awaiting_admission
+            query.awaiting_admission = False
+            self._log_overload_end()
             self._mark_late(query)
-            blocked = self._top_up(query)
-            self._wait_until(query, self._next_look(query, blocked))
+            blocked = self._send_until_covered(query)
+            self._wait_until(query, self._next_wakeup(query, blocked))
 
-    def _is_trial(self, query: QueryState) -> bool:
+    def _is_probe(self, query: QueryState) -> bool:
         """Whether a first try is sent whatever was seen: none of its class is open, with news on its way."""
         # Guards against refusing a class for ever on old news, after a stall of this broker or an overload.
         # A hasty try ends before its news: guards against each broker's sending nearly all of those in vain.
-        return not (self.tried[query.kind] or query.repeat or query.hasty)
+        return not (self.admitted[query.kind] or query.repeat or query.short_timeout)
 
     def _can_finish(self, query: QueryState) -> bool:
         """Whether enough weight is in, out, or may still be sent; for a part of the worth, in or out."""
-        left = query.held
+        left = query.weight_in_or_live
         if left < query.need():
-            left += sum(p.weight for p in query.lacking.values() if not p.live and self._may_still_send(p))
-        if left < query.need() and (left < query.floor() or not query.out):
+            left += sum(p.weight for p in query.uncovered.values() if not p.live and self._may_still_send(p))
+        if left < query.need() and (left < query.floor() or not query.open_attempts):
             return False
-        return self.now < query.aim or query.spec.late_worth > 0
+        return self.now < query.target_at or query.spec.late_worth > 0
--- a/quincepath/policy/choice.py
+++ b/quincepath/policy/choice.py
@@ -9,13 +9,13 @@
 from quincepath.policy.queries import PartState, QueryState
 from quincepath.policy.state import Rank
 from quincepath.policy.tuning import (
-    CORES_GUESS,
+    ADMISSION_SHARE,
+    ASSUMED_CORES,
     DIAL_COST,
-    HOPELESS_SHARE,
     MOSTLY_FAILING,
-    NEW_CONNECTION,
-    OVERLOAD_QUIET,
-    SHORT_MEMORY,
+    NEW_CONNECTION_FACTOR,
+    OVERLOAD_END_AFTER,
+    SIGNAL_TTL,
     ZONE_COST,
 )
 
@@ -26,16 +26,20 @@
         # The count is by call. While crowded, where calls cost work of their own, one begun in this round
         # that a part may join is not held against the node, up to what runs there side by side.
         typical = self._typical(query)
-        expected = max(node.speed(self.now), typical.base / typical.mean / self._warmth(node, self.now), 1.0)
+        expected = max(
+            node.slowdown(self.now),
+            typical.baseline / typical.mean / self._capacity_share(node, self.now),
+            1.0,
+        )
         load = node.load(self.now, query.kind)
-        if self._may_join(node) and node.call.parts < CORES_GUESS and self._crowded(query):
+        if self._may_join(node) and node.call.parts < ASSUMED_CORES and self._congested(query):
             load -= bool(self.settings.call_work)
-            expected /= 1 + self.settings.call_work / typical.base
+            expected /= 1 + self.settings.call_work / typical.baseline
         if node.entry.zone != self.settings.zone:
             expected *= 1 + ZONE_COST * self.settings.cross_zone_charge
-        if self.now > node.heard + self.limits.idle_close:
-            expected *= NEW_CONNECTION
-            if self.now < self.dial_failed_at + SHORT_MEMORY:
+        if self.now > node.last_reply_at + self.limits.idle_close:
+            expected *= NEW_CONNECTION_FACTOR
+            if self.now < self.dial_failed_at + SIGNAL_TTL:
                 # New connections fail while open ones serve: guards against dialling where it can be helped.
                 load += DIAL_COST
         return load, expected, self.random.random()
@@ -53,7 +57,7 @@
         found: list[tuple[int, Rank, Node]] = []
         for node in self._replicas(part.shard):
             if node.id not in self.ranks:
-                cold = self._cold_wait(node, part)
+                cold = self._send_delay(node, part)
                 self.ranks[node.id] = None if cold else self._rank(node, part.query)
             rank = self.ranks[node.id]
             if rank is not None and node not in busy:
@@ -76,23 +80,27 @@
             heappop(self.candidates)
         return None
 
-    def _note_refusal(self) -> None:
+    def _record_refusal(self) -> None:
         if not self.refused:
-            self.out.append(Log("overload begun: refusing queries that are not expected to finish in time"))
+            self.actions.append(
+                Log("overload begun: refusing queries that are not expected to finish in time")
+            )
         self.refused += 1
         self.refused_at = self.now
 
-    def _note_calm(self) -> None:
-        if self.refused and self.now - self.refused_at > OVERLOAD_QUIET:
-            self.out.append(Log(f"overload ended: {self.refused} queries refused"))
+    def _log_overload_end(self) -> None:
+        if self.refused and self.now - self.refused_at > OVERLOAD_END_AFTER:
+            self.actions.append(Log(f"overload ended: {self.refused} queries refused"))
             self.refused = 0
 
-    def _hopeless(self, query: QueryState) -> bool:
+    def _expected_too_late(self, query: QueryState) -> bool:
         """Whether even the best choice is expected to finish after the target or the client's time."""
         # While crowded repeats are refused, which would keep it up; first tries have their whole time.
-        if query.repeat and self._crowded(query):
+        if query.repeat and self._congested(query):
             return True
-        mean = self._news(query.kind, 1) + (self._news(query.kind, 2) if query.spec.second_step else 0)
+        mean = self._current_latency(query.kind, 1) + (
+            self._current_latency(query.kind, 2) if query.spec.second_step else 0
+        )
         finish = []
         for part in query.parts:
             times = (self._expected_wait(n, part, mean) for n in self._replicas(part.shard))
@@ -101,13 +109,13 @@
         for time, weight in sorted(finish):
             if covered < query.floor():
                 covered, slowest = covered + weight, time
-        until = query.end if self.now >= query.aim else min(query.aim, query.end)
-        return slowest > HOPELESS_SHARE * (until - self.now)
+        until = query.end if self.now >= query.target_at else min(query.target_at, query.end)
+        return slowest > ADMISSION_SHARE * (until - self.now)
 
     def _expected_wait(self, node: Node, part: PartState, mean: float) -> float:
         """The typical latency, scaled by what was seen here and by how the count compares to then."""
         # Failures count where most attempts fail (guards against taking a jammed replica's dead sibling for
         # a quick one; fewer would refuse all traffic), and so does a cold node's wait.
-        sound = 1 - max(node.fault_share(self.now, part.query.kind) - MOSTLY_FAILING, 0.0)
-        crowd = (node.calls + CORES_GUESS) / (node.usual_load + CORES_GUESS)
-        return mean * node.speed(self.now) * crowd / sound**3 + self._cold_wait(node, part)
+        sound = 1 - max(node.failure_share(self.now, part.query.kind) - MOSTLY_FAILING, 0.0)
+        crowd = (node.calls + ASSUMED_CORES) / (node.usual_load + ASSUMED_CORES)
+        return mean * node.slowdown(self.now) * crowd / sound**3 + self._send_delay(node, part)
--- a/quincepath/policy/learning.py
+++ b/quincepath/policy/learning.py
@@ -5,13 +5,13 @@
 from quincepath.policy.members import NodeList
 from quincepath.policy.nodes import Node
 from quincepath.policy.queries import Attempt, QueryState
-from quincepath.policy.tuning import DISTRUST_AFTER, RETRY_PAUSE, SLOW_RATIO, SPEED_GAIN
+from quincepath.policy.tuning import FAILURES_BEFORE_LOG, RETRY_BACKOFF, SLOW_RATIO, SLOWDOWN_GAIN
 
 PROVED_UNRUN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)  # outcomes after which no effect can exist
 
 
 class Learning(NodeList, Ending):
-    def _outcome(self, event: Outcome) -> QueryState | None:
+    def _apply_outcome(self, event: Outcome) -> QueryState | None:
         part = self.parts.get(event.part)
         if part is None or event.attempt >= len(part.attempts):
             return None
@@ -19,10 +19,10 @@
         if attempt not in part.live:
             return None
         query = part.query
-        current = query.id in self.queries and part.step == query.step and not query.waiting
+        current = query.id in self.queries and part.step == query.step and not query.awaiting_second_step
         if current:
-            part.count(-1)
-            query.out -= 1
+            part.add_to_sums(-1)
+            query.open_attempts -= 1
             query.in_time.pop(attempt, None)
         part.live.remove(attempt)
         attempt.call.open -= 1
@@ -33,55 +33,60 @@
                 del self.parts[event.part]
             return None
         if event.result is Result.OK:
-            part.ok = query.proven = True
+            part.ok = query.has_success = True
             for other in part.live:
                 self._cancel(other)
         else:
-            part.dead = part.dead or event.final
-            if all(node.failures or self._cold_wait(node, part) for node in self._replicas(part.shard)):
+            part.closed = part.closed or event.final
+            if all(
+                node.consecutive_failures or self._send_delay(node, part)
+                for node in self._replicas(part.shard)
+            ):
                 # Spread the tries that are left over the time that is left: no other replica takes one now.
-                pause = RETRY_PAUSE * query.spec.target * 2.0 ** (len(part.attempts) - 1)
+                pause = RETRY_BACKOFF * query.spec.target * 2.0 ** (len(part.attempts) - 1)
                 part.not_before = self.now + int(pause)
-            if self.now >= query.aim:  # spread over what is left of the client's time
+            if self.now >= query.target_at:  # spread over what is left of the client's time
                 tries = max(self.limits.attempts - len(part.attempts), 0) + 1
                 part.not_before = max(part.not_before, self.now + (query.end - self.now) // tries)
             attempt.failed = event.result is not Result.TIMEOUT
             if event.result is Result.RESET:
-                query.crashes += 1
-                self.crash_at = self.now
+                query.lost_connections += 1
+                self.connection_lost_at = self.now
             # For an unsafe part every earlier try was proved unrun, or this one would not have been sent.
             unsafe = query.spec.effect is Effect.UNSAFE
             if event.result in PROVED_UNRUN and (len(part.attempts) == 1 or unsafe and not part.live):
-                part.risky_since = None
-        part.count(1)
+                part.may_have_run_since = None
+        part.add_to_sums(1)
         return query
 
     def _learn(self, attempt: Attempt, event: Outcome) -> None:
         node, kind, latency = attempt.node, attempt.part.query.kind, self._typical(attempt.part.query)
         if event.result in (Result.OK, Result.ERROR, Result.FULL):
-            node.heard = self.now
+            node.last_reply_at = self.now
         elif event.result is Result.CONNECT_FAILED and event.elapsed >= self.limits.connect_timeout:
             self.dial_failed_at = self.now
         if event.result is Result.OK:
-            ratio, speed = event.elapsed / latency.mean, node.speed(self.now)
+            ratio, slowdown = event.elapsed / latency.mean, node.slowdown(self.now)
             latency.learn(self.now, event.elapsed)
-            self.newest = latency
-            node.usual_load += SPEED_GAIN * (attempt.calls_before - node.usual_load)
-            node.ratio, node.ratio_at = speed + SPEED_GAIN * (ratio - speed), self.now
-            if node.failures >= DISTRUST_AFTER:
-                self.out.append(Log(f"trust {node.name} again"))
-            node.failures = 0
-            node.note(self.now, kind, 1.0 if ratio >= SLOW_RATIO else 0.0)
+            self.last_updated = latency
+            node.usual_load += SLOWDOWN_GAIN * (attempt.calls_before - node.usual_load)
+            node.ratio, node.ratio_at = slowdown + SLOWDOWN_GAIN * (ratio - slowdown), self.now
+            if node.consecutive_failures >= FAILURES_BEFORE_LOG:
+                self.actions.append(Log(f"trust {node.name} again"))
+            node.consecutive_failures = 0
+            node.record_outcome(self.now, kind, 1.0 if ratio >= SLOW_RATIO else 0.0)
         elif event.result in (Result.TIMEOUT, Result.CANCELLED) and attempt.late:
             # No answer tells of a slow node too: guards against taking a jammed only replica for a quick one.
-            ratio = max(node.speed(self.now), 1 + SPEED_GAIN * (event.elapsed / latency.mean - 1))
+            ratio = max(node.slowdown(self.now), 1 + SLOWDOWN_GAIN * (event.elapsed / latency.mean - 1))
             node.ratio, node.ratio_at = ratio, self.now
         elif event.result not in (Result.MOOT, Result.CANCELLED) and not attempt.late:
-            self._blame(node, kind, event.result.name)
+            self._record_failure(node, kind, event.result.name)
 
-    def _blame(self, node: Node, kind: int, why: str) -> None:
+    def _record_failure(self, node: Node, kind: int, why: str) -> None:
         """One failure or late part more, whatever its cause; if all are late the choice is as before."""
-        node.failures += 1
-        node.note(self.now, kind, 1.0)
-        if node.failures == DISTRUST_AFTER:
-            self.out.append(Log(f"distrust {node.name}: {node.failures} failures in a row, last {why}"))
+        node.consecutive_failures += 1
+        node.record_outcome(self.now, kind, 1.0)
+        if node.consecutive_failures == FAILURES_BEFORE_LOG:
+            self.actions.append(
+                Log(f"distrust {node.name}: {node.consecutive_failures} failures in a row, last {why}")
+            )
--- a/quincepath/policy/nodes.py
+++ b/quincepath/policy/nodes.py
@@ -4,16 +4,16 @@
 
 from quincepath.interface import Entry
 from quincepath.policy.tuning import (
-    FAULT_COST,
-    FAULT_GAIN,
-    FAULT_MEETINGS,
-    FAULT_MOST,
+    DECAY_TIME_MIN,
+    FAILURE_COST,
+    FAILURE_COST_MAX,
+    FAILURE_DECAY_FACTOR,
+    FAILURE_GAIN,
     LATE_DEVIATIONS,
-    LATE_SHARE_LEAST,
-    LATE_SHARE_MOST,
+    LATE_SHARE_MAX,
+    LATE_SHARE_MIN,
     LATENCY_CLIP,
     LATENCY_GAIN,
-    MEMORY_LEAST,
     PRIOR_LATENCY,
     PRIOR_WORK,
     SECOND,
@@ -25,24 +25,26 @@
 
     def __init__(self, target: int) -> None:
         self.target = target
-        self.mean = self.base = target * PRIOR_LATENCY
+        self.mean = self.baseline = target * PRIOR_LATENCY
         self.deviation = self.mean / 2
         self.seen_at = self.replies = 0
-        self.work = self.usual = target * PRIOR_WORK  # what a part is booked at, on the safe side at first
+        self.work = self.work_average = (
+            target * PRIOR_WORK
+        )  # what a part is booked at, on the safe side at first
 
     def learn(self, now: int, elapsed: int) -> None:
         self.seen_at, self.replies = now, self.replies + 1
         seen = min(elapsed, self.mean * LATENCY_CLIP)
         self.deviation += LATENCY_GAIN * (abs(seen - self.mean) - self.deviation)
         self.mean += LATENCY_GAIN * (seen - self.mean)
-        self.base = min(self.base, self.mean)
-        self.usual += max(LATENCY_GAIN, 1 / (self.replies + 1)) * (seen - self.usual)
-        self.work = min(self.work, self.usual)
+        self.baseline = min(self.baseline, self.mean)
+        self.work_average += max(LATENCY_GAIN, 1 / (self.replies + 1)) * (seen - self.work_average)
+        self.work = min(self.work, self.work_average)
 
     def late_after(self) -> int:
         """When a part out this long is called late."""
         late = self.mean + LATE_DEVIATIONS * self.deviation
-        return int(min(max(late, LATE_SHARE_LEAST * self.target), LATE_SHARE_MOST * self.target))
+        return int(min(max(late, LATE_SHARE_MIN * self.target), LATE_SHARE_MAX * self.target))
 
 
 class Call:
@@ -63,35 +65,41 @@
         self.id, self.entry = entry.node, entry
         self.number, self.ready = number, False  # numbers are in order of first news
         self.name = ".".join(str(b) for b in entry.node[:4]) + f":{int.from_bytes(entry.node[4:])}"
-        self.calls = self.failures = 0
+        self.calls = self.consecutive_failures = 0
         self.call = NO_CALL
-        self.faults: dict[int | None, tuple[float, int]] = {}  # by class (None: any), share and when
+        self.failure_shares: dict[int | None, tuple[float, int]] = {}  # by class (None: any), share and when
         self.ratio, self.ratio_at, self.usual_load = 1.0, 0, 0.0
-        self.heard = self.tried_at = -SECOND * SECOND  # when it last answered, and when it was last sent to
-        self.cold_from = self.filled_at = -SECOND * SECOND  # when it started
-        self.tokens, self.token_at, self.next_token = 0.0, 0.0, 0.0  # what it may be sent while it is cold
-        self.memory = MEMORY_LEAST
+        self.last_reply_at = self.last_sent_at = (
+            -SECOND * SECOND
+        )  # when it last answered, and when it was last sent to
+        self.cold_from = self.refilled_at = -SECOND * SECOND  # when it started
+        self.tokens, self.last_token_at, self.token_fraction = (
+            0.0,
+            0.0,
+            0.0,
+        )  # what it may be sent while it is cold
+        self.decay_time = DECAY_TIME_MIN
 
     def load(self, now: int, kind: int) -> int:
         """Own calls out, plus the odds of failure: what an attempt there costs in further ones elsewhere."""
-        faults = self.fault_share(now, kind)
-        return self.calls + round(min(FAULT_COST * faults / (1.001 - faults), FAULT_MOST))
+        faults = self.failure_share(now, kind)
+        return self.calls + round(min(FAILURE_COST * faults / (1.001 - faults), FAILURE_COST_MAX))
 
-    def fault_share(self, now: int, kind: int) -> float:
+    def failure_share(self, now: int, kind: int) -> float:
         """Share of attempts that failed here of late, fading while unused: the class's own or that of all."""
         # By class, too: guards against a node that fails one class while good replies of others speak for it.
-        return max(self._faded(now, None), self._faded(now, kind))
+        return max(self._decayed_share(now, None), self._decayed_share(now, kind))
 
-    def _faded(self, now: int, kind: int | None) -> float:
-        share, at = self.faults.get(kind, (0.0, 0))
-        return share * math.exp((at - now) / (FAULT_MEETINGS * self.memory))
+    def _decayed_share(self, now: int, kind: int | None) -> float:
+        share, at = self.failure_shares.get(kind, (0.0, 0))
+        return share * math.exp((at - now) / (FAILURE_DECAY_FACTOR * self.decay_time))
 
-    def note(self, now: int, kind: int, fault: float) -> None:
+    def record_outcome(self, now: int, kind: int, fault: float) -> None:
         """One attempt more has ended: 1 badly, 0 well."""
         for key in (None, kind):
-            share = self._faded(now, key)
-            self.faults[key] = share + FAULT_GAIN * (fault - share), now
+            share = self._decayed_share(now, key)
+            self.failure_shares[key] = share + FAILURE_GAIN * (fault - share), now
 
-    def speed(self, now: int) -> float:
+    def slowdown(self, now: int) -> float:
         """Latency here over the typical one, fading to 1 while unused."""
-        return 1 + (self.ratio - 1) * math.exp((self.ratio_at - now) / self.memory)
+        return 1 + (self.ratio - 1) * math.exp((self.ratio_at - now) / self.decay_time)
--- a/quincepath/policy/queries.py
+++ b/quincepath/policy/queries.py
@@ -7,7 +7,7 @@
 
 class Attempt:
     def __init__(self, part: "PartState", node: Node, call: Call, now: int) -> None:
-        self.part, self.node, self.call, self.sent, self.calls_before = part, node, call, now, node.calls
+        self.part, self.node, self.call, self.sent_at, self.calls_before = part, node, call, now, node.calls
         self.late = self.cancelled = self.failed = False  # failed: ended at once, leaves no work behind
 
 
@@ -17,43 +17,45 @@
         self.index, self.step = len(query.parts), query.step
         self.attempts: list[Attempt] = []
         self.live: list[Attempt] = []
-        self.ok = self.dead = False  # dead: no attempt may follow
+        self.ok = self.closed = False  # dead: no attempt may follow
         self.not_before = 0  # further tries at a replica tried before wait until then
-        self.risky_since: int | None = None  # when the first attempt that may have run went out
+        self.may_have_run_since: int | None = None  # when the first attempt that may have run went out
 
-    def count(self, sign: int) -> None:
+    def add_to_sums(self, sign: int) -> None:
         """Add this part to its query's sums, or take it from them: called around each change of the part."""
         query, weight = self.query, sign * self.weight
         covered = self.ok or any(not attempt.late for attempt in self.live)
         query.weight_in += weight * self.ok
-        query.covered += weight * covered
-        query.held += weight * (self.ok or bool(self.live))
-        query.started += weight * any(not attempt.failed for attempt in self.attempts)
+        query.weight_covered += weight * covered
+        query.weight_in_or_live += weight * (self.ok or bool(self.live))
+        query.weight_started += weight * any(not attempt.failed for attempt in self.attempts)
         if covered:
-            query.lacking.pop(self.index, None)
+            query.uncovered.pop(self.index, None)
         else:
-            query.lacking[self.index] = self
+            query.uncovered[self.index] = self
 
 
 class QueryState:
-    def __init__(self, event: Query, kind: QueryClass, aim: int, end: int) -> None:
+    def __init__(self, event: Query, kind: QueryClass, target_at: int, end: int) -> None:
         self.id, self.number, self.repeat, self.key = event.id, event.number, event.repeat, event.key
-        self.kind, self.spec, self.aim, self.end = event.kind, kind, aim, end
+        self.kind, self.spec, self.target_at, self.end = event.kind, kind, target_at, end
         self.begin_step(1)
-        self.whole = self.fresh = True
-        self.hasty = False  # its client gives less time than the target: too little to bring news
-        self.timer = self.crashes = 0  # crashes: attempts whose connection was lost
-        self.proven = False  # some part is in: the query does not take down what it meets
+        self.complete = self.awaiting_admission = True
+        self.short_timeout = False  # its client gives less time than the target: too little to bring news
+        self.timer_at = self.lost_connections = 0  # crashes: attempts whose connection was lost
+        self.has_success = False  # some part is in: the query does not take down what it meets
 
     def begin_step(self, step: int) -> None:
         self.step = step
-        self.waiting = False  # between the first answer and the parts of the second step
+        self.awaiting_second_step = False  # between the first answer and the parts of the second step
         self.parts: list[PartState] = []
         self.unsent: dict[int, list[PartState]] = {}  # by home cell, in order
-        self.lacking: dict[int, PartState] = {}  # by index: neither in nor expected in
+        self.uncovered: dict[int, PartState] = {}  # by index: neither in nor expected in
         # Weights of the parts that are in; in or expected; in or out; and at work, or that may be.
-        self.weight_in = self.covered = self.held = self.started = self.heaviest = 0.0
-        self.sent = self.out = 0  # attempts in all, and those that have not ended
+        self.weight_in = self.weight_covered = self.weight_in_or_live = self.weight_started = (
+            self.heaviest
+        ) = 0.0
+        self.attempts_sent = self.open_attempts = 0  # attempts in all, and those that have not ended
         self.in_time: dict[Attempt, None] = {}  # those that have not ended and are not late, the oldest first
 
     def need(self) -> float:
--- a/quincepath/wire.py
+++ b/quincepath/wire.py
@@ -61,7 +61,7 @@
 _NOTE = Struct(">BIII")
 _BARE = Struct(">BI")
 
-REPEAT_MARK = 2
+REPEAT_FLAG = 2
 
 
 class WireError(ValueError):
@@ -73,7 +73,7 @@
     """A new instance with its seed and settings text."""
 
     seed: int
-    facts: str
+    settings: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -134,7 +134,7 @@
             i, rid, cost, size, key, marks, kind, tenant, left, shard, number = _REQUEST.unpack_from(body, at)
             cost = cost if marks & 1 else 0
             if shard < 0:
-                repeat = bool(marks & REPEAT_MARK)
+                repeat = bool(marks & REPEAT_FLAG)
                 found.append((i, Query(rid, int(number), int(size), kind, tenant, left, key, cost, repeat)))
             else:
                 found.append((i, Part(rid, int(number), size, int(shard), key, cost)))
--- a/tests/conformance/run_design.py
+++ b/tests/conformance/run_design.py
@@ -25,7 +25,7 @@
 from quincepath.standins.data import Store
 from quincepath.standins.leaf import Leaf
 from tests.conformance.runner import runner
-from tests.helpers import MS, SECOND, START, of, query_class, settings
+from tests.helpers import MS, SECOND, START, of_type, query_class, settings
 from tests.helpers import Broker as Feeder
 from tests.world import ask, values
 
@@ -106,13 +106,13 @@
     def query(self, kind: int, at: list[str]) -> Sent:
         self.feeder.advance(MS)
         _, _, got = self.feeder.query(self.case.shards(at), kind)
-        sends = of(got, Send)
+        sends = of_type(got, Send)
         self.parts = [send.part for send in sends]
         return [self.case.replicas[send.node[3]] for send in sends]
 
     def answered(self) -> int:
         for count, part in enumerate(self.parts, 1):
-            if of(self.feeder.end(part), Answer):
+            if of_type(self.feeder.end(part), Answer):
                 return count
         return 0
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -173,5 +173,5 @@
             self.now += 500 * MS
 
 
-def of(actions: list[Action], kind: type[A]) -> list[A]:
+def of_type(actions: list[Action], kind: type[A]) -> list[A]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/platform/test_window.py
+++ b/tests/platform/test_window.py
@@ -29,7 +29,7 @@
     """A module that takes each class for one that is safe to repeat."""
 
     def _may_still_send(self, part: PartState) -> bool:
-        return not part.dead and len(part.attempts) < self.limits.attempts
+        return not part.closed and len(part.attempts) < self.limits.attempts
 
 
 def world_of(kind: int, effect: str, make_module: type[Aggregator] = Aggregator, **more: Any) -> World:
--- a/tests/test_allowance.py
+++ b/tests/test_allowance.py
@@ -66,7 +66,7 @@
     for told in (False, True):
         broker = Broker(nodes=[entry(0, 0)])
         play(broker, 10, bad)
-        assert broker.policy.nodes[node_id(0)].fault_share(broker.now, 0) > 0.5
+        assert broker.policy.nodes[node_id(0)].failure_share(broker.now, 0) > 0.5
         if told:
             broker.feed(Allowance(1000.0, trials, LONG))
         before = len(broker.sends)
@@ -78,7 +78,7 @@
 def test_a_part_whose_every_replica_waits_for_its_turn_is_refused_in_its_time() -> None:
     broker = Broker(nodes=[entry(0, 0)])
     play(broker, 10, bad)
-    assert broker.policy.nodes[node_id(0)].fault_share(broker.now, 0) > 0.5
+    assert broker.policy.nodes[node_id(0)].failure_share(broker.now, 0) > 0.5
     broker.feed(Allowance(1000.0, 0.0, LONG))
     before = len(broker.sends)
     rid, _, _ = broker.query([0])
--- a/tests/test_cold_nodes.py
+++ b/tests/test_cold_nodes.py
@@ -82,7 +82,7 @@
     for _ in range(1500):
         broker.now += 10 * MS
         broker.policy.now = broker.now
-        broker.policy._fill(node, 0)
+        broker.policy._refill(node, 0)
         seen.add(node.tokens)
     assert seen == {0.0, 1.0}, "it came and went"
 
@@ -107,6 +107,6 @@
         broker = Broker(settings(instances=count, me=me), seed=me, nodes=[entry(0, 0)])
         started = replace(entry(1, 0, since=broker.now), node=name)
         broker.feed(Members(Scope.FULL, 2, (started,)))
-        turns.append(broker.policy.nodes[name].next_token)
+        turns.append(broker.policy.nodes[name].token_fraction)
     gaps = [later - earlier for earlier, later in pairwise(sorted(turns))]
     assert max(gaps) < 2 / len(turns) and min(gaps) > 0.5 / len(turns)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -96,5 +96,5 @@
     same = verdicts(ROOT, tmp_path / "changed", path)
     assert same["bytes"] and not same["differences"]
     figures = changed / "policy" / "tuning.py"
-    figures.write_text(figures.read_text().replace("LATE_SHARE_MOST = 0.35", "LATE_SHARE_MOST = 0.2"))
+    figures.write_text(figures.read_text().replace("LATE_SHARE_MAX = 0.35", "LATE_SHARE_MAX = 0.2"))
     assert set(verdicts(ROOT, tmp_path / "changed", path)["differences"]) == {"before and after"}
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,7 +1,7 @@
 """One small case for each kind of failure that was met."""
 
 from quincepath.interface import Answer, Cancel, Entry, Log, Members, Phase, Refuse, Result, Scope, Send
-from tests.helpers import MS, SECOND, START, Broker, entry, node_id, of, query_class, settings
+from tests.helpers import MS, SECOND, START, Broker, entry, node_id, of_type, query_class, settings
 
 ANY = query_class(need=0.6, floor=0.6)
 
@@ -10,17 +10,17 @@
     rules = {"budget_window": 10 * SECOND}  # a budget of nothing: a first send needs none
     broker = Broker(settings((ANY,), rules=rules))
     _, parts, got = broker.query([0, 1, 2])
-    first = [send.part for send in of(got, Send)]
-    more = of(broker.advance(SECOND), Send)
+    first = [send.part for send in of_type(got, Send)]
+    more = of_type(broker.advance(SECOND), Send)
     assert more and all(send.part not in first for send in more)
 
 
 def test_late_part_that_is_needed_gets_a_second_copy_elsewhere() -> None:
     broker = Broker()
     _, parts, got = broker.query([0])
-    copy = of(broker.advance(SECOND), Send)
+    copy = of_type(broker.advance(SECOND), Send)
     assert [send.part for send in copy] == parts
-    assert copy[0].node != of(got, Send)[0].node
+    assert copy[0].node != of_type(got, Send)[0].node
 
 
 def test_failing_node_is_left_alone_and_tried_again_later() -> None:
@@ -47,7 +47,7 @@
         broker.end(parts[0], Result.ERROR)
     _, parts, _ = broker.query([0])
     broker.end(parts[0])
-    texts = [log.text for log in of(broker.actions, Log)]
+    texts = [log.text for log in of_type(broker.actions, Log)]
     assert len(texts) == 2 and texts[0].startswith("distrust 10.0.0.0:80") and "trust" in texts[1]
 
 
@@ -68,8 +68,8 @@
     refused = 0
     for _ in range(60):
         _, _, got = broker.query([0])
-        refused += len(of(got, Refuse))
-        assert len(of(got, Send)) + len(of(got, Refuse)) == 1
+        refused += len(of_type(got, Refuse))
+        assert len(of_type(got, Send)) + len(of_type(got, Refuse)) == 1
     assert refused >= 30
 
 
@@ -79,7 +79,7 @@
         _, parts, _ = broker.query([0])
         broker.end(parts[0], Result.ERROR)
     _, _, got = broker.query([0])
-    assert len(of(got, Send)) == 1
+    assert len(of_type(got, Send)) == 1
 
 
 def test_a_node_that_answers_again_is_not_taken_to_be_cold_without_news_of_a_start() -> None:
@@ -92,7 +92,7 @@
     _, parts, _ = broker.query([0])
     broker.end(parts[0])
     for _ in range(3):  # with 80 brokers a cold node's budget would hold these for seconds
-        assert len(of(broker.query([0])[2], Send)) == 1
+        assert len(of_type(broker.query([0])[2], Send)) == 1
 
 
 def test_a_restart_in_the_list_voids_what_was_learned() -> None:
@@ -111,7 +111,7 @@
     _, parts, _ = broker.query([0])
     broker.now += 800 * MS
     got = broker.end(parts[0], attempt=0, elapsed=800 * MS)
-    assert of(got, Answer)
+    assert of_type(got, Answer)
     assert broker.policy.nodes[broker.sends[-1].node].load(broker.now, 0) > 0
 
 
@@ -120,28 +120,28 @@
     rid, parts, _ = broker.query([0])
     broker.now += 1950 * MS
     got = broker.end(parts[0], attempt=0, elapsed=1950 * MS)
-    assert [refusal.id for refusal in of(got, Refuse)] == [rid] and not of(got, Answer)
+    assert [refusal.id for refusal in of_type(got, Refuse)] == [rid] and not of_type(got, Answer)
 
 
 def test_a_class_with_nothing_open_is_tried_whatever_was_seen_before() -> None:
     broker = Broker()
     broker.train(60, elapsed=1500 * MS)
     assert broker.policy.latency[0, 1].mean > 1000 * MS
-    assert of(broker.query([0], repeat=True)[2], Refuse)  # never a client's repeat
+    assert of_type(broker.query([0], repeat=True)[2], Refuse)  # never a client's repeat
     _, _, got = broker.query([0])
-    assert len(of(got, Send)) == 1
+    assert len(of_type(got, Send)) == 1
     _, _, got = broker.query([0])
-    assert len(of(got, Refuse)) == 1 and of(got, Refuse)[0].retry_in == 400 * MS
+    assert len(of_type(got, Refuse)) == 1 and of_type(got, Refuse)[0].retry_in == 400 * MS
 
 
 def test_a_try_with_less_time_than_others_give_is_no_trial_of_a_slow_class() -> None:
     """Clients that come again with little time would have every broker with nothing open send in vain."""
     broker = Broker()
     broker.train(60, elapsed=1500 * MS)
-    assert of(broker.query([0], time_left=SECOND)[2], Refuse)
-    assert of(broker.query([0])[2], Send)  # a try with all of its time still is
+    assert of_type(broker.query([0], time_left=SECOND)[2], Refuse)
+    assert of_type(broker.query([0])[2], Send)  # a try with all of its time still is
     broker.advance(11 * SECOND)  # and who gives all that is given now, little as it is
-    assert of(broker.query([0], time_left=SECOND)[2], Send)
+    assert of_type(broker.query([0], time_left=SECOND)[2], Send)
 
 
 def test_late_parts_count_as_failures_in_a_row() -> None:
@@ -149,7 +149,7 @@
     for _ in range(3):
         broker.query([0])
         broker.advance(SECOND)
-    assert broker.policy.nodes[node_id(0)].failures == 3
+    assert broker.policy.nodes[node_id(0)].consecutive_failures == 3
     assert broker.policy.nodes[node_id(0)].load(broker.now, 0) > 3 + 1
 
 
@@ -165,9 +165,11 @@
 def test_tries_are_spread_out_when_no_replica_is_sound() -> None:
     broker = Broker(nodes=[entry(0, 0), entry(1, 0)])
     _, parts, _ = broker.query([0])
-    assert len(of(broker.end(parts[0], Result.CONNECT_FAILED), Send)) == 1  # the other replica may be sound
-    assert not of(broker.end(parts[0], Result.CONNECT_FAILED), Send)
-    assert len(of(broker.advance(450 * MS), Send)) == 1
+    assert (
+        len(of_type(broker.end(parts[0], Result.CONNECT_FAILED), Send)) == 1
+    )  # the other replica may be sound
+    assert not of_type(broker.end(parts[0], Result.CONNECT_FAILED), Send)
+    assert len(of_type(broker.advance(450 * MS), Send)) == 1
 
 
 def test_tries_are_spread_out_while_the_other_replica_is_too_cold_to_take_one() -> None:
@@ -176,10 +178,10 @@
     last = -int.from_bytes(cold.node) % 200  # this broker's turn comes last: it begins with no credit there
     broker = Broker(nodes=[entry(0, 0), cold], config=settings(instances=200, me=last))
     _, parts, got = broker.query([0])
-    assert [send.node for send in of(got, Send)] == [node_id(0)]
+    assert [send.node for send in of_type(got, Send)] == [node_id(0)]
     for _ in range(2):
-        assert not of(broker.end(parts[0], Result.FULL, elapsed=2 * MS), Send)
-        assert len(of(broker.advance(450 * MS), Send)) == 1
+        assert not of_type(broker.end(parts[0], Result.FULL, elapsed=2 * MS), Send)
+        assert len(of_type(broker.advance(450 * MS), Send)) == 1
 
 
 def test_overload_is_logged_once_at_its_begin_and_end() -> None:
@@ -189,7 +191,7 @@
         broker.query([0])
     broker.advance(10 * SECOND)
     broker.query([1])
-    texts = [log.text for log in of(broker.actions, Log) if "overload" in log.text]
+    texts = [log.text for log in of_type(broker.actions, Log) if "overload" in log.text]
     assert [text.split(":")[0] for text in texts] == ["overload begun", "overload ended"]
 
 
@@ -198,9 +200,9 @@
     broker.train()
     broker.query([0])
     _, _, got = broker.query([0], time_left=150 * MS)
-    assert len(of(got, Refuse)) == 1 and not of(got, Send)
+    assert len(of_type(got, Refuse)) == 1 and not of_type(got, Send)
     _, _, got = broker.query([0], time_left=2 * SECOND)
-    assert len(of(got, Send)) == 1
+    assert len(of_type(got, Send)) == 1
 
 
 def test_a_broker_with_little_traffic_remembers_until_it_meets_the_node_again() -> None:
@@ -215,13 +217,13 @@
     bad = [send for send in broker.sends if send.part == parts[0]][0].node
     broker.advance(9 * SECOND)  # longer than a busy broker's memory, shorter than one meeting
     _, _, got = broker.query([29])
-    assert [send.node == bad for send in of(got, Send)] == [False]
+    assert [send.node == bad for send in of_type(got, Send)] == [False]
 
 
 def test_one_fresh_failure_is_not_cut_off_the_count() -> None:
     broker = Broker()
     _, parts, got = broker.query([0])
-    bad = of(got, Send)[0].node
+    bad = of_type(got, Send)[0].node
     broker.end(parts[0], Result.ERROR)
     broker.advance(5 * MS)
     assert broker.policy.nodes[bad].load(broker.now, 0) == broker.policy.nodes[bad].calls + 1
@@ -230,33 +232,35 @@
 def test_a_query_that_takes_down_all_it_meets_is_ended_before_it_meets_more() -> None:
     broker = Broker()
     rid, parts, _ = broker.query([0, 1, 2])
-    assert not of(broker.end(parts[0], Result.RESET, elapsed=20 * MS), Send)
+    assert not of_type(broker.end(parts[0], Result.RESET, elapsed=20 * MS), Send)
     got = broker.end(parts[1], Result.RESET, elapsed=25 * MS)
-    assert [refusal.id for refusal in of(got, Refuse)] == [rid] and not of(got, Send)
-    assert len(of(got, Cancel)) == 1 and not of(broker.advance(5 * SECOND), Send)
+    assert [refusal.id for refusal in of_type(got, Refuse)] == [rid] and not of_type(got, Send)
+    assert len(of_type(got, Cancel)) == 1 and not of_type(broker.advance(5 * SECOND), Send)
 
 
 def test_a_lost_connection_is_made_good_once_another_part_of_the_query_is_in() -> None:
     broker = Broker()
     rid, parts, _ = broker.query([0, 1, 2])
-    assert not of(broker.end(parts[0], Result.RESET), Send)
-    assert [send.part for send in of(broker.end(parts[1]), Send)] == [parts[0]]
-    assert not of(broker.end(parts[2], Result.RESET), Refuse)  # two lost, but the query is proved harmless
+    assert not of_type(broker.end(parts[0], Result.RESET), Send)
+    assert [send.part for send in of_type(broker.end(parts[1]), Send)] == [parts[0]]
+    assert not of_type(
+        broker.end(parts[2], Result.RESET), Refuse
+    )  # two lost, but the query is proved harmless
 
 
 def test_a_repeat_sends_one_part_ahead_only_while_connections_are_being_lost() -> None:
     broker = Broker()
     _, _, got = broker.query([0, 1, 2], repeat=True)
-    assert len(of(got, Send)) == 3
+    assert len(of_type(got, Send)) == 3
     _, parts, _ = broker.query([0])
     broker.end(parts[0], Result.RESET)
     _, parts, got = broker.query([0, 1, 2], repeat=True)
-    assert len(of(got, Send)) == 1
-    ahead = of(got, Send)[0].part
-    assert sorted(send.part for send in of(broker.end(ahead), Send)) == sorted(set(parts) - {ahead})
+    assert len(of_type(got, Send)) == 1
+    ahead = of_type(got, Send)[0].part
+    assert sorted(send.part for send in of_type(broker.end(ahead), Send)) == sorted(set(parts) - {ahead})
     broker.advance(20 * SECOND)
     _, _, got = broker.query([0, 1, 2], repeat=True)
-    assert len(of(got, Send)) == 3
+    assert len(of_type(got, Send)) == 3
 
 
 def test_queries_with_the_key_of_a_poisoned_one_are_refused_for_a_while() -> None:
@@ -265,12 +269,12 @@
     broker.end(parts[0], Result.RESET)
     broker.end(parts[1], Result.RESET)
     _, _, got = broker.query([0], key=77)
-    assert len(of(got, Refuse)) == 1 and not of(got, Send)
+    assert len(of_type(got, Refuse)) == 1 and not of_type(got, Send)
     _, _, got = broker.query([0], key=78)
-    assert len(of(got, Send)) == 1
+    assert len(of_type(got, Send)) == 1
     broker.advance(31 * SECOND)
     _, _, got = broker.query([0], key=77)
-    assert len(of(got, Send)) == 1
+    assert len(of_type(got, Send)) == 1
 
 
 def test_keys_of_poisoned_queries_are_bounded_and_no_key_is_no_key() -> None:
@@ -281,16 +285,16 @@
             if any(send.part == part for send in broker.sends):
                 broker.end(part, Result.RESET)
         broker.advance(2 * SECOND)
-    assert 0 < len(broker.policy.culprits) <= 100
+    assert 0 < len(broker.policy.poison_keys) <= 100
     _, _, got = broker.query([0], key=0)
-    assert not of(got, Refuse)
+    assert not of_type(got, Refuse)
 
 
 def test_a_repeat_that_loses_its_first_part_is_ended() -> None:
     broker = Broker()
     _, parts, _ = broker.query([0], repeat=True)
     got = broker.end(parts[0], Result.RESET)
-    assert len(of(got, Refuse)) == 1 and not of(got, Send)
+    assert len(of_type(got, Refuse)) == 1 and not of_type(got, Send)
 
 
 def test_a_success_among_failures_does_not_clear_a_node() -> None:
@@ -309,25 +313,25 @@
         broker = Broker()
         broker.train(60)
         broker.train(60, elapsed=elapsed)
-        broker.policy.spare = 0.0
+        broker.policy.hedge_tokens = 0.0
         for shard in range(3):
             broker.query([shard])
-        earned.append(broker.policy.spare)
+        earned.append(broker.policy.hedge_tokens)
     assert earned[0] >= 2 * earned[1] > 0
 
 
 def test_open_connections_are_preferred_after_a_dial_that_took_too_long() -> None:
     broker = Broker(nodes=[entry(number, number // 2) for number in range(4)], config=settings(cells=2))
     _, parts, got = broker.query([0])
-    heard = of(got, Send)[0].node
+    heard = of_type(got, Send)[0].node
     broker.end(parts[0])
     _, parts, _ = broker.query([1])
     broker.end(parts[0], Result.CONNECT_FAILED, elapsed=250 * MS)
     for _ in range(2):
         _, _, got = broker.query([0])
-        assert [send.node for send in of(got, Send)] == [heard]
+        assert [send.node for send in of_type(got, Send)] == [heard]
     broker.advance(16 * SECOND)  # the connection has closed by now
-    nodes = {send.node for _ in range(4) for send in of(broker.query([0])[2], Send)}
+    nodes = {send.node for _ in range(4) for send in of_type(broker.query([0])[2], Send)}
     assert len(nodes) == 2
 
 
@@ -337,14 +341,14 @@
     jammed, dead = broker.policy.nodes[node_id(0)], broker.policy.nodes[node_id(1)]
     jammed.ratio, jammed.ratio_at = 12.0, broker.now
     for _ in range(12):
-        dead.note(broker.now, 0, 1.0)
-    assert dead.speed(broker.now) < 2  # by its latency alone it would be the better choice
+        dead.record_outcome(broker.now, 0, 1.0)
+    assert dead.slowdown(broker.now) < 2  # by its latency alone it would be the better choice
     broker.query([1])  # the class has a query open: no trial is due
     _, _, got = broker.query([0])
-    assert len(of(got, Refuse)) == 1
-    dead.faults = {None: (0.3, broker.now)}
+    assert len(of_type(got, Refuse)) == 1
+    dead.failure_shares = {None: (0.3, broker.now)}
     _, _, got = broker.query([0])
-    assert len(of(got, Send)) == 1
+    assert len(of_type(got, Send)) == 1
 
 
 def test_nodes_that_come_and_go_under_new_names_are_forgotten() -> None:
@@ -363,11 +367,11 @@
     broker = Broker()
     for end in (Result.OK, Result.ERROR):
         _, parts, _ = broker.query([0])
-        assert broker.policy.tried == [1]
+        assert broker.policy.admitted == [1]
         for _ in range(3):
             broker.end(parts[0], end)
         broker.advance(5 * SECOND)
-        assert broker.policy.tried == [0]
+        assert broker.policy.admitted == [0]
 
 
 def test_no_answer_teaches_that_a_node_is_slow() -> None:
@@ -376,7 +380,7 @@
     _, parts, _ = broker.query([0])
     broker.advance(SECOND)
     broker.end(parts[0], Result.TIMEOUT, elapsed=SECOND)
-    assert broker.policy.nodes[node_id(0)].speed(broker.now) > 2
+    assert broker.policy.nodes[node_id(0)].slowdown(broker.now) > 2
 
 
 def test_while_crowded_parts_of_a_round_share_a_call_that_costs_work() -> None:
@@ -398,24 +402,24 @@
     broker.query([0], time_left=5 * SECOND)  # a full try
     broker.end(broker.sends[-1].part)
     _, _, got = broker.query([0], time_left=3 * SECOND, repeat=True)  # 3 s old, the target is 2 s
-    assert of(got, Send)  # while all is well a late answer is still worth something
+    assert of_type(got, Send)  # while all is well a late answer is still worth something
     broker.end(broker.sends[-1].part)
     broker.train(60, elapsed=500 * MS)
     _, _, got = broker.query([0], time_left=3 * SECOND, repeat=True)
-    assert of(got, Refuse)
+    assert of_type(got, Refuse)
 
 
 def test_copies_are_kept_for_queries_that_they_can_complete() -> None:
     broker = Broker(nodes=[entry(0, 0), entry(1, 0)])
     broker.train(40, shards=(0,))
-    broker.policy.spare = 3.0
+    broker.policy.hedge_tokens = 3.0
     broker.query([0] * 30)
     sent = len(broker.sends)
     broker.advance(1900 * MS)
     assert len(broker.sends) == sent  # three copies would not make it whole
     broker = Broker(nodes=[entry(0, 0), entry(1, 0)])
     broker.train(40, shards=(0,))
-    broker.policy.spare = 3.0
+    broker.policy.hedge_tokens = 3.0
     _, parts, _ = broker.query([0] * 30)
     for part in parts[:28]:
         broker.end(part)
@@ -429,9 +433,9 @@
     broker.train(10, shards=(0,))
     node = broker.policy.nodes[node_id(0)]
     for _ in range(4):
-        node.note(broker.now, 1, 1.0)
+        node.record_outcome(broker.now, 1, 1.0)
         for _ in range(5):
-            node.note(broker.now, 0, 0.0)
+            node.record_outcome(broker.now, 0, 0.0)
     assert node.load(broker.now, 1) >= node.calls + 2
     assert node.load(broker.now, 0) == node.calls
 
--- a/tests/test_policy_cost.py
+++ b/tests/test_policy_cost.py
@@ -88,13 +88,13 @@
         {"QueryState": QueryState},
         namespace,
     )
-    next_look = Aggregator._next_look
+    next_wakeup = Aggregator._next_wakeup
 
     def walking(module: Aggregator, query: QueryState, blocked: bool) -> int:
         namespace["walk"](query)
-        return next_look(module, query, blocked)
+        return next_wakeup(module, query, blocked)
 
-    monkeypatch.setattr(Aggregator, "_next_look", walking)
+    monkeypatch.setattr(Aggregator, "_next_wakeup", walking)
     assert steps_per_part(MANY) > STEPS_RATIO * steps_per_part(FEW)
 
 
@@ -109,8 +109,8 @@
     late = load.now + case_settings(case).classes[0].target // 2
     module.handle(late, ends[:1])  # the others are late from here on
     (query,) = module.queries.values()
-    assert len(query.lacking) == parts - 1
-    module.spare = 0.0
+    assert len(query.uncovered) == parts - 1
+    module.hedge_tokens = 0.0
     return steps(lambda: [module.handle(late, [end]) for end in ends[1:-2]]) / (parts - 3)
 
 
@@ -171,13 +171,13 @@
         return actions
 
     def compare(self, query: QueryState) -> None:
-        if query.waiting:  # its parts are called back, and none is looked at again
+        if query.awaiting_second_step:  # its parts are called back, and none is looked at again
             return
         parts = query.parts
         live = [attempt for part in parts for attempt in part.live]
         covered = [part for part in parts if part.ok or any(not attempt.late for attempt in part.live)]
         started = [part for part in parts if any(not attempt.failed for attempt in part.attempts)]
-        kept = (query.weight_in, query.covered, query.held, query.started)
+        kept = (query.weight_in, query.weight_covered, query.weight_in_or_live, query.weight_started)
         summed = (
             [part for part in parts if part.ok],
             covered,
@@ -186,13 +186,15 @@
         )
         for value, those in zip(kept, summed, strict=True):
             assert value == pytest.approx(sum(part.weight for part in those), abs=1e-9)
-        assert query.out == len(live)
-        assert query.sent == sum(len(part.attempts) for part in parts)
-        assert query.lacking == {part.index: part for part in parts if part not in covered}
+        assert query.open_attempts == len(live)
+        assert query.attempts_sent == sum(len(part.attempts) for part in parts)
+        assert query.uncovered == {part.index: part for part in parts if part not in covered}
         in_time = [attempt for attempt in live if not attempt.late]
         assert set(query.in_time) == set(in_time)
-        assert [attempt.sent for attempt in query.in_time] == sorted(attempt.sent for attempt in in_time)
-        unsent = [part for part in parts if not part.attempts and not part.dead]
+        assert [attempt.sent_at for attempt in query.in_time] == sorted(
+            attempt.sent_at for attempt in in_time
+        )
+        unsent = [part for part in parts if not part.attempts and not part.closed]
         assert sorted(part.index for home in query.unsent.values() for part in home) == [
             part.index for part in unsent
         ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
     Send,
     Watch,
 )
-from tests.helpers import MS, SECOND, Broker, entry, node_id, of, query_class, settings
+from tests.helpers import MS, SECOND, Broker, entry, node_id, of_type, query_class, settings
 
 ANY = query_class(need=0.6, floor=0.6)
 UNSAFE = query_class(effect=Effect.UNSAFE)
@@ -32,23 +32,23 @@
 def test_any_n_of_k_sends_exactly_n() -> None:
     broker = Broker(settings((ANY,)))
     _, _, got = broker.query([0, 1, 2, 0, 1, 2, 0, 1, 2])
-    assert len(of(got, Send)) == 6
+    assert len(of_type(got, Send)) == 6
 
 
 def test_sends_go_to_the_least_loaded_replica_and_the_least_loaded_parts() -> None:
     broker = Broker(settings((query_class(), query_class(need=0.5, floor=0.5))))
     broker.query([0, 0])  # one part at each replica of cell 0
     _, parts, got = broker.query([0, 1], kind=1)
-    sends = of(got, Send)
+    sends = of_type(got, Send)
     assert [send.part for send in sends] == [parts[1]]
     _, _, got = broker.query([1])
-    assert of(got, Send)[0].node != sends[0].node
+    assert of_type(got, Send)[0].node != sends[0].node
 
 
 def test_unequal_weights_decide_n() -> None:
     broker = Broker(settings((query_class(need=0.5, floor=0.5),)))
     rid, parts, got = broker.query([0, 1, 2], weights=[0.2, 0.3, 0.5])
-    sent = [send.part for send in of(got, Send)]
+    sent = [send.part for send in of_type(got, Send)]
     weights = dict(zip(parts, [0.2, 0.3, 0.5], strict=True))
     assert sum(weights[part] for part in sent) >= 0.5 > sum(weights[part] for part in sent[:-1])
 
@@ -65,11 +65,11 @@
     broker = Broker(settings((query_class(second_step=2),)))
     rid, parts, _ = broker.query([0, 1])
     broker.end(parts[0])
-    assert of(broker.end(parts[1]), Answer) == [Answer(rid, True)]
+    assert of_type(broker.end(parts[1]), Answer) == [Answer(rid, True)]
     more, got = broker.more_parts([0, 1])
-    assert sorted(send.part for send in of(got, Send)) == more
+    assert sorted(send.part for send in of_type(got, Send)) == more
     broker.end(more[0])
-    assert of(broker.end(more[1]), Answer) == [Answer(rid, True)]
+    assert of_type(broker.end(more[1]), Answer) == [Answer(rid, True)]
     assert not broker.policy.queries
 
 
@@ -80,34 +80,34 @@
     broker = Broker()
     rid, _, _ = broker.query([0, 1], time_left=3 * SECOND)
     got = broker.advance(3 * SECOND)
-    assert len(of(got, Refuse)) + len(of(got, Fail)) == 1
-    assert not of(broker.advance(SECOND), Send)
+    assert len(of_type(got, Refuse)) + len(of_type(got, Fail)) == 1
+    assert not of_type(broker.advance(SECOND), Send)
 
 
 def test_second_step_that_never_comes_still_ends() -> None:
     broker = Broker(settings((query_class(second_step=1),)))
     rid, parts, _ = broker.query([0])
     broker.end(parts[0])
-    assert [refusal.id for refusal in of(broker.advance(5 * SECOND), Refuse)] == [rid]
+    assert [refusal.id for refusal in of_type(broker.advance(5 * SECOND), Refuse)] == [rid]
 
 
 def test_no_send_after_the_client_has_left_even_in_one_batch() -> None:
     broker = Broker()
     rid, parts, got = broker.query([0])
-    node = of(got, Send)[0].node
+    node = of_type(got, Send)[0].node
     failed = Outcome(parts[0], 0, node, Result.ERROR, MS, False, ())
-    assert not of(broker.feed(failed, Left(rid)), Send)
-    assert not of(broker.feed(Left(rid)), Fail)
+    assert not of_type(broker.feed(failed, Left(rid)), Send)
+    assert not of_type(broker.feed(Left(rid)), Fail)
 
 
 def test_departure_named_by_a_part_stops_sends_and_is_answered() -> None:
     broker = Broker(settings((ANY,)))
     _, parts, got = broker.query([0, 1, 2])
-    first = of(got, Send)[0]
+    first = of_type(got, Send)[0]
     failed = Outcome(first.part, 0, first.node, Result.FULL, MS, False, ())
-    sent = of(broker.feed(failed, Left(first.part)), Send)
-    assert not sent and not of(broker.advance(4 * SECOND), Send)
-    assert len(of(broker.actions, Refuse)) == 1
+    sent = of_type(broker.feed(failed, Left(first.part)), Send)
+    assert not sent and not of_type(broker.advance(4 * SECOND), Send)
+    assert len(of_type(broker.actions, Refuse)) == 1
 
 
 def test_outcome_of_an_unknown_id_is_ignored() -> None:
@@ -118,8 +118,8 @@
 def test_no_live_replica_is_answered_at_once() -> None:
     broker = Broker(nodes=[entry(0, 0)])
     rid, _, got = broker.query([0, 1])
-    assert [refusal.id for refusal in of(got, Refuse)] == [rid]
-    assert not of(got, Send)
+    assert [refusal.id for refusal in of_type(got, Refuse)] == [rid]
+    assert not of_type(got, Send)
 
 
 # --- rule 2: no effect happens twice ---
@@ -130,52 +130,52 @@
     broker = Broker(settings((UNSAFE,)))
     rid, parts, _ = broker.query([0])
     got = broker.end(parts[0], result)
-    assert of(got, Fail) == [Fail(rid)] and not of(got, Send) and not of(got, Refuse)
+    assert of_type(got, Fail) == [Fail(rid)] and not of_type(got, Send) and not of_type(got, Refuse)
 
 
 @pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED])
 def test_unsafe_part_proved_unrun_is_sent_again(result: Result) -> None:
     broker = Broker(settings((UNSAFE,)))
     _, parts, _ = broker.query([0])
-    assert len(of(broker.end(parts[0], result), Send)) == 1
+    assert len(of_type(broker.end(parts[0], result), Send)) == 1
 
 
 def test_unsafe_query_is_refused_only_on_proof() -> None:
     broker = Broker(settings((UNSAFE,), limits={"attempts": 1}))
     rid, parts, _ = broker.query([0])
-    assert [r.id for r in of(broker.end(parts[0], Result.FULL), Refuse)] == [rid]
+    assert [r.id for r in of_type(broker.end(parts[0], Result.FULL), Refuse)] == [rid]
     rid, parts, _ = broker.query([0])
-    assert of(broker.advance(4 * SECOND), Fail) == [Fail(rid)]
+    assert of_type(broker.advance(4 * SECOND), Fail) == [Fail(rid)]
 
 
 def test_unsafe_part_never_has_a_second_copy() -> None:
     broker = Broker(settings((UNSAFE,)))
     broker.query([0])
-    assert not of(broker.advance(3 * SECOND), Send)
+    assert not of_type(broker.advance(3 * SECOND), Send)
 
 
 def test_keyed_part_is_resent_only_inside_its_window() -> None:
     broker = Broker(settings((KEYED,)))
     _, parts, _ = broker.query([0])
-    assert len(of(broker.end(parts[0], Result.ERROR), Send)) == 1
+    assert len(of_type(broker.end(parts[0], Result.ERROR), Send)) == 1
     rid, parts, _ = broker.query([0])
     broker.now += SECOND
     got = broker.end(parts[0], Result.ERROR)
-    assert not of(got, Send) and of(got, Fail) == [Fail(rid)]
+    assert not of_type(got, Send) and of_type(got, Fail) == [Fail(rid)]
 
 
 def test_no_two_attempts_at_once_where_forbidden() -> None:
     broker = Broker(settings(limits={"duplicate": False}))
     _, parts, got = broker.query([0])
-    assert not of(broker.advance(of(got, Send)[0].timeout - 1), Send)
-    assert len(of(broker.end(parts[0], Result.TIMEOUT), Send)) == 1
+    assert not of_type(broker.advance(of_type(got, Send)[0].timeout - 1), Send)
+    assert len(of_type(broker.end(parts[0], Result.TIMEOUT), Send)) == 1
 
 
 def test_attempt_limit_holds() -> None:
     broker = Broker(settings(limits={"attempts": 2}))
     rid, parts, _ = broker.query([0])
-    assert of(broker.end(parts[0], Result.ERROR), Send)
-    assert not of(broker.end(parts[0], Result.ERROR), Send)
+    assert of_type(broker.end(parts[0], Result.ERROR), Send)
+    assert not of_type(broker.end(parts[0], Result.ERROR), Send)
 
 
 # --- rule 3: drains are kept ---
@@ -218,7 +218,7 @@
     kinds = (query_class(target=1500 * MS),)
     config = [settings(kinds, instances=instances, me=me) for me in range(instances)]
     brokers = [Broker(config[me], seed=me, nodes=[entry(0, 0, since=since)]) for me in range(instances)]
-    work = brokers[0].policy.latency[0, 1].base
+    work = brokers[0].policy.latency[0, 1].baseline
     sent = [0.0] * 31  # work sent in each half second of the ramp
     for slot in range(31):
         for broker in brokers:
@@ -241,9 +241,9 @@
     before = node.tokens
     broker.more_parts([0])
     assert before - node.tokens == 1.0
-    rates = [broker.policy._fill(node, 0)]
+    rates = [broker.policy._refill(node, 0)]
     broker.policy.latency[0, 1].work += broker.policy.latency[0, 1].work + 30 * MS  # twice, with its call
-    rates.append(broker.policy._fill(node, 0))
+    rates.append(broker.policy._refill(node, 0))
     assert rates[0] > 1.9 * rates[1]
 
 
@@ -301,10 +301,10 @@
     rid, parts, _ = broker.query([0, 1, 2])
     broker.end(parts[0])
     broker.end(parts[1])
-    assert of(broker.advance(4 * SECOND), Answer) == [Answer(rid, False)]
+    assert of_type(broker.advance(4 * SECOND), Answer) == [Answer(rid, False)]
     rid, parts, _ = broker.query([0, 1, 2])
     broker.end(parts[0])
-    assert not of(broker.advance(4 * SECOND), Answer)
+    assert not of_type(broker.advance(4 * SECOND), Answer)
 
 
 @pytest.mark.parametrize("second", [0, 2])
@@ -313,18 +313,18 @@
     broker = Broker(settings((spec,), limits={"duplicate": False}))
     rid, parts, _ = broker.query([0, 1, 2])
     broker.end(parts[0])
-    assert not of(broker.actions, Answer)
+    assert not of_type(broker.actions, Answer)
     broker.end(parts[1])
     before = broker.now
     got = broker.advance(2 * SECOND - 1)
-    assert of(got, Answer) == [Answer(rid, False)]
-    assert not of(broker.actions, Refuse) or second
+    assert of_type(got, Answer) == [Answer(rid, False)]
+    assert not of_type(broker.actions, Refuse) or second
     if second:  # early enough that its parts may still come in
         broker.actions.clear()
         broker.now = before + 1600 * MS
         more, _ = broker.more_parts([0, 1])
         broker.end(more[0])
-        assert of(broker.end(more[1]), Answer) == [Answer(rid, False)]
+        assert of_type(broker.end(more[1]), Answer) == [Answer(rid, False)]
 
 
 def test_partial_answer_waits_while_the_whole_may_come_in_time() -> None:
@@ -332,8 +332,8 @@
     rid, parts, _ = broker.query([0, 1, 2])
     for part in parts[:2]:
         broker.end(part)
-    assert not of(broker.advance(SECOND), Answer)
-    assert of(broker.end(parts[2]), Answer) == [Answer(rid, True)]
+    assert not of_type(broker.advance(SECOND), Answer)
+    assert of_type(broker.end(parts[2]), Answer) == [Answer(rid, True)]
 
 
 def overdue(late_worth: float) -> tuple[Broker, int, list[int]]:
@@ -348,27 +348,27 @@
 
 def test_past_the_target_tries_are_spread_over_the_time_left_and_the_last_one_ends_the_query() -> None:
     broker, rid, parts = overdue(late_worth=0.3)
-    assert not of(broker.end(parts[1], Result.FULL), Send)
-    assert len(of(broker.advance(SECOND), Send)) == 1  # of 2 s for the two tries left
-    assert not of(broker.end(parts[1], Result.FULL), Send)
-    assert not of(broker.advance(400 * MS), Send)
-    assert len(of(broker.advance(100 * MS), Send)) == 1
-    assert of(broker.end(parts[1], Result.FULL), Refuse)[0].id == rid  # nothing is left to wait for
+    assert not of_type(broker.end(parts[1], Result.FULL), Send)
+    assert len(of_type(broker.advance(SECOND), Send)) == 1  # of 2 s for the two tries left
+    assert not of_type(broker.end(parts[1], Result.FULL), Send)
+    assert not of_type(broker.advance(400 * MS), Send)
+    assert len(of_type(broker.advance(100 * MS), Send)) == 1
+    assert of_type(broker.end(parts[1], Result.FULL), Refuse)[0].id == rid  # nothing is left to wait for
 
 
 def test_past_the_target_a_class_without_late_worth_is_given_up_at_once() -> None:
     broker, rid, _ = overdue(late_worth=0.0)
-    assert [refuse.id for refuse in of(broker.actions, Refuse)] == [rid]
+    assert [refuse.id for refuse in of_type(broker.actions, Refuse)] == [rid]
 
 
 def test_past_the_target_no_copy_goes_beside_a_try_that_is_out() -> None:
     broker = Broker(settings((query_class(),), limits={"attempts": 2}))
     _, parts, _ = broker.query([0, 1])
     broker.end(parts[0])
-    broker.policy.spare = 0.0  # none may go out before the target
+    broker.policy.hedge_tokens = 0.0  # none may go out before the target
     broker.advance(2 * SECOND)
-    broker.policy.spare = 10.0
-    assert not of(broker.advance(2 * SECOND - 50 * MS), Send)
+    broker.policy.hedge_tokens = 10.0
+    assert not of_type(broker.advance(2 * SECOND - 50 * MS), Send)
 
 
 def test_a_node_with_an_open_connection_goes_before_one_that_needs_a_new_one() -> None:
@@ -391,8 +391,8 @@
     broker.advance(SECOND)
     assert len([s for s in broker.sends if s.part == parts[0]]) == 2
     broker.end(parts[0], attempt=0)
-    assert not of(broker.end(parts[0], attempt=1), Answer)
-    assert of(broker.end(parts[1]), Answer) == [Answer(rid, True)]
+    assert not of_type(broker.end(parts[0], attempt=1), Answer)
+    assert of_type(broker.end(parts[1]), Answer) == [Answer(rid, True)]
 
 
 def test_an_incomplete_first_answer_is_never_whole_later() -> None:
@@ -401,9 +401,9 @@
     rid, parts, _ = broker.query([0, 1], time_left=4 * SECOND)
     broker.end(parts[0])
     got = broker.end(parts[1], Result.ERROR)
-    assert of(got, Answer) == [Answer(rid, False)]
+    assert of_type(got, Answer) == [Answer(rid, False)]
     more, _ = broker.more_parts([0])
-    assert of(broker.end(more[0]), Answer) == [Answer(rid, False)]
+    assert of_type(broker.end(more[0]), Answer) == [Answer(rid, False)]
 
 
 # --- rule 6: the attempt budget ---
@@ -429,7 +429,7 @@
 def test_budget_of_zero_allows_no_extra_attempt() -> None:
     broker = Broker(settings(rules={"budget_window": SECOND}))
     _, parts, _ = broker.query([0])
-    assert not of(broker.end(parts[0], Result.ERROR), Send)
+    assert not of_type(broker.end(parts[0], Result.ERROR), Send)
 
 
 # --- what limits forbid ---
@@ -439,15 +439,15 @@
     broker = Broker(settings((ANY,), limits={"cancel": False, "retry_after": False}))
     _, parts, _ = broker.query([0, 1, 2])
     got = broker.advance(5 * SECOND)
-    assert not of(broker.actions, Cancel)
-    assert [refusal.retry_in for refusal in of(got, Refuse)] == [0]
+    assert not of_type(broker.actions, Cancel)
+    assert [refusal.retry_in for refusal in of_type(got, Refuse)] == [0]
 
 
 def test_asks_for_the_list_where_it_must_and_again_after_a_failure() -> None:
     broker = Broker(settings(must_ask=True))
-    assert of(broker.actions, Watch) == [Watch(True)]
+    assert of_type(broker.actions, Watch) == [Watch(True)]
     broker.feed(Members(Scope.FAILED, 0, ()))
-    assert of(broker.advance(5 * SECOND), Watch) == [Watch(True)]
+    assert of_type(broker.advance(5 * SECOND), Watch) == [Watch(True)]
 
 
 def test_brokers_ask_for_the_list_again_at_times_of_their_own_within_what_the_rules_set() -> None:
@@ -471,17 +471,17 @@
     config = settings((ANY,), limits={"attempts": 1, "duplicate": False}, instances=1, cells=1, reach=3)
     broker = Broker(config, nodes=[entry(0, 0)])
     rid, parts, got = broker.query([0, 1, 2, 3, 4])
-    assert len(of(got, Send)) == 3
-    sent = [send.part for send in of(got, Send)]
+    assert len(of_type(got, Send)) == 3
+    sent = [send.part for send in of_type(got, Send)]
     for part in sent:
         got = broker.end(part)
-    assert of(got, Answer) == [Answer(rid, True)]
+    assert of_type(got, Answer) == [Answer(rid, True)]
 
 
 def test_query_without_parts_is_ended() -> None:
     broker = Broker()
     got = broker.feed(Query(900, 77, 0, 0, 0, SECOND, 0, 0, False))
-    assert len(of(got, Refuse)) + len(of(got, Fail)) == 1
+    assert len(of_type(got, Refuse)) + len(of_type(got, Fail)) == 1
 
 
 # --- odd but legal settings ---
@@ -511,7 +511,7 @@
 def test_an_unknown_tenant_is_served_like_any_other() -> None:
     broker = Broker()
     _, _, got = broker.query([0, 1], tenant=999)
-    assert len(of(got, Send)) == 2
+    assert len(of_type(got, Send)) == 2
 
 
 def test_keyed_part_with_a_window_shorter_than_its_target_is_resent_inside_it_or_never() -> None:
@@ -519,23 +519,23 @@
     broker = Broker(settings((spec,), limits={"duplicate": False}), nodes=[entry(0, 0), entry(1, 0)])
     broker.train(40, shards=(0,))
     latency = broker.policy.latency[0, 1]
-    latency.mean = 2.5 * latency.base  # crowded, when other classes wait longest
+    latency.mean = 2.5 * latency.baseline  # crowded, when other classes wait longest
     _, parts, _ = broker.query([0])
     first = broker.sends[-1]
     assert first.timeout < 700 * MS  # leaves a time to resend
     broker.advance(first.timeout)
-    assert of(broker.end(parts[0], Result.TIMEOUT, elapsed=first.timeout), Send)
+    assert of_type(broker.end(parts[0], Result.TIMEOUT, elapsed=first.timeout), Send)
     broker.advance(700 * MS - first.timeout)
     got = broker.end(parts[0], Result.TIMEOUT, elapsed=300 * MS)
-    assert not of(got, Send) and len(of(got, Fail)) == 1
+    assert not of_type(got, Send) and len(of_type(got, Fail)) == 1
 
 
 def test_a_list_that_fails_all_day_is_asked_for_again_and_queries_are_served_from_the_old_one() -> None:
     broker = Broker(settings(must_ask=True, rules={"must_ask_in": 0}, instances=90))
     for _ in range(30):
         broker.feed(Members(Scope.FAILED, 0, ()))
-        assert of(broker.advance(4 * SECOND), Watch) == [Watch(True)]
-    assert of(broker.query([0, 1])[2], Send)
+        assert of_type(broker.advance(4 * SECOND), Watch) == [Watch(True)]
+    assert of_type(broker.query([0, 1])[2], Send)
 
 
 def test_one_server_one_broker_one_attempt_still_ends_every_query() -> None:
@@ -560,8 +560,8 @@
             _, parts, _ = broker.query([0])
             broker.end(parts[0])
             broker.advance(10 * MS)
-        assert len(broker.policy.budget.taken) <= most
-        assert not broker.policy.budget.extra
+        assert len(broker.policy.budget.accepted) <= most
+        assert not broker.policy.budget.extra_sent
 
 
 @pytest.mark.parametrize("effect", [Effect.UNSAFE, Effect.KEYED])
@@ -570,7 +570,7 @@
     _, parts, _ = broker.query([0])
     broker.end(parts[0])
     _, got = broker.more_parts([1])  # nobody holds it
-    assert of(got, Fail) and not of(got, Refuse)
+    assert of_type(got, Fail) and not of_type(got, Refuse)
 
 
 @pytest.mark.parametrize(("window", "before"), [(SECOND, 5 * MS), (SECOND, 1), (4 * MS, 2 * MS), (1, 0)])
@@ -581,7 +581,7 @@
     broker.advance(window - before)
     got = broker.end(parts[0], Result.TIMEOUT)
     got += broker.advance(SECOND)
-    assert not of(got, Send) and not of(got, Refuse) and len(of(got, Fail)) == 1
+    assert not of_type(got, Send) and not of_type(got, Refuse) and len(of_type(got, Fail)) == 1
 
 
 @pytest.mark.parametrize("window", [1, 4 * MS, 100 * MS])
