--- a/benchmarks/capacity/driver.py
+++ b/benchmarks/capacity/driver.py
@@ -4,7 +4,7 @@
 
 from benchmarks.capacity.measuring import Measured, allocated_bytes, processor_seconds, repeated, series
 from benchmarks.capacity.site import SECOND, configuration
-from quincepath.broker.driver import Driver, Module
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.interface import (
     Action,
     Answer,
@@ -20,7 +20,7 @@
     Scope,
     Send,
 )
-from quincepath.orders import Arrived, Ask, Ended, Input, Listed, PartAsk, StartCall
+from quincepath.orders import Ask, AttemptEnded, Input, MembershipUpdate, PartRequest, QueryArrived, StartCall
 from quincepath.policy import Aggregator
 
 PARTS = (13, 26, 52, 130, 260)
@@ -61,21 +61,21 @@
 def _driver(real: bool = False) -> Driver:
     """One that knows a node for each shard; ``real``: around the decision module."""
     config = configuration(target=4 * SECOND)
-    module: Module = Aggregator(config.settings, config.seed) if real else SendAll()
+    module: DecisionModule = Aggregator(config.settings, config.seed) if real else SendAll()
     driver = Driver(module, config.settings, config.site.grace)
     entries = tuple(Entry(_node(shard), 0, 0, shard, 0, Phase.READY, 1.0) for shard in range(max(PARTS)))
-    driver.step(0, [Listed(Members(Scope.FULL, 1, entries))])
+    driver.step(0, [MembershipUpdate(Members(Scope.FULL, 1, entries))])
     return driver
 
 
 def _ask(handle: int, parts: int) -> Ask:
-    asks = tuple(PartAsk(shard, 1 / parts, b"c41e77d0") for shard in range(parts))
+    asks = tuple(PartRequest(shard, 1 / parts, b"c41e77d0") for shard in range(parts))
     return Ask(handle, 0, 5 * SECOND, asks, name=f"q{handle}")
 
 
 def _ended(orders: Iterable[object]) -> list[Input]:
     return [
-        Ended(attempt.part, attempt.attempt, Result.OK, "value")
+        AttemptEnded(attempt.part, attempt.attempt, Result.OK, "value")
         for order in orders
         if isinstance(order, StartCall)
         for attempt in order.attempts
@@ -90,7 +90,7 @@
     def play() -> None:
         now = SECOND
         for handle in range(1, QUERIES + 1):
-            ends = _ended(driver.step(now, [Arrived(_ask(handle, parts))]))
+            ends = _ended(driver.step(now, [QueryArrived(_ask(handle, parts))]))
             for end in ends:
                 now += 1000
                 driver.step(now, [end])
@@ -114,7 +114,7 @@
     driver = _driver(real=True)
 
     def build() -> object:
-        return [driver.step(SECOND, [Arrived(_ask(handle, parts))]) for handle in range(1, QUERIES + 1)]
+        return [driver.step(SECOND, [QueryArrived(_ask(handle, parts))]) for handle in range(1, QUERIES + 1)]
 
     return allocated_bytes(build) / QUERIES
 
--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -4,7 +4,7 @@
 from benchmarks.capacity.results import Point
 from benchmarks.capacity.site import SECOND, configuration, list_body, node_entry
 from quincepath.broker.driver import Driver
-from quincepath.orders import Listed
+from quincepath.orders import MembershipUpdate
 from quincepath.platform.targets import Targets, read_list
 from quincepath.policy import Aggregator
 
@@ -26,7 +26,7 @@
         self.now += SECOND
         members = self.targets.take(self.now, self.now / 1e6, read_list(body), base=base)
         assert members is not None
-        self.driver.step(self.now, [Listed(members)])
+        self.driver.step(self.now, [MembershipUpdate(members)])
 
 
 def _full(count: int) -> bytes:
--- a/benchmarks/capacity/quality.py
+++ b/benchmarks/capacity/quality.py
@@ -12,7 +12,7 @@
 
 from benchmarks.capacity.measuring import Measured, series
 from benchmarks.capacity.results import Point, Series
-from quincepath.broker.driver import Module
+from quincepath.broker.driver import DecisionModule
 from quincepath.interface import Action, Event, NodeId, Outcome, Part, Send, Settings
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.world import Emulation
@@ -84,7 +84,7 @@
 
     def __init__(self, way: str, brokers: int, seed: int) -> None:
         self._world: Emulation | None = None
-        makers: dict[str, Callable[[Settings, int], Module]] = {
+        makers: dict[str, Callable[[Settings, int], DecisionModule]] = {
             RANDOM: RandomReplica,
             OWN: lambda settings, seed: Choosing(settings, seed, None),
             TRUE: lambda settings, seed: Choosing(settings, seed, self._queue),
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -18,7 +18,7 @@
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import READ, Loop
 from quincepath.net.server import Exchange, HttpServer, Times
-from quincepath.orders import AttemptOrder, Ended, StartCall
+from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
 from quincepath.platform.link import LinkTimes
 from quincepath.platform.nodes import Nodes
 from quincepath.platform.service import Broker
@@ -54,7 +54,7 @@
     def _where(self, node: bytes) -> tuple[str, int]:
         return "127.0.0.1", self.ports[int(node)]
 
-    def _ended(self, ended: Ended) -> None:
+    def _ended(self, ended: AttemptEnded) -> None:
         assert ended.body, ended
         self.ended += 1
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -42,7 +42,7 @@
 from quincepath.net.loop import Loop
 from quincepath.net.server import Exchange, HttpServer, Times
 from quincepath.observe.logs import setup
-from quincepath.orders import Ask, AttemptOrder, Ended, Finish, PartAsk, StartCall, Verdict
+from quincepath.orders import Ask, AttemptEnded, AttemptOrder, Finish, PartRequest, StartCall, Verdict
 from quincepath.shards.shardmap import ShardMap
 from quincepath.standins.data import BEGIN_MS, END_MS, Store
 from quincepath.upstream.pool import PoolLimits, Upstream
@@ -117,7 +117,7 @@
         self.front = RemoteReadFront(config, self.map)
         self.nodes: dict[int, list[bytes]] = {}
         for holder in config.holders:
-            cell = self.map.cell_of(holder.shards)
+            cell = self.map.cell_of_set(holder.shards)
             assert cell is not None
             self.nodes.setdefault(cell, []).append(node_id(holder.url))
         limits = PoolLimits(250_000_000, MINUTE, 256, 64 << 20)
@@ -143,7 +143,7 @@
             order = AttemptOrder(self.count, 0, part.shard, 1, end, end, end, part.payload, "")
             self.upstream.start(StartCall(node, (order,)))
 
-    def ended(self, ended: Ended) -> None:
+    def ended(self, ended: AttemptEnded) -> None:
         number, shard = self.parts.pop(ended.part)
         assert ended.result is Result.OK, ended
         exchange, plan, wanted, bodies = self.open[number]
@@ -169,7 +169,7 @@
         self.calls = RemoteReadCalls(64 << 20)
         self.ports: dict[int, list[int]] = {}
         for holder in config.holders:
-            cell = self.map.cell_of(holder.shards)
+            cell = self.map.cell_of_set(holder.shards)
             assert cell is not None
             self.ports.setdefault(cell, []).append(int.from_bytes(node_id(holder.url)[4:]))
         outer = self
@@ -211,7 +211,7 @@
             thread.join()
         return self.front.write(whole(bodies), plan)
 
-    def part(self, ask: Ask, part: PartAsk, bodies: list[tuple[int, int, Any]]) -> None:
+    def part(self, ask: Ask, part: PartRequest, bodies: list[tuple[int, int, Any]]) -> None:
         order = AttemptOrder(1, 0, part.shard, 1, 0, 0, 0, part.payload, "")
         headers, body = self.calls.encode([order])
         port = random.choice(self.ports[part.shard % len(self.ports)])
--- a/quincepath/asks/desk.py
+++ b/quincepath/asks/intake.py
@@ -5,7 +5,7 @@
 
 from typing import Generic, TypeVar
 
-from quincepath.asks.book import Begin, Book, BookLimits, Decision, Try
+from quincepath.asks.registry import AskRegistry, Begin, Decision, RegistryLimits, Try
 from quincepath.limits.admission import Admission, AdmissionBounds, Cost
 from quincepath.limits.door import TurnAway
 from quincepath.limits.memory import Pressure
@@ -13,39 +13,39 @@
 R = TypeVar("R")
 
 
-class Desk(Generic[R]):
+class AskIntake(Generic[R]):
     """Book and admission of one broker."""
 
-    def __init__(self, book: BookLimits, bounds: AdmissionBounds, seed: int) -> None:
-        self.book: Book[R] = Book(book)
+    def __init__(self, limits: RegistryLimits, bounds: AdmissionBounds, seed: int) -> None:
+        self.registry: AskRegistry[R] = AskRegistry(limits)
         self.admission = Admission(bounds, seed)
         self.door = self.admission.door
 
-    def known(self, now: int, attempt: Try) -> int | None:
+    def find(self, now: int, attempt: Try) -> int | None:
         """The ask that this try belongs to, running or remembered."""
-        return self.book.find(now, attempt)
+        return self.registry.find(now, attempt)
 
     def arrive(self, now: int, attempt: Try, cost: Cost | None, lingering: int) -> Decision[R] | TurnAway:
         """``cost`` is what it brings as an ask of its own, None where it is known to belong to one.
 
         ``lingering``: parts of ended queries that are still out.
         """
-        if cost is not None and self.book.find(now, attempt) is None:
-            away = self.admission.admit(now, self.book.next_ask(), cost, lingering)
+        if cost is not None and self.registry.find(now, attempt) is None:
+            away = self.admission.admit(now, self.registry.next_ask(), cost, lingering)
             if away is not None:
                 return away
-            decision = self.book.arrive(now, attempt)
+            decision = self.registry.arrive(now, attempt)
             if not isinstance(decision, Begin):
-                self.admission.ended(self.book.next_ask())
+                self.admission.ended(self.registry.next_ask())
             return decision
-        return self.book.arrive(now, attempt)
+        return self.registry.arrive(now, attempt)
 
-    def press(self, pressure: Pressure) -> None:
+    def set_pressure(self, pressure: Pressure) -> None:
         """How pressed for memory the process is: remembered answers go first."""
         self.admission.pressure = pressure
-        self.book.remembers = pressure is Pressure.NONE
-        if not self.book.remembers:
-            self.book.forget_all()
+        self.registry.remembers = pressure is Pressure.NONE
+        if not self.registry.remembers:
+            self.registry.forget_all()
 
 
-__all__ = ["Begin", "Desk", "Try", "TurnAway"]
+__all__ = ["Begin", "AskIntake", "Try", "TurnAway"]
--- a/quincepath/asks/book/__init__.py
+++ b/quincepath/asks/registry/__init__.py
@@ -5,7 +5,7 @@
 
     no ask of this key       -> Begin: the edge gives the ask to the driver
     the ask is running       -> Join: this try waits for its answer with the others
-    the ask was answered     -> Again: the same answer at once, for as long as it is remembered
+    the ask was answered     -> ReplayAnswer: the same answer at once, for as long as it is remembered
     the key, another body    -> Conflict, where the client vouched for its keys; else a separate ask
 
 An ask that ended without an answer is forgotten: a later try runs it anew. A request may also join an equal
@@ -16,38 +16,38 @@
 on the way and what is in need not be fetched again. Design and what was weighed: docs/design/asks.md.
 """
 
-from quincepath.asks.book.core import Book
-from quincepath.asks.book.words import (
-    Again,
+from quincepath.asks.registry.core import AskRegistry
+from quincepath.asks.registry.types import (
     Begin,
-    BookLimits,
+    ClientKey,
     Conflict,
-    Crowded,
     Decision,
     Deliver,
-    Drop,
-    How,
+    DropAsk,
     Join,
-    Mark,
+    MatchKind,
+    RegistryLimits,
+    ReplayAnswer,
     Restart,
-    TimeUp,
+    TooManyTries,
     Try,
+    TryExpired,
 )
 
 __all__ = [
-    "Again",
+    "ReplayAnswer",
     "Begin",
-    "Book",
-    "BookLimits",
+    "AskRegistry",
+    "RegistryLimits",
     "Conflict",
-    "Crowded",
+    "TooManyTries",
     "Decision",
     "Deliver",
-    "Drop",
-    "How",
+    "DropAsk",
+    "MatchKind",
     "Join",
-    "Mark",
+    "ClientKey",
     "Restart",
-    "TimeUp",
+    "TryExpired",
     "Try",
 ]
--- a/quincepath/asks/book/core.py
+++ b/quincepath/asks/registry/core.py
@@ -5,28 +5,28 @@
 from dataclasses import dataclass, field
 from typing import Generic
 
-from quincepath.asks.book.words import (
-    Again,
+from quincepath.asks.registry.types import (
     Begin,
-    BookLimits,
     Conflict,
-    Crowded,
     Decision,
     Deliver,
-    Drop,
-    How,
+    DropAsk,
     Join,
+    MatchKind,
     R,
+    RegistryLimits,
+    ReplayAnswer,
     Restart,
-    TimeUp,
+    TooManyTries,
     Try,
+    TryExpired,
 )
 
 
 @dataclass(slots=True)
 class _Waiting:
     deadline: int
-    how: How
+    kind: MatchKind
     name: str
     restarted: bool = False
 
@@ -39,7 +39,7 @@
     began: int
     deadline: int  # of the try that it runs for
     keys: list[tuple[str, str]] = field(default_factory=list)
-    marked: bool = False
+    keyed: bool = False
     waiting: dict[int, _Waiting] = field(default_factory=dict)
     orphaned: int | None = None  # since when nobody waits for it
     reply: R | None = None
@@ -47,10 +47,10 @@
     until: int = 0
 
 
-class Book(Generic[R]):
+class AskRegistry(Generic[R]):
     """One a broker. ``R`` is a reply as the edge has it: kept, never looked into."""
 
-    def __init__(self, limits: BookLimits) -> None:
+    def __init__(self, limits: RegistryLimits) -> None:
         self.limits = limits
         self.counts: Counter[str] = Counter()
         self.remembers = True  # not while memory is short
@@ -102,47 +102,49 @@
             return found
         if found is None:
             return Begin(self._begin(now, attempt).id)
-        ask, how = found
+        ask, kind = found
         if ask.reply is not None:
-            self.counts[How.REPLAYED.value] += 1
-            return Again(ask.id, ask.reply)
+            self.counts[MatchKind.REPLAYED.value] += 1
+            return ReplayAnswer(ask.id, ask.reply)
         if len(ask.waiting) >= self.limits.most_tries:
             self.counts["crowded"] += 1
-            return Crowded()
-        self.counts[how.value] += 1
+            return TooManyTries()
+        self.counts[kind.value] += 1
         if ask.orphaned is not None:
             ask.orphaned = None
             self.counts["rescued"] += 1
         self._name(ask, attempt)
-        self._wait(ask, attempt.handle, _Waiting(attempt.deadline, how, attempt.name))
+        self._wait(ask, attempt.handle, _Waiting(attempt.deadline, kind, attempt.name))
         self._due(attempt.deadline - self.limits.reserve, attempt.handle)
-        return Join(ask.id, how)
+        return Join(ask.id, kind)
 
-    def _belongs(self, now: int, attempt: Try) -> "tuple[_Ask[R], How] | Conflict | None":
-        for key, vouched in self._names(attempt):
+    def _belongs(self, now: int, attempt: Try) -> "tuple[_Ask[R], MatchKind] | Conflict | None":
+        for key, strict in self._names(attempt):
             ask = self._keys.get(key)
             if ask is None or (ask.reply is not None and ask.until <= now):
                 continue
             if ask.digest != attempt.digest:
-                if vouched:
+                if strict:
                     return Conflict()
                 continue  # an id that is used twice: two asks
-            if attempt.mark is None and now > ask.began + attempt.within:
+            if attempt.client_key is None and now > ask.began + attempt.retry_window:
                 continue
-            return ask, How.RETRY
+            return ask, MatchKind.RETRY
         if attempt.shared:
             ask = self._flights.get((attempt.scope, attempt.digest))
             if ask is not None:
-                return ask, How.EQUAL
+                return ask, MatchKind.EQUAL
         return None
 
     @staticmethod
     def _names(attempt: Try) -> list[tuple[tuple[str, str], bool]]:
         """The keys under which a try is known."""
         names = []
-        if attempt.mark is not None:
-            names.append(((attempt.mark.scope, f"key {attempt.mark.key}"), attempt.mark.vouched))
-        elif attempt.within:
+        if attempt.client_key is not None:
+            names.append(
+                ((attempt.client_key.scope, f"key {attempt.client_key.key}"), attempt.client_key.strict)
+            )
+        elif attempt.retry_window:
             names.append(((attempt.scope, f"body {attempt.digest.hex()}"), False))
         return names
 
@@ -153,8 +155,8 @@
         self._name(ask, attempt)
         if attempt.shared:
             self._flights.setdefault((attempt.scope, attempt.digest), ask)
-        self.counts[How.BEGAN.value] += 1
-        self._wait(ask, attempt.handle, _Waiting(attempt.deadline, How.BEGAN, attempt.name))
+        self.counts[MatchKind.BEGAN.value] += 1
+        self._wait(ask, attempt.handle, _Waiting(attempt.deadline, MatchKind.BEGAN, attempt.name))
         return ask
 
     def _name(self, ask: _Ask[R], attempt: Try) -> None:
@@ -166,13 +168,13 @@
             if len(ask.keys) < self.limits.most_tries and self._keys.setdefault(key, ask) is ask:
                 if key not in ask.keys:
                     ask.keys.append(key)
-                ask.marked = ask.marked or attempt.mark is not None
+                ask.keyed = ask.keyed or attempt.client_key is not None
 
     def _wait(self, ask: _Ask[R], handle: int, waiting: _Waiting) -> None:
         ask.waiting[handle] = waiting
         self._handles[handle] = ask
 
-    def left(self, now: int, handle: int) -> Drop | None:
+    def client_left(self, now: int, handle: int) -> DropAsk | None:
         """The client of a try has gone. ``Drop``: so has the last of its ask, and no retry is waited for."""
         ask = self._handles.pop(handle, None)
         if ask is None:
@@ -180,30 +182,30 @@
         del ask.waiting[handle]
         if ask.waiting:
             return None
-        if ask.marked and self.limits.linger:
+        if ask.keyed and self.limits.linger:
             ask.orphaned = now
             self._due(now + self.limits.linger, -ask.id)
             return None
         return self._abandon(ask)
 
-    def _abandon(self, ask: _Ask[R]) -> Drop:
+    def _abandon(self, ask: _Ask[R]) -> DropAsk:
         self.counts["dropped"] += 1
         self._end(ask)
-        return Drop(ask.id)
+        return DropAsk(ask.id)
 
     # --- time ---
 
-    def expire(self, now: int) -> list[TimeUp | Drop]:
+    def expire(self, now: int) -> list[TryExpired | DropAsk]:
         """Tries and orphaned asks whose time is up by now; in the order of their times."""
-        found: list[TimeUp | Drop] = []
+        found: list[TryExpired | DropAsk] = []
         while self._dues and self._dues[0][0] <= now:
             _, _, what = heapq.heappop(self._dues)
             if what > 0:
                 ask = self._handles.get(what)
-                if ask is not None and ask.waiting[what].how is not How.BEGAN:
+                if ask is not None and ask.waiting[what].kind is not MatchKind.BEGAN:
                     del self._handles[what], ask.waiting[what]
                     self.counts["time up alone"] += 1
-                    found.append(TimeUp(what))
+                    found.append(TryExpired(what))
                     if not ask.waiting:
                         found.append(self._abandon(ask))
             else:
@@ -231,13 +233,13 @@
             del self._handles[handle]
             # Refused or failed for want of time: that is no ending for one that has more of it.
             longer = waiting.deadline > ask.deadline + self.limits.reserve
-            if not answered and waiting.how is How.EQUAL and longer and not waiting.restarted:
+            if not answered and waiting.kind is MatchKind.EQUAL and longer and not waiting.restarted:
                 again.append((handle, waiting))
             else:
-                orders.append(Deliver(handle, waiting.how))
+                orders.append(Deliver(handle, waiting.kind))
         if again:
             orders.append(self._restart(now, ask, again))
-        if answered and ask.marked:
+        if answered and ask.keyed:
             self._remember(now, ask, reply, size)
         return orders
 
@@ -247,13 +249,13 @@
         self._ids += 1
         ask: _Ask[R] = _Ask(self._ids, old.scope, old.digest, now, lead[1].deadline)
         self._asks[ask.id] = ask
-        ask.keys, ask.marked = old.keys, old.marked
+        ask.keys, ask.keyed = old.keys, old.keyed
         self._keys.update(dict.fromkeys(ask.keys, ask))
         self._flights.setdefault((old.scope, old.digest), ask)
         for handle, waiting in again:
             leads = handle == lead[0]
-            how = How.BEGAN if leads else How.EQUAL
-            self._wait(ask, handle, _Waiting(waiting.deadline, how, waiting.name, True))
+            kind = MatchKind.BEGAN if leads else MatchKind.EQUAL
+            self._wait(ask, handle, _Waiting(waiting.deadline, kind, waiting.name, True))
             if not leads:
                 self._due(waiting.deadline - self.limits.reserve, handle)
         self.counts["restarted"] += 1
--- a/quincepath/asks/book/words.py
+++ b/quincepath/asks/registry/types.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BookLimits:
+class RegistryLimits:
     """Bounds. Times in ns, ``most_bytes`` of remembered answers, ``reserve`` for carrying an answer away."""
 
     remember: int
@@ -20,33 +20,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
-    """What a client says of a try: its key in a scope. ``vouched``: the client promises one body a key."""
+class ClientKey:
+    """What a client says of a try: its key in a scope. ``strict``: the client promises one body a key."""
 
     scope: str
     key: str
-    vouched: bool
+    strict: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Try:
     """One request. ``digest`` is of what is asked, with all that changes the answer but the time it may take.
 
-    ``mark`` is None where the client gave none. ``shared``: may join an equal ask in flight.
+    ``client_key`` is None where the client gave none. ``shared``: may join an equal ask in flight.
     """
 
     handle: int
     scope: str
     digest: bytes
     deadline: int
-    mark: Mark | None = None
+    client_key: ClientKey | None = None
     shared: bool = False
-    within: int = 0  # ns: unmarked, but an equal body of this scope so soon counts as a retry
+    retry_window: int = 0  # ns: unmarked, but an equal body of this scope so soon counts as a retry
     name: str = ""  # for logs and records
     client: str = ""  # to whom its load is counted
 
 
-class How(Enum):
+class MatchKind(Enum):
     """How a try came to its ask."""
 
     BEGAN = "began"
@@ -67,11 +67,11 @@
     """The try waits for a running ask."""
 
     ask: int
-    how: How
+    kind: MatchKind
 
 
 @dataclass(slots=True, frozen=True)
-class Again(Generic[R]):
+class ReplayAnswer(Generic[R]):
     """The answer that the ask got."""
 
     ask: int
@@ -84,11 +84,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Crowded:
+class TooManyTries:
     """As many tries wait for this ask as may."""
 
 
-Decision = Begin | Join | Again[R] | Conflict | Crowded
+Decision = Begin | Join | ReplayAnswer[R] | Conflict | TooManyTries
 
 
 @dataclass(slots=True, frozen=True)
@@ -96,7 +96,7 @@
     """This try gets the ask's final answer."""
 
     handle: int
-    how: How
+    kind: MatchKind
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,14 +110,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TimeUp:
+class TryExpired:
     """This try's own time is up while its ask goes on for others: it fails alone."""
 
     handle: int
 
 
 @dataclass(slots=True, frozen=True)
-class Drop:
+class DropAsk:
     """Nobody waits for this ask, nor will: the driver is told that its client left."""
 
     ask: int
--- a/quincepath/broker/driver/core.py
+++ b/quincepath/broker/driver/core.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 
 from quincepath.broker.driver.rules import PROVED_UNRUN, Rules
-from quincepath.broker.driver.state import Attempt, Module, OpenPart, OpenQuery
+from quincepath.broker.driver.state import Attempt, DecisionModule, OpenPart, OpenQuery
 from quincepath.interface import (
     Action,
     Answer,
@@ -39,23 +39,23 @@
     Watch,
 )
 from quincepath.orders import (
-    Allowed,
-    Arrived,
+    AllowanceUpdate,
     Ask,
+    AttemptEnded,
     AttemptOrder,
     Breach,
     ClientLeft,
-    Ended,
     Finish,
     Input,
-    LeaveBy,
-    Listed,
+    LogLine,
+    MembershipUpdate,
+    NodeSendDeadline,
     Order,
-    PartAsk,
-    ReadList,
+    PartRequest,
+    QueryArrived,
+    RefreshMembership,
     StartCall,
     StopAttempt,
-    Told,
     Verdict,
     Withdraw,
 )
@@ -66,7 +66,7 @@
 class Driver:
     """One broker's bookkeeping around one module. ``grace`` is rule 3's, in nanoseconds."""
 
-    def __init__(self, module: Module, settings: Settings, grace: int) -> None:
+    def __init__(self, module: DecisionModule, settings: Settings, grace: int) -> None:
         self.module, self.settings = module, settings
         self.now = 0
         self.breaches: Counter[str] = Counter()
@@ -94,15 +94,15 @@
         due = [heap[0][0] for heap in (self._timers, self._ends) if heap]
         return min(due, default=None)
 
-    def open_work(self) -> int:
+    def tracked_count(self) -> int:
         """Queries and parts now held, ended ones with attempts still out among them."""
         return len(self.queries) + len(self.parts)
 
-    def held(self) -> int:
+    def open_count(self) -> int:
         """Queries that are not over and their parts: what ``limits.maxOpen`` counts."""
         return len(self.queries) + self._open_parts
 
-    def lingering(self) -> int:
+    def lingering_count(self) -> int:
         """Parts of ended queries whose attempts are still out."""
         return len(self.parts) - self._open_parts
 
@@ -143,20 +143,20 @@
 
     def _take_in(self, item: Input, events: list[Event]) -> None:
         match item:
-            case Arrived(ask):
+            case QueryArrived(ask):
                 self._arrived(ask, events)
-            case Ended():
+            case AttemptEnded():
                 self._ended(item, events)
             case ClientLeft(handle):
                 query = self._by_handle.get(handle)
                 if query is not None:
                     events.append(Left(query.id))
                     self._close(query)
-            case Allowed(allowance):
+            case AllowanceUpdate(allowance):
                 events.append(allowance)
-            case Listed(members):
-                for node in self.rules.take_in(self.now, members):
-                    self._orders.append(LeaveBy(node, self.rules.leave_by(node)))
+            case MembershipUpdate(members):
+                for node in self.rules.update_members(self.now, members):
+                    self._orders.append(NodeSendDeadline(node, self.rules.send_start_by(node)))
                 events.append(members)
 
     def _next_id(self) -> int:
@@ -175,7 +175,7 @@
         )  # fmt: skip
         events.extend(self._add_parts(query, ask.parts))
 
-    def _add_parts(self, query: OpenQuery, asks: Iterable[PartAsk]) -> list[Event]:
+    def _add_parts(self, query: OpenQuery, asks: Iterable[PartRequest]) -> list[Event]:
         events: list[Event] = []
         for ask in asks:
             part = OpenPart(self._next_id(), query, ask, query.step)
@@ -186,7 +186,7 @@
             events.append(Part(part.id, query.id, ask.weight, ask.shard, key, 0))
         return events
 
-    def _ended(self, item: Ended, events: list[Event]) -> None:
+    def _ended(self, item: AttemptEnded, events: list[Event]) -> None:
         part = self.parts.get(item.part)
         if part is None or item.attempt >= len(part.attempts) or part.attempts[item.attempt].ended:
             self._breach("ending_unknown", f"part {item.part} attempt {item.attempt}: {item.result.name}")
@@ -200,7 +200,7 @@
         final = item.result is Result.OK or query.over or self.now >= query.deadline
         elapsed = self.now - attempt.sent
         events.append(Outcome(part.id, item.attempt, attempt.node, item.result, elapsed, final, item.report))
-        if query.over and not part.out():
+        if query.over and not part.in_flight():
             self._done.append(part.id)
 
     # --- actions to orders ---
@@ -225,9 +225,9 @@
                 if query is not None:
                     self._finish(query, Verdict.FAILED, 0, self._why_unanswered(query))
             case Log(text):
-                self._orders.append(Told(text))
+                self._orders.append(LogLine(text))
             case Watch() | Fetch():
-                self._orders.append(ReadList())
+                self._orders.append(RefreshMembership())
             case Probe(node):
                 self._breach("probe_unsupported", node.hex())
 
@@ -244,8 +244,8 @@
             self._breach("send_unknown_part", f"part {action.part}")
             return
         number = len(part.attempts)
-        why = self.rules.wrong_send(self.now, part, action)
-        whole_by = self.rules.whole_by(part)
+        why = self.rules.send_violation(self.now, part, action)
+        send_complete_by = self.rules.send_complete_by(part)
         part.attempts.append(Attempt(action.node, self.now, ended=bool(why), never_ran=bool(why)))
         if why:
             self._breach(why, f"part {action.part} attempt {number} to {action.node.hex()}")
@@ -256,14 +256,14 @@
         query.sent_at = self.now
         wait = action.timeout or query.deadline - self.now
         deadline = min(self.now + max(wait, 0), query.deadline)
-        whole_by = min(whole_by, deadline)
+        send_complete_by = min(send_complete_by, deadline)
         order = AttemptOrder(
             part.id,
             number,
             part.ask.shard,
             part.step,
-            min(self.rules.leave_by(action.node), whole_by),
-            whole_by,
+            min(self.rules.send_start_by(action.node), send_complete_by),
+            send_complete_by,
             deadline,
             part.ask.payload,
             query.ask.name,
@@ -301,7 +301,7 @@
         if query is None:
             return
         spec = self.settings.classes[query.ask.kind]
-        share = query.share_in(query.step)
+        share = query.weight_received(query.step)
         lenient = spec.floor < spec.need
         need = spec.need if query.step == 1 else 1.0
         floor = spec.floor if query.step == 1 or lenient else 1.0
@@ -352,7 +352,7 @@
         for part in query.parts:
             part.body = None
             self._withdraw(part)
-            if not part.out():
+            if not part.in_flight():
                 self._done.append(part.id)
         if query.sent_at != self.now:
             return
@@ -376,7 +376,7 @@
         if not attempt.ended:
             attempt.ended = attempt.never_ran = True
             self._carried.append(Outcome(part.id, order.attempt, attempt.node, Result.MOOT, 0, True, ()))
-            if not part.out():
+            if not part.in_flight():
                 self._done.append(part.id)
         return True
 
--- a/quincepath/broker/driver/rules.py
+++ b/quincepath/broker/driver/rules.py
@@ -11,7 +11,7 @@
 
 PROVED_UNRUN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)  # endings after which no effect can exist
 NEVER = 1 << 62  # a time, in ns, that does not come
-FORGOTTEN = 60_000_000_000  # ns past the grace until a holder that is gone is forgotten
+GONE_RETENTION_NS = 60_000_000_000  # ns past the grace until a holder that is gone is forgotten
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
         self._nodes: dict[NodeId, _Listed] = {}
         self._gone: dict[NodeId, _Listed] = {}  # those of them whose phase is GONE, until they are forgotten
 
-    def take_in(self, now: int, members: Members) -> list[NodeId]:
+    def update_members(self, now: int, members: Members) -> list[NodeId]:
         """News of the list; one that could not be read changes nothing. Returns who is not ready any more."""
         if members.scope is Scope.FAILED:
             return []
@@ -43,7 +43,7 @@
                         lost.append(node)
                     self._enter(node, known, Phase.GONE)
         # Ids come and go all day: who has been gone for long is as unknown as one that was never named.
-        old = now - self.grace - FORGOTTEN
+        old = now - self.grace - GONE_RETENTION_NS
         for node in [node for node, known in self._gone.items() if known.told < old]:
             del self._gone[node], self._nodes[node]
         for entry in members.entries:
@@ -63,7 +63,7 @@
         else:
             self._gone.pop(node, None)
 
-    def wrong_send(self, now: int, part: OpenPart, action: Send) -> str:
+    def send_violation(self, now: int, part: OpenPart, action: Send) -> str:
         """The name of the rule that this send would break; empty where it breaks none."""
         limits = self.settings.limits
         spec = self.settings.classes[part.query.ask.kind]
@@ -74,9 +74,9 @@
             return "send_of_part_in"
         if len(part.attempts) >= limits.attempts:
             return "send_beyond_attempts"
-        if not limits.duplicate and part.out():
+        if not limits.duplicate and part.in_flight():
             return "send_second_copy"
-        if spec.effect is Effect.UNSAFE and part.first_run() is not None:
+        if spec.effect is Effect.UNSAFE and part.first_possible_run() is not None:
             return "send_may_run_twice"
         if listed is None:
             return "send_to_unlisted"
@@ -85,7 +85,7 @@
             return "send_to_wrong_holder"
         if now > self._window_end(part):
             return "send_past_window"
-        if now > self.leave_by(action.node):
+        if now > self.send_start_by(action.node):
             return "send_past_grace"
         return ""
 
@@ -99,14 +99,14 @@
             for number, attempt in enumerate(part.attempts)
         )
 
-    def leave_by(self, node: NodeId) -> int:
+    def send_start_by(self, node: NodeId) -> int:
         """Until when a send to this node may begin: so long after the news that it drains or is gone."""
         listed = self._nodes.get(node)
         if listed is None or listed.phase is Phase.READY:
             return NEVER
         return listed.told + self.grace
 
-    def whole_by(self, part: OpenPart) -> int:
+    def send_complete_by(self, part: OpenPart) -> int:
         """Until when a send of this part must have left: its query's end, or that of its window."""
         return min(part.query.deadline, self._window_end(part))
 
@@ -117,5 +117,5 @@
         counted later, which leaves more time than is taken here, never less.
         """
         spec = self.settings.classes[part.query.ask.kind]
-        first = part.first_run() if spec.effect is Effect.KEYED else None
+        first = part.first_possible_run() if spec.effect is Effect.KEYED else None
         return NEVER if first is None else first + spec.window
--- a/quincepath/broker/driver/state.py
+++ b/quincepath/broker/driver/state.py
@@ -5,10 +5,10 @@
 from typing import Any, Protocol
 
 from quincepath.interface import Action, Event, NodeId
-from quincepath.orders import Ask, PartAsk
+from quincepath.orders import Ask, PartRequest
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     """What the driver needs of the decisions: all events of a moment in, all actions out."""
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
@@ -32,17 +32,17 @@
 
     id: int
     query: "OpenQuery"
-    ask: PartAsk
+    ask: PartRequest
     step: int
     attempts: list[Attempt] = field(default_factory=list)
     body: Any = None
     ok: bool = False
 
-    def out(self) -> bool:
+    def in_flight(self) -> bool:
         """Whether an attempt has not ended."""
         return any(not attempt.ended for attempt in self.attempts)
 
-    def first_run(self) -> int | None:
+    def first_possible_run(self) -> int | None:
         """When the first attempt that may have run, or may yet, was sent."""
         return next((attempt.sent for attempt in self.attempts if not attempt.never_ran), None)
 
@@ -62,6 +62,6 @@
     sent: int = 0
     sent_at: int = -1
 
-    def share_in(self, step: int) -> float:
+    def weight_received(self, step: int) -> float:
         """Weight of the parts of a step that are in."""
         return sum(part.ask.weight for part in self.parts if part.step == step and part.ok)
--- a/quincepath/broker/pending.py
+++ b/quincepath/broker/pending.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from quincepath.orders import Arrived, Ask, Ended, Finish, StartCall
+from quincepath.orders import Ask, AttemptEnded, Finish, QueryArrived, StartCall
 
 if TYPE_CHECKING:
     from quincepath.limits.fair import Footprint
@@ -34,7 +34,7 @@
     def started(self, now: int, order: StartCall) -> None:
         """Attempts go out."""
 
-    def came(self, now: int, item: Ended) -> None:
+    def came(self, now: int, item: AttemptEnded) -> None:
         """An attempt has ended."""
 
     def ended(self, now: int, handle: int, finish: Finish | None) -> None:
@@ -43,5 +43,5 @@
     def next_due(self) -> int | None:
         """When ``step`` must be called; 0: now."""
 
-    def step(self, now: int) -> tuple[list[Arrived], list[Finish]]:
+    def step(self, now: int) -> tuple[list[QueryArrived], list[Finish]]:
         """Asks that run from now on, and those that are refused."""
--- a/quincepath/broker/reception.py
+++ b/quincepath/broker/reception.py
@@ -13,13 +13,23 @@
 from dataclasses import dataclass, replace
 from typing import Generic, TypeVar
 
-from quincepath.asks.book import Begin, Decision, Drop, How, Restart, Try
-from quincepath.asks.desk import Desk
+from quincepath.asks.intake import AskIntake
+from quincepath.asks.registry import Begin, Decision, DropAsk, MatchKind, Restart, Try
 from quincepath.broker.driver import Driver
 from quincepath.broker.pending import PendingQueue, Turn
 from quincepath.limits.admission import Cost
 from quincepath.limits.door import TurnAway
-from quincepath.orders import Arrived, Ask, ClientLeft, Ended, Finish, Input, Order, StartCall, Verdict
+from quincepath.orders import (
+    Ask,
+    AttemptEnded,
+    ClientLeft,
+    Finish,
+    Input,
+    Order,
+    QueryArrived,
+    StartCall,
+    Verdict,
+)
 
 C = TypeVar("C")
 R = TypeVar("R")
@@ -43,7 +53,7 @@
 
     handle: int
     reply: R | None
-    how: How
+    how: MatchKind
     run: str  # under which name the ask's parts went to holders
     ask: int
 
@@ -71,7 +81,7 @@
     """One a broker. ``room``: where asks wait for their turn; None: each goes to the driver at once."""
 
     def __init__(
-        self, driver: Driver, desk: Desk[R], render: Render[C, R], room: PendingQueue | None = None
+        self, driver: Driver, desk: AskIntake[R], render: Render[C, R], room: PendingQueue | None = None
     ) -> None:
         self.driver, self.desk, self.render, self.room = driver, desk, render, room
         self._running: dict[int, _Running[C]] = {}
@@ -84,7 +94,7 @@
 
     def known(self, now: int, attempt: Try) -> tuple[bool, C | None]:
         """Whether the try belongs to an ask that is known, and the context of that ask while it runs."""
-        ask = self.desk.known(now, attempt)
+        ask = self.desk.find(now, attempt)
         running = self._running.get(ask) if ask is not None else None
         return ask is not None, running.context if running else None
 
@@ -105,7 +115,7 @@
         """
         cost = Cost(attempt.client, ask.kind, worth, 1 + len(ask.parts), size) if ask else None
         # A burst in one turn counts as it comes: the driver gets it only with the next step.
-        decision = self.desk.arrive(now, attempt, cost, self.driver.lingering())
+        decision = self.desk.arrive(now, attempt, cost, self.driver.lingering_count())
         if isinstance(decision, Begin):
             if ask is None or context is None:
                 raise ValueError("a try of an unknown ask came without what to run")
@@ -115,17 +125,17 @@
     def _begin(self, now: int, ask: Ask, context: C, turn: Turn | None) -> None:
         self._running[ask.handle] = _Running(ask, context, turn)
         if self.room is None or turn is None:
-            self._inbox.append(Arrived(ask))
+            self._inbox.append(QueryArrived(ask))
         else:
             self.room.enter(now, ask, turn)
 
     def left(self, now: int, handle: int) -> None:
         """The client of a try has gone."""
-        drop = self.desk.book.left(now, handle)
+        drop = self.desk.registry.client_left(now, handle)
         if drop is not None:
             self._drop(now, drop)
 
-    def _drop(self, now: int, drop: Drop) -> None:
+    def _drop(self, now: int, drop: DropAsk) -> None:
         running = self._running.pop(drop.ask, None)
         if running is not None:
             if self.room is not None:
@@ -148,7 +158,9 @@
         if self._inbox or self._ended:
             return 0
         room = self.room.next_due() if self.room is not None else None
-        dues = [due for due in (self.driver.next_due(), self.desk.book.next_due(), room) if due is not None]
+        dues = [
+            due for due in (self.driver.next_due(), self.desk.registry.next_due(), room) if due is not None
+        ]
         return min(dues, default=None)
 
     def step(self, now: int) -> list[Order | Owed[R] | AskEnded[C, R]]:
@@ -165,18 +177,18 @@
                 orders.append(order)
                 if self.room is not None and isinstance(order, StartCall):
                     self.room.started(now, order)
-        for expired in self.desk.book.expire(now):
-            if isinstance(expired, Drop):
+        for expired in self.desk.registry.expire(now):
+            if isinstance(expired, DropAsk):
                 self._drop(now, expired)
             else:
-                orders.append(Owed(expired.handle, None, How.RETRY, "", 0))
+                orders.append(Owed(expired.handle, None, MatchKind.RETRY, "", 0))
         ended, self._ended = self._ended, []
         return [*orders, *ended]
 
     def _turns(self, now: int, room: PendingQueue, orders: list[Order | Owed[R] | AskEnded[C, R]]) -> None:
         """What came frees slots; whose turn it is joins this batch, who has none is answered."""
         for item in self._inbox:
-            if isinstance(item, Ended):
+            if isinstance(item, AttemptEnded):
                 room.came(now, item)
         runs, refused = room.step(now)
         self._inbox.extend(runs)
@@ -191,7 +203,7 @@
             self.room.ended(now, finish.handle, finish)
         said = self.render(finish, running.context)
         answered = said.verdict is Verdict.ANSWERED
-        owed = self.desk.book.finish(now, finish.handle, said.reply, said.size, answered)
+        owed = self.desk.registry.finish(now, finish.handle, said.reply, said.size, answered)
         for one in owed:
             if isinstance(one, Restart):
                 time_left = one.deadline - now
@@ -203,7 +215,7 @@
                     turn = replace(turn, deadline=one.deadline)
                 self._begin(now, again, running.context, turn)
             else:
-                orders.append(Owed(one.handle, said.reply, one.how, running.ask.name, finish.handle))
+                orders.append(Owed(one.handle, said.reply, one.kind, running.ask.name, finish.handle))
         self.desk.admission.ended(finish.handle, said.size if answered else 0)
         orders.append(
             AskEnded(running.context, running.ask.name, finish, said.reply, len(owed), finish.handle)
--- a/quincepath/broker/service/clients.py
+++ b/quincepath/broker/service/clients.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from quincepath.asks.book import Again, Begin, Conflict, Crowded, How, Join, Try
-from quincepath.asks.desk import Desk
+from quincepath.asks.intake import AskIntake
+from quincepath.asks.registry import Begin, Conflict, Join, MatchKind, ReplayAnswer, TooManyTries, Try
 from quincepath.broker.driver import Driver
 from quincepath.broker.pending import Turn
 from quincepath.broker.reception import Owed, Reception, Rendered
@@ -45,7 +45,7 @@
         self,
         front: RemoteReadFront,
         driver: Driver,
-        desk: Desk[Reply],
+        desk: AskIntake[Reply],
         guests: Guests,
         loop: Loop,
         metrics: Metrics,
@@ -103,10 +103,10 @@
             case Conflict():
                 reply = text_reply(422, "this idempotency key was used for another request body")
                 self._at_once(exchange, reply, name)
-            case Crowded():
+            case TooManyTries():
                 self._turn_away(exchange, self.door.turn_away("too many tries wait for this ask"), name)
-            case Again(reply=said):
-                self._answer(exchange, said, How.REPLAYED)
+            case ReplayAnswer(reply=said):
+                self._answer(exchange, said, MatchKind.REPLAYED)
             case Join() | Begin():
                 self.open[handle] = _Open(exchange, name)
                 exchange.on_left = lambda: self._left(handle)
@@ -119,7 +119,7 @@
             return None
         from quincepath.limits.fair import Footprint  # loaded with such a room only
 
-        cells = tuple(sorted({self.front.planner.map.cell_at(part.shard) for part in plan.parts}))
+        cells = tuple(sorted({self.front.planner.map.cell_of_shard(part.shard) for part in plan.parts}))
         footprint = Footprint(plan.kind, len(plan.parts), cells, plan.span)
         return Turn(attempt.scope, footprint, plan.entry.target, attempt.deadline)
 
@@ -130,11 +130,11 @@
             self.log.info("bad request", query=name, status=reply.status, cause=reply.body.decode().strip())
         exchange.respond(reply.status, reply.headers, reply.body)
 
-    def _answer(self, exchange: Exchange, reply: Reply, how: How, run: str = "", ask: int = 0) -> None:
+    def _answer(self, exchange: Exchange, reply: Reply, how: MatchKind, run: str = "", ask: int = 0) -> None:
         """Send a final answer to one try; ``run`` is the name of the try whose run it shares."""
         trace = self.trace_of(ask)
         exchange.on_left = None
-        joined = {} if how is How.BEGAN else {JOINED_HEADER: how.value}
+        joined = {} if how is MatchKind.BEGAN else {JOINED_HEADER: how.value}
         if joined and run:
             joined[RUN_HEADER] = run
         if trace:
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -4,8 +4,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from quincepath.asks.desk import Desk
-from quincepath.broker.driver import Driver, Module
+from quincepath.asks.intake import AskIntake
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.broker.service.clients import Clients
 from quincepath.broker.service.figures import PAGE_TYPE, Figures, MemoryWatch
 from quincepath.broker.service.guest import Guests
@@ -15,13 +15,13 @@
 from quincepath.config.schema import Config, admission_bounds, book_limits, module_settings
 from quincepath.fronts.remote_read.front import RemoteReadFront, Reply
 from quincepath.interface import Members, Settings
-from quincepath.membership.source import ListSource
+from quincepath.membership.source import MembershipSource
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop
 from quincepath.net.server import Exchange, HttpServer, Times
 from quincepath.observe.logs import logger
 from quincepath.observe.metrics import Metrics
-from quincepath.orders import Listed
+from quincepath.orders import MembershipUpdate
 from quincepath.policy import Aggregator
 from quincepath.shards.shardmap import ShardMap
 from quincepath.upstream.pool import PoolLimits, Upstream
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from quincepath.broker.waiting import WaitingRoom
 
-MakeModule = Callable[[Settings, int], Module]
+MakeModule = Callable[[Settings, int], DecisionModule]
 ORDER_BODY = 192 * 1024  # bytes of a command that proposes a shard map, or a change of the configuration
 METRICS_TIMES = Times(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
 
@@ -79,11 +79,11 @@
             sets if config.fleet is not None and config.fleet.topology is not None else None,
         )
         system = loop.system
-        source = ListSource(config, self.map, base, lambda: system.wall_ns() / 1e9, loop.clock)
+        source = MembershipSource(config, self.map, base, lambda: system.wall_ns() / 1e9, loop.clock)
         settings = module_settings(config)
         seed = config.broker.seed or system.wall_ns()
         module = make_module(settings, seed)
-        desk: Desk[Reply] = Desk(
+        desk: AskIntake[Reply] = AskIntake(
             book_limits(config.asks, config.broker.tick), admission_bounds(config.limits), seed
         )
         self.holders = Holders(source, loop, config.roster_poll, self.log, self.metrics, self.told)
@@ -91,7 +91,7 @@
         if self.traces is not None:
             self.guests.add(Tracing(self.traces, self.holders.name))
         self.memory = MemoryWatch(
-            config.limits.max_memory, loop, self.metrics, self.log, desk.press,
+            config.limits.max_memory, loop, self.metrics, self.log, desk.set_pressure,
             lambda: not self.server.listener.closed,
         )  # fmt: skip
         self.door = desk.door
@@ -183,7 +183,7 @@
 
     def told(self, news: Members) -> None:
         """News of the list: for the next batch, and connections to who is going are closed."""
-        self.reception.note(Listed(news))
+        self.reception.note(MembershipUpdate(news))
         for entry in news.entries:
             if entry.phase.name != "READY":
                 self.upstream.close_node(entry.node)
--- a/quincepath/broker/service/figures.py
+++ b/quincepath/broker/service/figures.py
@@ -12,7 +12,7 @@
 from quincepath.limits.memory import MemoryCircuit, Pressure
 from quincepath.net.loop import Loop
 from quincepath.observe.metrics import Metrics
-from quincepath.orders import Ended, Verdict
+from quincepath.orders import AttemptEnded, Verdict
 
 MEMORY_POLL = 250_000_000  # ns
 PAGE_TYPE = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8"}
@@ -34,7 +34,7 @@
     def __init__(self, metrics: Metrics, log: Any, trace_of: Callable[[int], str]) -> None:
         self.metrics, self.log, self.trace_of = metrics, log, trace_of
 
-    def came(self, part: OpenPart, item: Ended, name: str) -> None:
+    def came(self, part: OpenPart, item: AttemptEnded, name: str) -> None:
         """An attempt at the holder of this name ended."""
         self.metrics.attempts.labels(name, item.result.name.lower()).inc()
         if item.cause and item.result.name not in ("CANCELLED",):
--- a/quincepath/broker/service/guest.py
+++ b/quincepath/broker/service/guest.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from quincepath.asks.book import Try
+from quincepath.asks.registry import Try
 from quincepath.broker.driver import OpenPart
 from quincepath.broker.reception import AskEnded
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
 from quincepath.limits.door import TurnAway
 from quincepath.net.server import Exchange
-from quincepath.orders import Ask, Ended, StartCall
+from quincepath.orders import Ask, AttemptEnded, StartCall
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,7 +45,7 @@
         """A call goes to a holder."""
         return
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         """An attempt ended."""
         return
 
@@ -95,7 +95,7 @@
         for guest in self.all:
             guest.sent(now, order)
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         for guest in self.all:
             guest.came(now, part, item)
 
--- a/quincepath/broker/service/holders.py
+++ b/quincepath/broker/service/holders.py
@@ -6,8 +6,8 @@
 from quincepath.broker.driver import Driver
 from quincepath.config.schema import Holder
 from quincepath.interface import Members, NodeId
-from quincepath.membership.roster import Change
-from quincepath.membership.source import ListSource
+from quincepath.membership.source import MembershipSource
+from quincepath.membership.state import Change
 from quincepath.net.loop import Loop
 from quincepath.observe.metrics import Metrics
 
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        source: ListSource,
+        source: MembershipSource,
         loop: Loop,
         every: int,
         log: Any,
@@ -42,7 +42,7 @@
         self._tell(*self.source.poll(force))
 
     def distribute(self, changed: Mapping[str, Holder | None], whole: bool | None) -> None:
-        """Holders as the fleet distributes them; see ``ListSource.distribute``."""
+        """Holders as the fleet distributes them; see ``MembershipSource.distribute``."""
         self._tell(*self.source.distribute(changed, whole))
 
     def _tell(self, news: Members | None, changes: Sequence[Change], error: str) -> None:
@@ -50,7 +50,7 @@
             self.metrics.list_errors.inc()
             self.log.error("list unreadable, the one before stays in force", cause=error)
         for change in changes:
-            self.log.info("holder changed", node=change.name, change=change.what)
+            self.log.info("holder changed", node=change.name, change=change.description)
         if news is not None:
             self.told(news)
 
--- a/quincepath/broker/service/maps.py
+++ b/quincepath/broker/service/maps.py
@@ -16,7 +16,7 @@
 from quincepath.fronts.remote_read.plan import Plan, Planner
 from quincepath.interface import Result
 from quincepath.limits.door import TurnAway
-from quincepath.orders import Ended, Finish, Verdict
+from quincepath.orders import AttemptEnded, Finish, Verdict
 from quincepath.shards.shardmap import ShardMap
 from quincepath.shards.versions import MapVersion
 
@@ -55,7 +55,7 @@
     def _stage(self, version: MapVersion) -> bool:
         """Built and numbered; false, with a line, where its sets are not those of this broker."""
         try:
-            built = version.built(self.cells)
+            built = version.to_shard_map(self.cells)
         except ValueError as error:
             self.log.warning("fleet: shard map cannot be staged", version=version.number, cause=str(error))
             return False
@@ -66,7 +66,7 @@
 
     def _use(self, version: MapVersion) -> None:
         found = self._built.get(version.number)
-        self.planner.use(version.built(self.cells) if found is None else found, version.number)
+        self.planner.use(version.to_shard_map(self.cells) if found is None else found, version.number)
 
     def arrive(self, now: int, arrival: Arrival) -> TurnAway | None:
         if not self.maps.part.takes:
@@ -81,7 +81,7 @@
             self._held[ask] = version.number
             self._tenants[ask] = self._tenant
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         ask = part.query.ask.handle
         if item.result is Result.OK and part.step == 1 and ask in self._held:
             self._took.setdefault(ask, {})[part.ask.shard] = now - part.attempts[item.attempt].sent
--- a/quincepath/broker/service/sharing.py
+++ b/quincepath/broker/service/sharing.py
@@ -17,7 +17,7 @@
 from quincepath.fronts.remote_read.plan import Plan
 from quincepath.interface import Allowance, Result
 from quincepath.limits.door import TurnAway
-from quincepath.orders import Allowed, Ended, Finish, Input, StartCall, Verdict
+from quincepath.orders import AllowanceUpdate, AttemptEnded, Finish, Input, StartCall, Verdict
 from quincepath.shards.shardmap import ShardMap
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     ) -> None:  # fmt: skip
         self.shared, self.driver, self.note, self.dials = shared, driver, note, dials
         self.room = room
-        self._cell = shard_map.cell_at
+        self._cell = shard_map.cell_of_shard
         self.blame = Blame()
         self._dials = 0
         shared.on_out = self._told
@@ -56,7 +56,7 @@
         for one in order.attempts:
             tally.spent(Spend.FURTHER if one.attempt else Spend.FIRST)
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         if item.result is Result.OK or item.result in TURNED:
             self.blame.note(self._cell(part.ask.shard), item.result is not Result.OK)
 
@@ -81,7 +81,7 @@
         self.shared.sharing.tally.spent(Spend.DIAL, dials - self._dials)
         self._dials = dials
         spending = out.spending
-        self.note(Allowed(Allowance(spending.extras, spending.trials, spending.until)))
+        self.note(AllowanceUpdate(Allowance(spending.extras, spending.trials, spending.until)))
 
     def _totals(self, totals: Totals) -> None:
         """Turns go by what tenants got at all brokers; what they got here is told to the others."""
--- a/quincepath/broker/service/tracing.py
+++ b/quincepath/broker/service/tracing.py
@@ -13,7 +13,7 @@
 from quincepath.interface import NodeId
 from quincepath.net.loop import Loop
 from quincepath.observe.traces import Traces
-from quincepath.orders import Ended, StartCall
+from quincepath.orders import AttemptEnded, StartCall
 
 
 def open_traces(config: Config, base: Path, seed: int, loop: Loop) -> Traces | None:
@@ -39,7 +39,7 @@
         for one in order.attempts:
             self.traces.sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         outcome = item.result.name.lower()
         self.traces.came(part.query.ask.handle, item.part, item.attempt, outcome, item.cause, now)
 
--- a/quincepath/broker/service/turn.py
+++ b/quincepath/broker/service/turn.py
@@ -16,7 +16,7 @@
 from quincepath.broker.service.guest import Guests
 from quincepath.broker.service.holders import Holders
 from quincepath.net.loop import Loop, Timer
-from quincepath.orders import Breach, Ended, ReadList, StartCall, StopAttempt, Told
+from quincepath.orders import AttemptEnded, Breach, LogLine, RefreshMembership, StartCall, StopAttempt
 from quincepath.upstream.pool import Upstream
 
 
@@ -40,7 +40,7 @@
         self._due: Timer | None = None
         self._due_at = 0
 
-    def ended(self, ended: Ended) -> None:
+    def ended(self, ended: AttemptEnded) -> None:
         """An attempt ended; it is in the next batch."""
         part = self.driver.parts.get(ended.part)
         if part is not None:
@@ -75,10 +75,10 @@
             case AskEnded():
                 self.figures.ended(order)
                 self.guests.ended(self.loop.now, order)
-            case Told(text):
+            case LogLine(text):
                 self.figures.log.warning("module", text=text)
             case Breach(name, detail):
                 self.figures.metrics.breaches.labels(name).inc()
                 self.figures.log.error("contract broken, made harmless", name=name, detail=detail)
-            case ReadList():
+            case RefreshMembership():
                 self.holders.read(force=True)
--- a/quincepath/broker/waiting.py
+++ b/quincepath/broker/waiting.py
@@ -13,7 +13,7 @@
 from quincepath.limits.fair import Done, Elsewhere, Enter, Freed, Gone, Refuse, Stop
 from quincepath.limits.fair import Input as TurnInput
 from quincepath.limits.fair.core import Turns
-from quincepath.orders import Arrived, Ask, Ended, Finish, StartCall, Verdict
+from quincepath.orders import Ask, AttemptEnded, Finish, QueryArrived, StartCall, Verdict
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
                 held.parts.add(one.part)
                 self._asks[one.part] = one.ask
 
-    def came(self, now: int, item: Ended) -> None:
+    def came(self, now: int, item: AttemptEnded) -> None:
         """An attempt has ended."""
         handle = self._asks.get(item.part)
         held = self._held.get(handle) if handle is not None else None
@@ -98,7 +98,7 @@
     def _wanted(self) -> bool:
         return bool(self.turns.queues.waiting) or self.turns.pool.full()
 
-    def step(self, now: int, whole: bool = False) -> tuple[list[Arrived], list[Finish]]:
+    def step(self, now: int, whole: bool = False) -> tuple[list[QueryArrived], list[Finish]]:
         """Asks that run from now on, with the time that is left to them, and those that are refused.
 
         ``whole``: also what is put off while nobody waits; bounded by the asks that are open at once.
@@ -119,7 +119,7 @@
                 refused.append(_refusal(now, held, out))
                 del self._held[out.number]
             else:
-                runs.append(Arrived(replace(held.ask, time_left=max(held.deadline - now, 0))))
+                runs.append(QueryArrived(replace(held.ask, time_left=max(held.deadline - now, 0))))
         return runs, refused
 
     def waiting(self) -> int:
--- a/quincepath/config/schema/broker.py
+++ b/quincepath/config/schema/broker.py
@@ -2,7 +2,7 @@
 
 from pydantic import Field, model_validator
 
-from quincepath.asks.book import BookLimits
+from quincepath.asks.registry import RegistryLimits
 from quincepath.config.schema.base import MS, SECOND, Count, Model, Name
 from quincepath.config.schema.sharing import FairEntry
 from quincepath.config.values import Duration, Share, Size
@@ -82,9 +82,9 @@
         return self
 
 
-def book_limits(asks: AsksEntry, tick: int) -> BookLimits:
+def book_limits(asks: AsksEntry, tick: int) -> RegistryLimits:
     """What the book of asks and tries is bound to."""
-    return BookLimits(
+    return RegistryLimits(
         remember=asks.remember,
         most_remembered=asks.most_remembered,
         most_bytes=asks.most_bytes,
--- a/quincepath/fleet/adoption/broker.py
+++ b/quincepath/fleet/adoption/broker.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from quincepath.fleet.adoption.state import Topology
-from quincepath.shards.versions import MapVersion, Versions
+from quincepath.shards.versions import MapVersion, MapVersions
 
 
 @dataclass(slots=True)
@@ -18,7 +18,7 @@
     """
 
     configured: MapVersion
-    versions: Versions | None = None
+    versions: MapVersions | None = None
     staged: dict[int, MapVersion] = field(default_factory=dict)
     used: int = 0
     _read: bool = False
@@ -28,7 +28,7 @@
         """All that was committed when this broker asked is applied. Once after each start."""
         self._read = True
         if self.versions is None and not topology.used:
-            self.versions = Versions(self.configured)
+            self.versions = MapVersions(self.configured)
         self.follow(topology)
 
     def follow(self, topology: Topology) -> None:
@@ -67,7 +67,7 @@
             return
         if self.versions is None:
             if self._read and self.to_stage() is None:
-                self.versions = Versions(version)
+                self.versions = MapVersions(version)
         elif version.number > self.versions.current.number:
             self.versions.adopt(version)  # not yet, while too many versions have queries: tried at each end
 
--- a/quincepath/fleet/adoption/commands.py
+++ b/quincepath/fleet/adoption/commands.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from quincepath.fleet.messages import Millis, Name, Text
-from quincepath.shards.versions import NAME_BYTES, MapVersion
+from quincepath.shards.versions import MAX_NAME_BYTES, MapVersion
 
 MAP_BYTES = 56 * 1024  # of one map as msgpack; a proposal may carry two
 BROKERS_MOST = 1000
@@ -19,7 +19,7 @@
 OWN_COMMANDS = ("use-map", "measured-map")  # of the leader; not taken from people
 
 Number = Annotated[int, Meta(ge=0, le=1 << 31)]
-Word = Annotated[str, Meta(max_length=NAME_BYTES)]
+Word = Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
 Names = Annotated[tuple[Name, ...], Meta(max_length=BROKERS_MOST)]
 Shards = Annotated[tuple[Word, ...], Meta(max_length=4096)]
 Held = Annotated[dict[Name, Shards], Meta(max_length=HOLDERS_MOST)]
--- a/quincepath/fleet/adoption/machine.py
+++ b/quincepath/fleet/adoption/machine.py
@@ -24,7 +24,7 @@
     UseMap,
 )  # fmt: skip
 from quincepath.fleet.adoption.state import EMPTY, Measuring, Proposal, Step, Topology
-from quincepath.shards.versions import faults
+from quincepath.shards.versions import map_problems
 
 if TYPE_CHECKING:
     from quincepath.fleet.forecast import Forecast
@@ -85,7 +85,7 @@
     if why:
         return why
     used, number = topology.used or 1, max(topology.newest, 1) + 1
-    wrong = faults(command.map.version(used + 1), base.version(used), frozenset(command.may_lose))
+    wrong = map_problems(command.map.version(used + 1), base.version(used), frozenset(command.may_lose))
     if wrong:
         more = f" and {len(wrong) - SHOWN} more" if len(wrong) > SHOWN else ""
         return "; ".join(map(str, wrong[:SHOWN])) + more
--- a/quincepath/fleet/forecast/footprints.py
+++ b/quincepath/fleet/forecast/footprints.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from quincepath.shards.versions import NAME_BYTES
+from quincepath.shards.versions import MAX_NAME_BYTES
 
 SIZE = 4096  # footprints of a merged sample
 PARTS_MOST = 256  # of a footprint; what is beyond is folded into the last
@@ -80,7 +80,7 @@
 def listed(values: Iterable[str], most: int) -> tuple[tuple[str, ...], int]:
     """At most ``most`` of the values, the least by hash, sorted; and how many are not among them."""
     every = set(values)
-    fit = [value for value in every if len(value.encode()) <= NAME_BYTES]
+    fit = [value for value in every if len(value.encode()) <= MAX_NAME_BYTES]
     kept = fit if len(fit) <= most else sorted(fit, key=_order)[:most]
     return tuple(sorted(kept)), len(every) - len(kept)
 
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -20,7 +20,7 @@
 from quincepath.fleet.permits import Command, Grant, Permits
 from quincepath.fleet.view.core import Drain, Leave, Told, View
 from quincepath.fleet.view.facts import Change, Phase, ViewSettings
-from quincepath.membership.roster import Fact
+from quincepath.membership.state import HolderInfo
 from quincepath.net.loop import Loop
 from quincepath.net.server import Exchange
 
@@ -97,7 +97,7 @@
         self.ramp = config.rules.ramp_time
         self.on_drained: Callable[[frozenset[str]], None] = lambda names: None
         self.out_at: Callable[[], dict[str, int]] = dict
-        self.facts: Callable[[], list[Fact]] = list
+        self.facts: Callable[[], list[HolderInfo]] = list
         self.zone_name: Callable[[int], str] = str
         self.brokers = {entry.member, *(peer.name for peer in entry.peers)}
         self.sets = {entry.name: entry.set or entry.name for entry in config.shards.map}
--- a/quincepath/fronts/remote_read/front.py
+++ b/quincepath/fronts/remote_read/front.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from quincepath.asks.book import Mark, Try
+from quincepath.asks.registry import ClientKey, Try
 from quincepath.config.schema import Config
 from quincepath.config.values import parse_duration
 from quincepath.fronts.remote_read.codec import HEADERS, VERSION_HEADER, CodecError, decode_request, encode
@@ -95,7 +95,7 @@
             for name in names:
                 key = headers.get(name.lower(), "").strip()
                 if key and mark is None:
-                    mark = Mark(scope, key[:LONGEST_NAME], vouched and len(key) <= LONGEST_NAME)
+                    mark = ClientKey(scope, key[:LONGEST_NAME], vouched and len(key) <= LONGEST_NAME)
         # An address is part of the digest only where it alone says whose tries they are.
         owner = address if mark is None and asks.unmarked_within else ""
         # With what makes a request valid: one to a wrong path or of a wrong type is no try of a sound one.
--- a/quincepath/fronts/remote_read/plan.py
+++ b/quincepath/fronts/remote_read/plan.py
@@ -11,8 +11,8 @@
 from quincepath.config.schema import ClassEntry, Config, module_kind
 from quincepath.fronts.remote_read.matchers import MatcherError, accepts, describe
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, Query, ReadRequest, TimeSeries
-from quincepath.orders import FollowUp, PartAsk
-from quincepath.shards.shardmap import ShardMap, Touch
+from quincepath.orders import FollowUp, PartRequest
+from quincepath.shards.shardmap import ShardMap, TouchedShard
 
 UNKNOWN = "\ufffd"  # stands for a value that no map knows
 SPECIAL = frozenset(r"\.+*?()|[]{}^$")
@@ -39,7 +39,7 @@
     kind: int  # the module's position
     entry: ClassEntry
     queries: int
-    parts: tuple[PartAsk, ...]
+    parts: tuple[PartRequest, ...]
     follow: FollowUp | None
     span: int = 0  # ns, the longest time range asked for
     version: int = 1  # of the shard map that all of it is cut by
@@ -136,11 +136,11 @@
         said = ", ".join(describe(m) for m in query.matchers)
         raise BadRequest(f"{where}: no class takes {{{said}}}")
 
-    def _narrowed(self, query: Query, touch: Touch) -> Query:
+    def _narrowed(self, query: Query, touch: TouchedShard) -> Query:
         """The query as a holder gets it: where it holds other shards too, for this one's values only."""
         found = Query()
         found.CopyFrom(query)
-        if touch.shard.alone:
+        if touch.shard.exclusive:
             return found
         values = [*touch.values, *([""] if touch.unlabelled else [])]
         if len(values) == 1:
@@ -160,9 +160,9 @@
     return LabelMatcher(type=LabelMatcher.RE, name=label, value=value)
 
 
-def _parts(fetches: Mapping[int, list[tuple[int, Query]]]) -> tuple[PartAsk, ...]:
+def _parts(fetches: Mapping[int, list[tuple[int, Query]]]) -> tuple[PartRequest, ...]:
     return tuple(
-        PartAsk(shard, 1 / len(fetches), PartFetch(tuple(queries)))
+        PartRequest(shard, 1 / len(fetches), PartFetch(tuple(queries)))
         for shard, queries in sorted(fetches.items())
     )
 
@@ -170,7 +170,7 @@
 def _follow_up(later: Mapping[int, list[tuple[int, Query]]]) -> FollowUp:
     """The older samples, at the shards that answered with the recent ones."""
 
-    def follow(bodies: Mapping[int, Any]) -> tuple[PartAsk, ...]:
+    def follow(bodies: Mapping[int, Any]) -> tuple[PartRequest, ...]:
         return _parts({shard: queries for shard, queries in later.items() if shard in bodies})
 
     return follow
--- a/quincepath/lab/emulator/world/calls.py
+++ b/quincepath/lab/emulator/world/calls.py
@@ -6,7 +6,7 @@
 from quincepath.lab.emulator.server import Server, State
 from quincepath.lab.emulator.world.actors import Broker, Call, Connection
 from quincepath.lab.emulator.world.turns import Turns
-from quincepath.orders import Ended
+from quincepath.orders import AttemptEnded
 from quincepath.upstream.outcomes import End as CallEnd
 from quincepath.upstream.outcomes import of_transport
 
@@ -42,7 +42,7 @@
     def _end_attempt(self, broker: Broker, call: Call, key: tuple[int, int], result: Result) -> None:
         call.waiting.discard(key)
         broker.calls.pop(key, None)
-        broker.reception.note(Ended(*key, result, True if result is Result.OK else None))
+        broker.reception.note(AttemptEnded(*key, result, True if result is Result.OK else None))
         self._poke(broker)
 
     def _drop(self, broker: Broker, call: Call, result: Result) -> None:
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -3,16 +3,16 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from quincepath.asks.book import Again, Begin, How, Join
-from quincepath.asks.book import Mark as KeyMark
-from quincepath.asks.book import Try as BookTry
+from quincepath.asks.registry import Begin, Join, MatchKind, ReplayAnswer
+from quincepath.asks.registry import ClientKey as KeyMark
+from quincepath.asks.registry import Try as BookTry
 from quincepath.broker.reception import Owed, Rendered
 from quincepath.lab.emulator.chance import draw_query, part_work
 from quincepath.lab.emulator.world.actors import Broker, Client, Ending, Try
 from quincepath.lab.emulator.world.day import MS, SECOND
 from quincepath.lab.emulator.world.turns import Turns
 from quincepath.limits.door import TurnAway
-from quincepath.orders import Ask, Finish, PartAsk, Verdict
+from quincepath.orders import Ask, Finish, PartRequest, Verdict
 from quincepath.standins.record import Ask as AskLine
 from quincepath.standins.record import End
 
@@ -107,8 +107,8 @@
         match said:
             case TurnAway(retry_in=retry_in):
                 self._answer_client(broker, attempt, Ending(503, retry_in=retry_in))
-            case Again(reply=reply):
-                self._answer_client(broker, attempt, reply, How.REPLAYED)
+            case ReplayAnswer(reply=reply):
+                self._answer_client(broker, attempt, reply, MatchKind.REPLAYED)
             case Join() | Begin():
                 broker.tries[handle] = attempt
                 self._poke(broker)
@@ -119,15 +119,15 @@
         client = attempt.client
         weight = 1 / len(client.shards)
         parts = tuple(
-            PartAsk(shard, weight, (one, client.poison, client.kind))
+            PartRequest(shard, weight, (one, client.poison, client.kind))
             for shard, one in zip(client.shards, client.work, strict=True)
         )
         second = self.script.classes[client.kind].second_step
         by_shard = dict(zip(client.shards, client.work, strict=True))
 
-        def follow(bodies: Mapping[int, Any]) -> tuple[PartAsk, ...]:
+        def follow(bodies: Mapping[int, Any]) -> tuple[PartRequest, ...]:
             return tuple(
-                PartAsk(shard, 1 / len(bodies), (by_shard[shard] * SECOND_STEP_WORK, False, client.kind))
+                PartRequest(shard, 1 / len(bodies), (by_shard[shard] * SECOND_STEP_WORK, False, client.kind))
                 for shard in sorted(bodies)
             )
 
@@ -151,11 +151,13 @@
                 self._poke(broker)
                 return
 
-    def _answer_client(self, broker: Broker, attempt: Try, reply: Ending, how: How = How.BEGAN) -> None:
+    def _answer_client(
+        self, broker: Broker, attempt: Try, reply: Ending, how: MatchKind = MatchKind.BEGAN
+    ) -> None:
         def heard() -> None:
             if not attempt.over:
                 ms = -(-reply.retry_in // MS)
-                joined = "" if how is How.BEGAN else how.value
+                joined = "" if how is MatchKind.BEGAN else how.value
                 self._end_try(
                     attempt,
                     End(self.now, attempt.name, reply.status, reply.mark, reply.parts_in, reply.parts_asked,
--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -4,8 +4,8 @@
 import zlib
 from collections.abc import Callable
 
-from quincepath.asks.desk import Desk
-from quincepath.broker.driver import Driver, Module
+from quincepath.asks.intake import AskIntake
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.broker.reception import Owed, Reception
 from quincepath.config.schema import admission_bounds, book_limits
 from quincepath.interface import Members, Scope, Settings
@@ -14,11 +14,11 @@
 from quincepath.lab.emulator.world.clients import Clients
 from quincepath.lab.emulator.world.day import SECOND, TICK, Tally
 from quincepath.lab.emulator.world.sending import Sending
-from quincepath.orders import Breach, Listed, StartCall, StopAttempt, Told
+from quincepath.orders import Breach, LogLine, MembershipUpdate, StartCall, StopAttempt
 from quincepath.policy import Aggregator
 from quincepath.standins.record import End, Halt, Line
 
-MakeModule = Callable[[Settings, int], Module]
+MakeModule = Callable[[Settings, int], DecisionModule]
 
 
 class ContractBroken(AssertionError):
@@ -60,7 +60,7 @@
         settings = self.settings[broker.number]
         broker.driver = Driver(self.make_module(settings, seed), settings, self.script.rules.drain_grace)
         bounds = admission_bounds(self.script.limits)
-        desk: Desk[Ending] = Desk(book_limits(self.script.asks, TICK), bounds, seed)
+        desk: AskIntake[Ending] = AskIntake(book_limits(self.script.asks, TICK), bounds, seed)
         broker.reception = Reception(broker.driver, desk, self._render)
         broker.alive, broker.stalled_until, broker.step_at = True, 0, None
         broker.held_io, broker.held_timers = [], []
@@ -69,7 +69,7 @@
         broker.known = dict(known)
         # What changed while it was dead, or was on its way when it died, comes with the list's next news.
         broker.missed = [name for name, entry in self.truth.items() if known.get(entry.node) != entry]
-        broker.reception.note(Listed(Members(Scope.CACHED, 1, tuple(known.values()))))
+        broker.reception.note(MembershipUpdate(Members(Scope.CACHED, 1, tuple(known.values()))))
         self._poke(broker)
         if broker.missed:
             lag = self.source("list").between(*self.script.discovery.lag) * broker.lag
@@ -87,7 +87,7 @@
                     self._owed(broker, order)
                 case Breach(name, detail):
                     raise ContractBroken(f"broker {broker.number}: contract broken: {name}: {detail}")
-                case Told(text):
+                case LogLine(text):
                     self.mark(f"broker{broker.number}: {text}")
         due = broker.reception.next_due()
         if due is not None and due <= self.now:
--- a/quincepath/lab/emulator/world/news.py
+++ b/quincepath/lab/emulator/world/news.py
@@ -5,7 +5,7 @@
 from quincepath.interface import Entry, Members, Phase, Scope
 from quincepath.lab.emulator.world.actors import Broker
 from quincepath.lab.emulator.world.turns import Turns
-from quincepath.orders import Listed
+from quincepath.orders import MembershipUpdate
 from quincepath.standins.record import Told as ToldLine
 
 
@@ -31,7 +31,7 @@
             def take() -> None:
                 broker.known[entry.node] = entry
                 self.sink(ToldLine(self.now, name, entry.phase.name.lower(), broker.number))
-                broker.reception.note(Listed(Members(Scope.DELTA, 1, (entry,))))
+                broker.reception.note(MembershipUpdate(Members(Scope.DELTA, 1, (entry,))))
                 self._poke(broker)
 
             self._io(broker, broker.life, take)
--- a/quincepath/lab/map_world.py
+++ b/quincepath/lab/map_world.py
@@ -11,7 +11,7 @@
 from itertools import accumulate
 from random import Random
 
-from quincepath.shards.versions import Entry, MapVersion
+from quincepath.shards.versions import MapEntry, MapVersion
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -157,8 +157,8 @@
 
 
 def changed(
-    entries: tuple[Entry, ...], change: str, hot: tuple[str, ...], random: Random
-) -> tuple[Entry, ...]:
+    entries: tuple[MapEntry, ...], change: str, hot: tuple[str, ...], random: Random
+) -> tuple[MapEntry, ...]:
     """The map after a change."""
     found = list(entries)
     at = random.randrange(len(found))
@@ -197,7 +197,7 @@
     random = Random(seed)
     sets, slots = random.randint(4, 10), 4
     shards = [(f"s{g}.{n}", f"g{g}") for g in range(sets) for n in range(random.randint(1, 3))]
-    entries: list[Entry] = []
+    entries: list[MapEntry] = []
     values: list[str] = []
     for name, group in shards:
         mine = tuple(f"v{len(values) + n}" for n in range(random.choice((2, 4, 8, 8, 16))))
--- a/quincepath/membership/source.py
+++ b/quincepath/membership/source.py
@@ -13,7 +13,7 @@
 from quincepath.config.load import ConfigError, load
 from quincepath.config.schema import Config, Holder, Roster, check_holders, zones
 from quincepath.interface import Members, NodeId, Phase
-from quincepath.membership.roster import Change, Fact, RosterState
+from quincepath.membership.state import Change, HolderInfo, MembershipState
 from quincepath.shards.shardmap import ShardMap
 
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
@@ -26,7 +26,7 @@
     return address + (parts.port or 0).to_bytes(2)
 
 
-class ListSource:
+class MembershipSource:
     """One broker's source of holders. ``poll`` is cheap and is called on the broker's own timer."""
 
     def __init__(
@@ -37,15 +37,15 @@
         wall: Callable[[], float] = time.time,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        self.config, self.map = config, shard_map
-        self.state = RosterState()
+        self.config, self.shard_map = config, shard_map
+        self.state = MembershipState()
         self.path = base / config.roster if config.roster else None
         self._wall, self._clock = wall, clock
         self._seen: tuple[int, int, int] | None = None
         self._zones = zones(config, [])
         self.errors = 0
         self.distributed: dict[str, Holder] = {}  # by name, as the fleet distributes them
-        self.whole = True  # whether the distributed ones are all
+        self.complete = True  # whether the distributed ones are all
         self.drained: frozenset[str] = (
             frozenset()
         )  # names that the fleet agreed to drain, whatever the list says
@@ -57,7 +57,7 @@
         if self.path is None:
             if self.state.version and not force:
                 return None, [], ""
-            news, changes = self.state.take([self._fact(holder) for holder in self.config.holders])
+            news, changes = self.state.apply_list([self._fact(holder) for holder in self.config.holders])
             return news, changes, ""
         try:
             found = self.path.stat()
@@ -73,35 +73,35 @@
                     return None, [], ""  # still missing: told once
                 self._seen = (0, 0, 0)
             self.errors += 1
-            return self.state.failed(), [], str(error)
+            return self.state.read_failed(), [], str(error)
         for holder in roster.holders:
             self._zones.setdefault(holder.zone, len(self._zones))
-        news, changes = self.state.take([self._fact(holder) for holder in roster.holders])
+        news, changes = self.state.apply_list([self._fact(holder) for holder in roster.holders])
         return news, changes, ""
 
     @property
     def uses_distributed(self) -> bool:
         """Whether the distributed holders alone are in force; else the file says who there is."""
-        return self.whole and bool(self.distributed)
+        return self.complete and bool(self.distributed)
 
     def distribute(
-        self, changed: Mapping[str, Holder | None], whole: bool | None = None
+        self, changed: Mapping[str, Holder | None], complete: bool | None = None
     ) -> tuple[Members | None, list[Change], str]:
         """Holders that the fleet distributes, by name; None: no longer one. Costs by their number.
 
-        ``whole``: from now on they are all, or not; None: as before. The holders were checked: their shards
+        ``complete``: whether they are all from now on; None keeps it. The holders were checked: their shards
         are a whole replica set, no two share a name or an address. Where the file comes into force again and
         cannot be read, the list before stays; as ``poll`` tells.
         """
         before = self.uses_distributed
         gone = self._hold(changed)
-        self.whole = self.whole if whole is None else whole
+        self.complete = self.complete if complete is None else complete
         if not self.uses_distributed:
             return self.poll(force=True) if before else (None, [], "")
         if not before:
             return (*self._take_distributed(), "")
         arriving = [self._fact(holder) for holder in changed.values() if holder is not None]
-        return (*self.state.take_delta(arriving, gone), "")
+        return (*self.state.apply_delta(arriving, gone), "")
 
     def _hold(self, changed: Mapping[str, Holder | None]) -> list[NodeId]:
         """Take the holders in; addresses that are left."""
@@ -116,23 +116,23 @@
         return gone
 
     def _take_distributed(self) -> tuple[Members | None, list[Change]]:
-        return self.state.take([self._fact(holder) for holder in self.distributed.values()])
+        return self.state.apply_list([self._fact(holder) for holder in self.distributed.values()])
 
     def zone_name(self, position: int) -> str:
         """The name of a zone that facts give by its position."""
         return next((name for name, at in self._zones.items() if at == position), "")
 
-    def _fact(self, holder: Holder) -> Fact:
+    def _fact(self, holder: Holder) -> HolderInfo:
         since = 0
         if holder.started is not None:
             since = max(self._clock() - int((self._wall() - holder.started) * 1e9), 1)
         phase = PHASES[holder.phase]
         if phase is Phase.READY and holder.name in self.drained:
             phase = Phase.DRAINING
-        cell = self.map.cell_of(holder.shards)
+        cell = self.shard_map.cell_of_set(holder.shards)
         if cell is None:
             raise ValueError(f"holder {holder.name!r}: no set has shards {holder.shards}")
-        return Fact(
+        return HolderInfo(
             holder.name,
             node_id(holder.url),
             urlsplit(holder.url).path or "/",
--- a/quincepath/membership/roster.py
+++ b/quincepath/membership/state.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fact:
+class HolderInfo:
     """What a source says of one holder. ``since``: ns of its last start on the broker's clock, 0 long ago."""
 
     name: str
@@ -30,25 +30,25 @@
     """One difference that was taken over, for the log: what it was before and is now."""
 
     name: str
-    what: str
+    description: str
 
 
 SAME_START = 1_000_000_000  # ns: starts told this close together are one start told on two clocks
 
 
-class RosterState:
+class MembershipState:
     """Holders as last told. Bounded by the list itself: who is gone and told so is forgotten."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.facts: dict[NodeId, Fact] = {}
+        self.facts: dict[NodeId, HolderInfo] = {}
         self._told_once = False
 
-    def address(self, node: NodeId) -> Fact | None:
+    def address(self, node: NodeId) -> HolderInfo | None:
         """Where a node is; None for one that no list names any more."""
         return self.facts.get(node)
 
-    def take(self, facts: Sequence[Fact]) -> tuple[Members | None, list[Change]]:
+    def apply_list(self, facts: Sequence[HolderInfo]) -> tuple[Members | None, list[Change]]:
         """A whole list was read: news for the module, None where nothing changed, and what changed."""
         changes: list[Change] = []
         entries: list[Entry] = []
@@ -64,8 +64,8 @@
             return None, changes
         return self._news(entries), changes
 
-    def take_delta(
-        self, facts: Sequence[Fact], gone: Sequence[NodeId]
+    def apply_delta(
+        self, facts: Sequence[HolderInfo], gone: Sequence[NodeId]
     ) -> tuple[Members | None, list[Change]]:
         """Part of the list changed; costs by that part. ``gone``: holders that it no longer names.
 
@@ -85,14 +85,14 @@
             self.facts[fact.node] = fact
         return (self._news(entries) if entries else None), changes
 
-    def _same_start(self, fact: Fact) -> Fact:
+    def _same_start(self, fact: HolderInfo) -> HolderInfo:
         """The start is told in wall time: the same one must not look new after a small clock step."""
         before = self.facts.get(fact.node)
         if before is None or not fact.since or abs(fact.since - before.since) >= SAME_START:
             return fact
         return replace(fact, since=before.since)
 
-    def _differ(self, fact: Fact, changes: list[Change], entries: list[Entry]) -> None:
+    def _differ(self, fact: HolderInfo, changes: list[Change], entries: list[Entry]) -> None:
         before = self.facts.get(fact.node)
         if fact != before:
             changes.append(Change(fact.name, self._what(before, fact)))
@@ -104,16 +104,16 @@
         self._told_once = True
         return Members(scope, self.version, tuple(entries))
 
-    def failed(self) -> Members:
+    def read_failed(self) -> Members:
         """The source could not be read: what was told before stays in force."""
         return Members(Scope.FAILED, self.version, ())
 
     @staticmethod
-    def _entry(fact: Fact, phase: Phase) -> Entry:
+    def _entry(fact: HolderInfo, phase: Phase) -> Entry:
         return Entry(fact.node, 0, fact.zone, fact.cell, fact.since, phase, 1.0)
 
     @staticmethod
-    def _what(before: Fact | None, now: Fact) -> str:
+    def _what(before: HolderInfo | None, now: HolderInfo) -> str:
         if before is None:
             return f"new, {now.phase.name.lower()}, shards {'+'.join(now.shards)}"
         said = []
--- a/quincepath/merge/series.py
+++ b/quincepath/merge/series.py
@@ -60,11 +60,11 @@
 def merge(
     queries: int,
     bodies: Iterable[tuple[int, int, Iterable[tuple[int, list[TimeSeries]]]]],
-    most_bytes: int,
+    max_bytes: int,
 ) -> tuple[ReadResponse, MergeStats]:
     """One result for each of ``queries`` from the bodies of parts, given as (step, shard, body).
 
-    Raises ``MergeError`` where the parts together are over ``most_bytes``, before anything is copied.
+    Raises ``MergeError`` where the parts together are over ``max_bytes``, before anything is copied.
     """
     found: list[dict[LabelKey, list[TimeSeries]]] = [{} for _ in range(queries)]
     size = 0
@@ -72,8 +72,8 @@
         for index, many in body:
             for series in many:
                 size += series.ByteSize()
-                if size > most_bytes:
-                    raise MergeError(f"the merged answer is over {most_bytes} bytes")
+                if size > max_bytes:
+                    raise MergeError(f"the merged answer is over {max_bytes} bytes")
                 found[index].setdefault(label_key(series), []).append(series)
     stats = MergeStats()
     response = ReadResponse()
--- a/quincepath/orders.py
+++ b/quincepath/orders.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PartAsk:
+class PartRequest:
     """One part: what to fetch at a shard; the weights of one step sum to 1."""
 
     shard: int
@@ -21,7 +21,7 @@
     payload: Any
 
 
-FollowUp = Callable[[Mapping[int, Any]], tuple[PartAsk, ...]]
+FollowUp = Callable[[Mapping[int, Any]], tuple[PartRequest, ...]]
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
     handle: int
     kind: int
     time_left: int
-    parts: tuple[PartAsk, ...]
+    parts: tuple[PartRequest, ...]
     tenant: int = 0
     key: int = 0
     repeat: bool = False
@@ -43,14 +43,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class QueryArrived:
     """A query was taken; from now on it is owed one final answer."""
 
     ask: Ask
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class AttemptEnded:
     """An attempt ended; ``body`` is its decoded answer where the result is OK, ``cause`` why it is not.
 
     ``report`` holds the values of a load report that came with it, in the order of the settings.
@@ -72,20 +72,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class MembershipUpdate:
     """News of the list of holders."""
 
     members: Members
 
 
 @dataclass(slots=True, frozen=True)
-class Allowed:
+class AllowanceUpdate:
     """What the fleet leaves this broker to spend; for the module."""
 
     allowance: Allowance
 
 
-Input = Arrived | Ended | ClientLeft | Listed | Allowed
+Input = QueryArrived | AttemptEnded | ClientLeft | MembershipUpdate | AllowanceUpdate
 
 
 # --- orders ---
@@ -103,16 +103,16 @@
 class AttemptOrder:
     """One attempt of one part, to be given up at ``deadline``.
 
-    It may wait at the edge, for a connection or a full socket: its first byte leaves by ``leave_by`` and its
-    last by ``whole_by``, or it never runs. ``leave_by <= whole_by <= deadline``.
+    It may wait at the edge, for a connection or a full socket: its first byte leaves by ``send_start_by``
+    and its last by ``send_complete_by``, or it never runs. ``send_start_by <= send_complete_by <= deadline``.
     """
 
     part: int
     attempt: int
     shard: int
     step: int
-    leave_by: int
-    whole_by: int
+    send_start_by: int
+    send_complete_by: int
     deadline: int
     payload: Any
     query_name: str
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopAttempt:
-    """Stop waiting for an attempt; its ``Ended`` is still owed."""
+    """Stop waiting for an attempt; its ``AttemptEnded`` is still owed."""
 
     part: int
     attempt: int
@@ -137,7 +137,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Withdraw:
-    """What of an attempt has not wholly left must not leave; one that has goes on. Its ``Ended`` is owed.
+    """Drop an attempt unless all of it was sent; one that was goes on. Its ``AttemptEnded`` is still owed.
 
     Unlike ``StopAttempt`` it is no choice of the module's: the part is in, or its query is over.
     """
@@ -147,7 +147,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LeaveBy:
+class NodeSendDeadline:
     """No attempt for this node, which drains or is gone, begins to leave after ``at``."""
 
     node: NodeId
@@ -171,7 +171,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class LogLine:
     """A line for on-call staff from the module."""
 
     text: str
@@ -186,8 +186,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ReadList:
+class RefreshMembership:
     """The module wants the list of holders read anew."""
 
 
-Order = StartCall | StopAttempt | Withdraw | LeaveBy | Finish | Told | Breach | ReadList
+Order = StartCall | StopAttempt | Withdraw | NodeSendDeadline | Finish | LogLine | Breach | RefreshMembership
--- a/quincepath/platform/clients.py
+++ b/quincepath/platform/clients.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from quincepath.net.http1 import Request
-from quincepath.orders import Ask, Finish, PartAsk, Verdict
+from quincepath.orders import Ask, Finish, PartRequest, Verdict
 from quincepath.platform.config import BLANK, Site
 
 ID = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
@@ -99,7 +99,7 @@
     return f"{path}/".startswith(first) or "%" in path and f"{_unquoted(path)}/".startswith(first)
 
 
-def _parts(body: bytes, site: Site) -> tuple[PartAsk, ...]:
+def _parts(body: bytes, site: Site) -> tuple[PartRequest, ...]:
     try:
         query = _decoder.decode(body)
         text = query.predicate.encode()
@@ -122,7 +122,7 @@
         total += item.portion
     if abs(total - 1) > WEIGHT_SLACK:
         raise BadQuery(400, f"body: portions add up to {total:.6f}, not 1")
-    return tuple(PartAsk(item.range, item.portion, text) for item in query.ranges)
+    return tuple(PartRequest(item.range, item.portion, text) for item in query.ranges)
 
 
 def read_query(request: Request, handle: int, site: Site, open_names: Container[str]) -> Ask:
--- a/quincepath/platform/leaving.py
+++ b/quincepath/platform/leaving.py
@@ -54,7 +54,7 @@
         if self.handed:
             return self.order.deadline
         begun = self.written and self.carrier is not None and self.carrier.begun(self)
-        return self.order.whole_by if begun else self.leave_by
+        return self.order.send_complete_by if begun else self.leave_by
 
 
 @dataclass(slots=True, eq=False)
--- a/quincepath/platform/nodes.py
+++ b/quincepath/platform/nodes.py
@@ -5,7 +5,7 @@
 
 from quincepath.interface import NodeId, Result
 from quincepath.net.loop import Loop
-from quincepath.orders import Ended, StartCall
+from quincepath.orders import AttemptEnded, StartCall
 from quincepath.platform.connection import Connection
 from quincepath.platform.frames import Reply, Spoilt, read_report
 from quincepath.platform.leaving import Frame, Key, Leaving
@@ -36,7 +36,7 @@
         most: int,
         most_open: int,
         where: Callable[[NodeId], tuple[str, int] | None],
-        ended: Callable[[Ended], None],
+        ended: Callable[[AttemptEnded], None],
         report_fields: tuple[str, ...] = (),
         on_event: Callable[[str, NodeId, str], None] = lambda what, node, why: None,
     ) -> None:
@@ -55,7 +55,7 @@
         for attempt in order.attempts:
             key = (attempt.part, attempt.attempt)
             id = f"{attempt.query_name}.{attempt.shard}".encode()
-            out = Leaving(key, attempt, id, attempt.leave_by)
+            out = Leaving(key, attempt, id, attempt.send_start_by)
             self.outs[key] = out
             outs.append(out)
         address = self._where(order.node)
@@ -161,7 +161,7 @@
         if out.timer is not None:
             out.timer.cancel()
         self.counts[meaning.result.name.lower()] += 1
-        self._ended(Ended(out.key[0], out.key[1], meaning.result, body, meaning.cause, report))
+        self._ended(AttemptEnded(out.key[0], out.key[1], meaning.result, body, meaning.cause, report))
 
     def _end_each(self, outs: list[Leaving], meaning: Meaning) -> None:
         for out in outs:
--- a/quincepath/platform/service.py
+++ b/quincepath/platform/service.py
@@ -10,25 +10,25 @@
 
 import msgspec
 
-from quincepath.broker.driver import Driver, Module
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.interface import Members, NodeId, Phase, Scope, Settings
 from quincepath.limits.door import Bounds, Door
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop, Timer
 from quincepath.net.server import Exchange, HttpServer, Peer, Times
 from quincepath.orders import (
-    Arrived,
+    AttemptEnded,
     Breach,
     ClientLeft,
-    Ended,
     Finish,
     Input,
-    LeaveBy,
-    Listed,
-    ReadList,
+    LogLine,
+    MembershipUpdate,
+    NodeSendDeadline,
+    QueryArrived,
+    RefreshMembership,
     StartCall,
     StopAttempt,
-    Told,
     Verdict,
     Withdraw,
 )
@@ -59,7 +59,7 @@
         self,
         config: Configuration,
         loop: Loop,
-        make_module: Callable[[Settings, int], Module] = Aggregator,
+        make_module: Callable[[Settings, int], DecisionModule] = Aggregator,
         wall_ms: Callable[[], float] = lambda: time.time() * 1000,
     ) -> None:
         self.config, self.loop, self.site, self._wall_ms = config, loop, config.site, wall_ms
@@ -148,7 +148,7 @@
             return
         if left < ask.time_left:
             ask = replace(ask, time_left=left)
-        away = self.door.admit(self.loop.now, self.driver.held() + self._arriving(), 1 + len(ask.parts))
+        away = self.door.admit(self.loop.now, self.driver.open_count() + self._arriving(), 1 + len(ask.parts))
         if away is not None:
             self.counts["turned away"] += 1
             exchange.respond(*refusal(away.cause, self._advice(away.retry_in)))
@@ -159,11 +159,11 @@
         self.names[ask.name] = handle
         self._name_of[handle] = ask.name
         exchange.on_left = lambda: self._left(handle)
-        self._inputs.append(Arrived(ask))
+        self._inputs.append(QueryArrived(ask))
 
     def _arriving(self) -> int:
         """Queries and parts taken in this turn, which the driver does not know yet."""
-        return sum(1 + len(item.ask.parts) for item in self._inputs if isinstance(item, Arrived))
+        return sum(1 + len(item.ask.parts) for item in self._inputs if isinstance(item, QueryArrived))
 
     def _advice(self, retry_in: int) -> int:
         return retry_in if self.config.settings.limits.retry_after else 0
@@ -226,7 +226,7 @@
         known = self.targets.nodes.get(node)
         return None if known is None else (known.host, known.port)
 
-    def _ended(self, ended: Ended) -> None:
+    def _ended(self, ended: AttemptEnded) -> None:
         self._inputs.append(ended)
 
     def _node_event(self, what: str, node: NodeId, why: str) -> None:
@@ -237,7 +237,7 @@
         news = self.targets.take(self.loop.now, self._wall_ms(), told, cached, base)
         if news is None:
             return
-        self._inputs.append(Listed(news))
+        self._inputs.append(MembershipUpdate(news))
         named = set()
         for entry in news.entries:
             named.add(entry.node)
@@ -264,7 +264,7 @@
         # Only who asks is told, and once: the module asks again for each failure told, and lists are priced.
         if self.site.must_ask and not self._failure_told:
             self._failure_told = True
-            self._inputs.append(Listed(Members(Scope.FAILED, max(self.targets.version, 0), ())))
+            self._inputs.append(MembershipUpdate(Members(Scope.FAILED, max(self.targets.version, 0), ())))
 
     # --- the driver ---
 
@@ -298,16 +298,16 @@
                 self.nodes.stop(part, attempt)
             case Withdraw(part, attempt):
                 self.nodes.withdraw(part, attempt)
-            case LeaveBy(node, at):
+            case NodeSendDeadline(node, at):
                 self.nodes.leave_by(node, at)
             case Finish():
                 self._finish(order)
-            case Told(text):
+            case LogLine(text):
                 log.warning("module: %s", text)
             case Breach(name, detail):
                 self.counts[f"breach {name}"] += 1
                 log.error("contract broken, made harmless: %s: %s", name, detail)
-            case ReadList():
+            case RefreshMembership():
                 self._failure_told = False
                 if not self._watched:  # else the watch is open, and brings all that is new
                     self.discovery.ask_again()
--- a/quincepath/platform/status.py
+++ b/quincepath/platform/status.py
@@ -43,8 +43,8 @@
     return {
         "counts": dict(broker.counts), "attempts": dict(broker.nodes.counts),
         "clients": len(broker.server.peers),
-        "server": dict(broker.server.counts), "open": len(broker.open), "held": broker.driver.held(),
-        "lingering": broker.driver.lingering(), "out": dict(believed), "connections": open_now,
+        "server": dict(broker.server.counts), "open": len(broker.open), "held": broker.driver.open_count(),
+        "lingering": broker.driver.lingering_count(), "out": dict(believed), "connections": open_now,
         "list": {
             (name := node.decode("ascii", "replace")): {
                 "cell": known.cell, "phase": known.phase.name, "out": believed[name],
--- a/quincepath/shards/shardmap.py
+++ b/quincepath/shards/shardmap.py
@@ -12,17 +12,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Shard:
-    """One shard; ``alone`` tells that its holders hold no other."""
+    """One shard; ``exclusive`` tells that its holders hold no other."""
 
     number: int
     name: str
     cell: int
     values: tuple[str, ...]
-    alone: bool
+    exclusive: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Touch:
+class TouchedShard:
     """A shard that a query touches: label values there that pass; ``unlabelled``: series without it."""
 
     shard: Shard
@@ -55,21 +55,21 @@
         self.shards: list[Shard] = []
         for name, group, values in entries:
             cell, place = self.cells[group], members[group].index(name)
-            alone = cells is None and len(members[group]) == 1
+            exclusive = cells is None and len(members[group]) == 1
             number = cell + place * len(self.cells)
-            self.shards.append(Shard(number, name, cell, tuple(values), alone))
+            self.shards.append(Shard(number, name, cell, tuple(values), exclusive))
         self.by_number = {shard.number: shard for shard in self.shards}
         self._cell_of = {frozenset(names): self.cells[group] for group, names in members.items()}
 
-    def cell_at(self, number: int) -> int:
+    def cell_of_shard(self, number: int) -> int:
         """Of a shard of this map, or of any other with the same cells."""
         return number % len(self.cells)
 
-    def cell_of(self, names: Sequence[str]) -> int | None:
+    def cell_of_set(self, names: Sequence[str]) -> int | None:
         """The cell whose shards are exactly these; None where there is no such set."""
         return self._cell_of.get(frozenset(names))
 
-    def touched(self, matchers: Sequence[Accepts]) -> list[Touch]:
+    def touched(self, matchers: Sequence[Accepts]) -> list[TouchedShard]:
         """Shards that may hold series passing all of these matchers on the shard label, by number.
 
         A series without the label counts as having the empty value, by the rules of the protocol: a matcher
@@ -80,5 +80,5 @@
         for shard in self.shards:
             values = tuple(v for v in shard.values if all(accepts(v) for accepts in matchers))
             if values or empty:
-                found.append(Touch(shard, values, empty))
+                found.append(TouchedShard(shard, values, empty))
         return sorted(found, key=lambda touch: touch.shard.number)
--- a/quincepath/shards/versions.py
+++ b/quincepath/shards/versions.py
@@ -13,11 +13,11 @@
 
 from quincepath.shards.shardmap import ShardMap
 
-SHARDS_MOST = 4096  # of one map
-VALUES_MOST = 200_000  # of one map
-NAME_BYTES = 256  # of a name or a value, as UTF-8
+MAX_SHARDS = 4096  # of one map
+MAX_VALUES = 200_000  # of one map
+MAX_NAME_BYTES = 256  # of a name or a value, as UTF-8
 
-Entry = tuple[str, str, tuple[str, ...]]  # shard, its replica set, the label values that it holds
+MapEntry = tuple[str, str, tuple[str, ...]]  # shard, its replica set, the label values that it holds
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,7 +26,7 @@
 
     number: int
     label: str
-    entries: tuple[Entry, ...]
+    entries: tuple[MapEntry, ...]
     unlabelled_anywhere: bool = True
 
     @property
@@ -35,7 +35,7 @@
         said = msgspec.json.encode((self.label, self.unlabelled_anywhere, self.entries))
         return hashlib.blake2b(said, digest_size=16).hexdigest()
 
-    def built(self, cells: Mapping[str, int] | None = None) -> ShardMap:
+    def to_shard_map(self, cells: Mapping[str, int] | None = None) -> ShardMap:
         """``cells`` as ``ShardMap`` takes them."""
         return ShardMap(self.label, self.entries, self.unlabelled_anywhere, cells)
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
+class MapProblem:
     """Why a map cannot be used: ``place`` in it, the ``value`` found there, what was ``expected``."""
 
     place: str
@@ -63,26 +63,26 @@
         return f"{self.place}: {self.value}; expected {self.expected}"
 
 
-def _name_faults(place: str, text: str) -> list[Fault]:
-    if text and len(text.encode()) <= NAME_BYTES:
+def _name_faults(place: str, text: str) -> list[MapProblem]:
+    if text and len(text.encode()) <= MAX_NAME_BYTES:
         return []
-    return [Fault(place, repr(text[:40]), f"1 to {NAME_BYTES} bytes")]
+    return [MapProblem(place, repr(text[:40]), f"1 to {MAX_NAME_BYTES} bytes")]
 
 
-def faults(
+def map_problems(
     new: MapVersion, old: MapVersion | None = None, may_lose: frozenset[str] = frozenset()
-) -> list[Fault]:
+) -> list[MapProblem]:
     """All that is wrong with a map, first by itself, then as what follows ``old``; at most 100 faults.
 
     ``may_lose``: values of the old map that the new one may leave out; any other that is left out is a fault,
     since queries for it would be answered as if it had no series.
     """
-    found: list[Fault] = []
-    if not new.entries or len(new.entries) > SHARDS_MOST:
-        found.append(Fault("entries", f"{len(new.entries)} shards", f"1 to {SHARDS_MOST}"))
+    found: list[MapProblem] = []
+    if not new.entries or len(new.entries) > MAX_SHARDS:
+        found.append(MapProblem("entries", f"{len(new.entries)} shards", f"1 to {MAX_SHARDS}"))
     total = sum(len(values) for _name, _group, values in new.entries)
-    if total > VALUES_MOST:
-        found.append(Fault("entries", f"{total} values", f"at most {VALUES_MOST}"))
+    if total > MAX_VALUES:
+        found.append(MapProblem("entries", f"{total} values", f"at most {MAX_VALUES}"))
     found += _name_faults("label", new.label)
     names: dict[str, int] = {}
     owner: dict[str, str] = {}
@@ -91,40 +91,46 @@
         found += _name_faults(f"{place}.name", name) + _name_faults(f"{place}.set", group)
         if name in names:
             found.append(
-                Fault(f"{place}.name", repr(name), f"a name other than that of entries[{names[name]}]")
+                MapProblem(f"{place}.name", repr(name), f"a name other than that of entries[{names[name]}]")
             )
         names.setdefault(name, index)
         if not values:
-            found.append(Fault(f"{place}.values", "none", "at least one value"))
+            found.append(MapProblem(f"{place}.values", "none", "at least one value"))
         for value in values:
             if len(found) >= 100:
                 return found[:100]
             found += _name_faults(f"{place}.values", value)
             if value in owner:
-                found.append(Fault(f"{place}.values", repr(value), f"a value not in shard {owner[value]!r}"))
+                found.append(
+                    MapProblem(f"{place}.values", repr(value), f"a value not in shard {owner[value]!r}")
+                )
             owner.setdefault(value, name)
     if old is not None:
         found += _as_next(new, old, owner.keys() | may_lose)
     return found[:100]
 
 
-def _as_next(new: MapVersion, old: MapVersion, placed: frozenset[str] | set[str]) -> list[Fault]:
+def _as_next(new: MapVersion, old: MapVersion, placed: frozenset[str] | set[str]) -> list[MapProblem]:
     found = []
     if new.number != old.number + 1:
-        found.append(Fault("number", str(new.number), f"{old.number + 1}, the one after the current version"))
+        found.append(
+            MapProblem("number", str(new.number), f"{old.number + 1}, the one after the current version")
+        )
     if new.label != old.label:
-        found.append(Fault("label", repr(new.label), f"{old.label!r} as in version {old.number}"))
+        found.append(MapProblem("label", repr(new.label), f"{old.label!r} as in version {old.number}"))
     if new.unlabelled_anywhere != old.unlabelled_anywhere:
         found.append(
-            Fault("unlabelled", str(new.unlabelled_anywhere), f"{old.unlabelled_anywhere} as before")
+            MapProblem("unlabelled", str(new.unlabelled_anywhere), f"{old.unlabelled_anywhere} as before")
         )
     if new.digest == old.digest:
-        found.append(Fault("entries", "the same as now", f"something that differs from version {old.number}"))
+        found.append(
+            MapProblem("entries", "the same as now", f"something that differs from version {old.number}")
+        )
     for name, _group, values in old.entries:
         lost = sorted(value for value in values if value not in placed)
         if lost:
             found.append(
-                Fault(f"values of {name!r}", f"{len(lost)} left out: {', '.join(lost[:3])}", "a shard")
+                MapProblem(f"values of {name!r}", f"{len(lost)} left out: {', '.join(lost[:3])}", "a shard")
             )
     return found
 
@@ -185,17 +191,17 @@
 
 
 @dataclass(slots=True)
-class Versions:
+class MapVersions:
     """The versions in use. A query holds the one it began with until its merge is done.
 
-    ``most`` versions at once: when there are as many, ``adopt`` answers False until an old one has no query
-    left. ``queries_most`` holding at once: when there are as many, ``hold`` answers None and the query is to
+    ``max_versions`` at once: when there are as many, ``adopt`` answers False until an old one has no query
+    left. ``max_queries`` holding at once: when there are as many, ``hold`` answers None and the query is to
     be refused as overload. A version that no query holds and that is not current is dropped.
     """
 
     current: MapVersion
-    most: int = 3
-    queries_most: int = 100_000
+    max_versions: int = 3
+    max_queries: int = 100_000
     _kept: dict[int, MapVersion] = field(default_factory=dict)
     _held: dict[int, int] = field(default_factory=dict)  # query -> version
     _count: Counter[int] = field(default_factory=Counter)
@@ -213,7 +219,7 @@
             raise ValueError(
                 f"version {version.number}: expected a number above {self.current.number}, the current"
             )
-        if len(self._kept) >= self.most and self._count[self.current.number]:
+        if len(self._kept) >= self.max_versions and self._count[self.current.number]:
             return False
         left, self.current = self.current.number, version
         self._kept[version.number] = version
@@ -223,7 +229,7 @@
     def hold(self, query: int) -> MapVersion | None:
         """The version of this query: the current one at its first call, the same at each later one."""
         if query not in self._held:
-            if len(self._held) >= self.queries_most:
+            if len(self._held) >= self.max_queries:
                 return None
             self._held[query] = self.current.number
             self._count[self.current.number] += 1
@@ -232,7 +238,7 @@
     @property
     def full(self) -> bool:
         """Whether no further query can hold a version."""
-        return len(self._held) >= self.queries_most
+        return len(self._held) >= self.max_queries
 
     def holds(self, query: int) -> bool:
         """Whether it has begun and not ended."""
--- a/quincepath/upstream/pool.py
+++ b/quincepath/upstream/pool.py
@@ -15,7 +15,7 @@
 from quincepath.net.http1 import HttpError, Limits, Response, ResponseReader, request_bytes
 from quincepath.net.loop import WRITE, Loop, Timer
 from quincepath.net.stream import Stream
-from quincepath.orders import AttemptOrder, Ended, StartCall
+from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
 from quincepath.upstream.outcomes import End, Meaning, of_status, of_transport
 from quincepath.upstream.remote_read import BadAnswer
 
@@ -194,7 +194,7 @@
         calls: Calls,
         limits: PoolLimits,
         path: Callable[[NodeId], str | None],
-        ended: Callable[[Ended], None],
+        ended: Callable[[AttemptEnded], None],
     ) -> None:
         self.loop, self.calls, self.limits, self._path, self._ended = loop, calls, limits, path, ended
         self.http_limits = Limits(body=limits.body)
@@ -288,7 +288,7 @@
         del self.attempts[key]
         if not call.waiting and call.timer:
             call.timer.cancel()
-        self._ended(Ended(key[0], key[1], meaning.result, body, meaning.cause))
+        self._ended(AttemptEnded(key[0], key[1], meaning.result, body, meaning.cause))
 
     def _abandon(self, call: _Call) -> None:
         """Nobody waits for this call any more: its connection can only be closed."""
--- a/tests/conformance/run_design.py
+++ b/tests/conformance/run_design.py
@@ -20,7 +20,15 @@
 from quincepath.interface import Answer, Entry, Members, Phase, Result, Scope, Send, Settings
 from quincepath.lab.load import Client, QueryPlan
 from quincepath.lab.virtual_loop import VirtualLoop
-from quincepath.orders import Arrived, Ask, Ended, Finish, Listed, PartAsk, StartCall
+from quincepath.orders import (
+    Ask,
+    AttemptEnded,
+    Finish,
+    MembershipUpdate,
+    PartRequest,
+    QueryArrived,
+    StartCall,
+)
 from quincepath.policy import Aggregator
 from quincepath.standins.data import Store
 from quincepath.standins.leaf import Leaf
@@ -127,19 +135,19 @@
         self.out: list[tuple[int, int]] = []
 
     def only(self, names: set[str]) -> None:
-        self.driver.step(self.now, [Listed(self.case.members(names))])
+        self.driver.step(self.now, [MembershipUpdate(self.case.members(names))])
 
     def query(self, kind: int, at: list[str]) -> Sent:
         self.handles, self.now = self.handles + 1, self.now + MS
-        parts = tuple(PartAsk(shard, 1 / len(at), None) for shard in self.case.shards(at))
-        orders = self.driver.step(self.now, [Arrived(Ask(self.handles, kind, 4 * SECOND, parts))])
+        parts = tuple(PartRequest(shard, 1 / len(at), None) for shard in self.case.shards(at))
+        orders = self.driver.step(self.now, [QueryArrived(Ask(self.handles, kind, 4 * SECOND, parts))])
         calls = [order for order in orders if isinstance(order, StartCall)]
         self.out = [(one.part, one.attempt) for call in calls for one in call.attempts]
         return [self.case.replicas[call.node[3]] for call in calls for _ in call.attempts]
 
     def answered(self) -> int:
         for count, (part, attempt) in enumerate(self.out, 1):
-            orders = self.driver.step(self.now + count, [Ended(part, attempt, Result.OK, ())])
+            orders = self.driver.step(self.now + count, [AttemptEnded(part, attempt, Result.OK, ())])
             if any(isinstance(order, Finish) for order in orders):
                 return count
         return 0
--- a/tests/fleet/adoption/small_world.py
+++ b/tests/fleet/adoption/small_world.py
@@ -14,7 +14,7 @@
 from quincepath.fleet.adoption.commands import AdoptMap, AwayMap, BackMap, MapCommand, ProposeMap
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.permits import Command, Permits, Resume, encode
-from quincepath.shards.versions import Versions
+from quincepath.shards.versions import MapVersions
 from tests.fleet.adoption.made import (
     BAD,
     BARS,
@@ -59,8 +59,8 @@
     """A copy that shares what never changes."""
     versions = member.versions
     if versions is not None:
-        versions = Versions(
-            versions.current, versions.most, versions.queries_most, dict(versions._kept),
+        versions = MapVersions(
+            versions.current, versions.max_versions, versions.max_queries, dict(versions._kept),
             dict(versions._held), versions._count.copy(),
         )  # fmt: skip
     return replace(member, versions=versions, staged=dict(member.staged), _wanted=dict(member._wanted))
--- a/tests/fleet/adoption/test_explored.py
+++ b/tests/fleet/adoption/test_explored.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quincepath.fleet.adoption import Gathered, Member, Topology, gathering, machine
-from quincepath.shards.versions import Versions
+from quincepath.shards.versions import MapVersions
 from tests.fleet.adoption.made import BROKERS
 from tests.fleet.adoption.small_world import Action, Broken, World, topology, way_out
 
@@ -131,7 +131,7 @@
     follow = Member.follow
 
     def read(self: Member, found: Topology) -> None:
-        self.versions = Versions(self.configured)
+        self.versions = MapVersions(self.configured)
         follow(self, Topology())
 
     monkeypatch.setattr(Member, "read", read)
@@ -147,8 +147,8 @@
 
 
 def test_planted_a_query_goes_over_to_the_next_version(monkeypatch: pytest.MonkeyPatch) -> None:
-    hold = Versions.hold
-    monkeypatch.setattr(Versions, "hold", lambda self, query: hold(self, query) and self.current)
+    hold = MapVersions.hold
+    monkeypatch.setattr(MapVersions, "hold", lambda self, query: hold(self, query) and self.current)
     assert "has a part of" in broken()
 
 
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -6,7 +6,7 @@
 from prometheus_client import CollectorRegistry
 from structlog.testing import CapturingLogger
 
-from quincepath.asks.book import Try
+from quincepath.asks.registry import Try
 from quincepath.broker.reception import AskEnded
 from quincepath.broker.service.guest import Arrival
 from quincepath.broker.service.maps import MapsGuest
@@ -32,7 +32,7 @@
         self.config = parse(SOUND.replace("[north.example.org]", "[n1, n2, n3]"), Config, "f.yaml")
         self.first = configured_map(self.config.shards)
         cells = {name: cell for cell, name in enumerate(self.config.shards.sets())}
-        self.planner = Planner(self.config, self.first.built(cells))
+        self.planner = Planner(self.config, self.first.to_shard_map(cells))
         self.log: Any = CapturingLogger()
         ports = Ports(lambda: ("m0",), dict)
         self.maps = Maps("m0", 1, self.first, ENTRY, Permits(), ports, self.log)
@@ -114,12 +114,12 @@
     front = Front()
     cells = front.planner.map.cells
     for version in (front.first, MapVersion(2, front.first.label, tuple(reversed(front.split())))):
-        built = version.built(cells)
+        built = version.to_shard_map(cells)
         assert len({shard.number for shard in built.shards}) == len(built.shards)
         groups = {name: group for name, group, _values in version.entries}
         for shard in built.shards:
-            assert shard.number % len(cells) == cells[groups[shard.name]] == built.cell_at(shard.number)
-            assert not shard.alone  # a holder may have shards of two versions
+            assert shard.number % len(cells) == cells[groups[shard.name]] == built.cell_of_shard(shard.number)
+            assert not shard.exclusive  # a holder may have shards of two versions
 
 
 def test_a_map_of_other_sets_is_not_staged_and_it_is_said() -> None:
--- a/tests/fleet/distribution/test_nodes.py
+++ b/tests/fleet/distribution/test_nodes.py
@@ -7,20 +7,20 @@
 from quincepath.config.schema import Config, Holder
 from quincepath.interface import Entry, Members, NodeId, Phase, Scope
 from quincepath.lab.demo import demo_config
-from quincepath.membership.roster import Fact, RosterState
-from quincepath.membership.source import ListSource, node_id
+from quincepath.membership.source import MembershipSource, node_id
+from quincepath.membership.state import HolderInfo, MembershipState
 from quincepath.shards.shardmap import ShardMap
 from tests.fleet.distribution.inside import SHARDS, node
 
 ALL = 12_000
 
 
-def fact(number: int, phase: Phase = Phase.READY, name: str = "") -> Fact:
+def fact(number: int, phase: Phase = Phase.READY, name: str = "") -> HolderInfo:
     address = bytes([10, 0, number // 250, number % 250]) + (9000).to_bytes(2)
-    return Fact(name or f"n{number}", NodeId(address), "/read", 0, number % 3, ("s0",), phase, 0)
+    return HolderInfo(name or f"n{number}", NodeId(address), "/read", 0, number % 3, ("s0",), phase, 0)
 
 
-class Counting(RosterState):
+class Counting(MembershipState):
     """Counts the facts that are compared."""
 
     compared = 0
@@ -32,12 +32,12 @@
 
 def test_one_change_of_twelve_thousand_nodes_touches_one() -> None:
     state = Counting()
-    state.take([fact(number) for number in range(ALL)])
+    state.apply_list([fact(number) for number in range(ALL)])
     state.compared = 0
-    news, changes = state.take_delta([fact(7, Phase.DRAINING)], [])
+    news, changes = state.apply_delta([fact(7, Phase.DRAINING)], [])
     assert state.compared == 1 and len(changes) == 1 and news is not None
     assert news.scope is Scope.DELTA and [entry.phase for entry in news.entries] == [Phase.DRAINING]
-    news, changes = state.take_delta([], [fact(8).node])
+    news, changes = state.apply_delta([], [fact(8).node])
     assert state.compared == 1 and news is not None
     assert [(entry.node, entry.phase) for entry in news.entries] == [(fact(8).node, Phase.GONE)]
     assert len(state.facts) == ALL - 1
@@ -46,12 +46,12 @@
 def test_a_delta_leads_to_another_list_than_the_whole() -> None:
     before = [fact(number) for number in range(20)]
     after = [*before[2:15], fact(15, Phase.DRAINING), fact(1, name="new"), fact(30)]
-    whole, parts = RosterState(), RosterState()
+    whole, parts = MembershipState(), MembershipState()
     for state in (whole, parts):
-        state.take(before)
-    told, _ = whole.take(after)
+        state.apply_list(before)
+    told, _ = whole.apply_list(after)
     gone = [one.node for one in (*before[:2], *before[16:])]
-    told_by_parts, _ = parts.take_delta([fact(15, Phase.DRAINING), fact(1, name="new"), fact(30)], gone)
+    told_by_parts, _ = parts.apply_delta([fact(15, Phase.DRAINING), fact(1, name="new"), fact(30)], gone)
 
     def by_node(news: Members | None) -> dict[NodeId, Entry]:
         assert news is not None
@@ -61,27 +61,27 @@
 
 
 def test_a_delta_that_changes_nothing_is_told() -> None:
-    state = RosterState()
-    state.take([fact(1), fact(2)])
-    assert state.take_delta([fact(1)], []) == (None, [])
-    assert state.take_delta([], [fact(9).node]) == (None, [])
+    state = MembershipState()
+    state.apply_list([fact(1), fact(2)])
+    assert state.apply_delta([fact(1)], []) == (None, [])
+    assert state.apply_delta([], [fact(9).node]) == (None, [])
     assert state.version == 1
 
 
 def test_a_delta_before_a_whole_list_is_taken() -> None:
     with pytest.raises(AssertionError, match="before a whole one"):
-        RosterState().take_delta([fact(1)], [])
+        MembershipState().apply_delta([fact(1)], [])
 
 
 # --- the source ---
 
 
-def source(folder: Path) -> ListSource:
+def source(folder: Path) -> MembershipSource:
     holders = [node(f"f{at}", replica_set, 8000 + at) for at, replica_set in enumerate(SHARDS)]
     config = Config.model_validate(demo_config(0, holders=holders))
     shards = config.shards
     entries = [(entry.name, entry.set or entry.name, entry.values) for entry in shards.map]
-    return ListSource(config, ShardMap(shards.label, entries, True), folder)
+    return MembershipSource(config, ShardMap(shards.label, entries, True), folder)
 
 
 def holders(*names: str) -> dict[str, Holder | None]:
@@ -92,7 +92,7 @@
     return found
 
 
-def names(found: ListSource) -> set[str]:
+def names(found: MembershipSource) -> set[str]:
     return {one.name for one in found.state.facts.values()}
 
 
@@ -113,14 +113,14 @@
 def test_a_list_that_is_not_whole_yet_takes_the_file_s_place(tmp_path: Path) -> None:
     found = source(tmp_path)
     found.poll(force=True)
-    assert found.distribute(holders("a1"), whole=False) == (None, [], "")
+    assert found.distribute(holders("a1"), complete=False) == (None, [], "")
     assert found.distribute(holders("b2", "c3")) == (None, [], "") and names(found) == {"f0", "f1", "f2"}
-    news, _, _ = found.distribute({}, whole=True)
+    news, _, _ = found.distribute({}, complete=True)
     assert names(found) == {"a1", "b2", "c3"} and news is not None and len(news.entries) == 6
     found.distribute(holders("a4"))
-    news, _, _ = found.distribute({}, whole=False)
+    news, _, _ = found.distribute({}, complete=False)
     assert names(found) == {"f0", "f1", "f2"} and news is not None and len(news.entries) == 7
-    found.distribute({}, whole=True)
+    found.distribute({}, complete=True)
     assert names(found) == {"a1", "a4", "b2", "c3"}
 
 
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -160,7 +160,7 @@
     if over in ("whole_by", "deadline"):
         end = now + 50 * MS
         deadline = end if over == "deadline" else out.order.deadline
-        out.order = replace(out.order, leave_by=now, whole_by=end, deadline=deadline)
+        out.order = replace(out.order, send_start_by=now, send_complete_by=end, deadline=deadline)
         edge.nodes._arm(out)
     edge.start(1)
     edge.run(49 * MS)
--- a/tests/platform/test_list_clock.py
+++ b/tests/platform/test_list_clock.py
@@ -10,7 +10,7 @@
 import pytest
 
 from quincepath.interface import Phase
-from quincepath.orders import ReadList
+from quincepath.orders import RefreshMembership
 from quincepath.platform import list_clock
 from quincepath.platform.list_clock import AFTER_MOVE, MARGIN, MOVED, MS, PAUSE, SUMS, TOLD
 from tests.standins.agent import SECOND, Agent
@@ -133,7 +133,7 @@
     assert world.until(lambda: world.broker.counts["discovery failed"] > 1, 60)
 
     def again() -> None:
-        world.broker._carry_out(ReadList())
+        world.broker._carry_out(RefreshMembership())
         world.loop.call_in(every * MS, again)
 
     again()
--- a/tests/standins/edge.py
+++ b/tests/standins/edge.py
@@ -6,7 +6,7 @@
 from quincepath.interface import NodeId, Result
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.net.loop import Loop
-from quincepath.orders import AttemptOrder, Ended, StartCall
+from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
 from quincepath.platform.connection import Connection
 from quincepath.platform.link import LinkTimes
 from quincepath.platform.nodes import Nodes
@@ -51,7 +51,7 @@
     def __init__(self, streams: int = 100) -> None:
         self.loop = VirtualLoop()
         self.node = Node(self.loop, "s-1")
-        self.ended: list[Ended] = []
+        self.ended: list[AttemptEnded] = []
         self.events: list[str] = []
         host, port = self.node.address.split(":")
         self.nodes = Nodes(
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from typing import Any
 
-from quincepath.broker.driver import Module
+from quincepath.broker.driver import DecisionModule
 from quincepath.interface import Phase, Settings
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.net.http1 import Limits
@@ -251,7 +251,9 @@
 class World:
     """Two sets of two nodes (set = shard modulo 2), discovery, one broker, all on one loop."""
 
-    def __init__(self, make_module: Callable[[Settings, int], Module] = Aggregator, **more: Any) -> None:
+    def __init__(
+        self, make_module: Callable[[Settings, int], DecisionModule] = Aggregator, **more: Any
+    ) -> None:
         self.loop = VirtualLoop()
         self.errors: list[Exception] = []
         self.loop.on_error = self.errors.append
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -205,7 +205,7 @@
     world.run(0.5)  # the first look was at this process
     plan = replace(world.plan("hours-report"), headers={"Idempotency-Key": "k"})
     assert world.ask(plan)[0].status == 200
-    book = world.broker.reception.desk.book
+    book = world.broker.reception.desk.registry
     assert book.remembered() == 1
     held = 80 * MIB
     world.run(0.5)
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -9,23 +9,23 @@
 
 import pytest
 
-from quincepath.asks.book import (
-    Again,
+from quincepath.asks.intake import AskIntake
+from quincepath.asks.registry import (
+    AskRegistry,
     Begin,
-    Book,
-    BookLimits,
+    ClientKey,
     Conflict,
-    Crowded,
     Deliver,
-    Drop,
-    How,
+    DropAsk,
     Join,
-    Mark,
+    MatchKind,
+    RegistryLimits,
+    ReplayAnswer,
     Restart,
-    TimeUp,
+    TooManyTries,
     Try,
+    TryExpired,
 )
-from quincepath.asks.desk import Desk
 from quincepath.broker.driver import Driver
 from quincepath.broker.reception import AskEnded, Owed, Reception, Rendered
 from quincepath.interface import Members, Result, Scope
@@ -33,12 +33,12 @@
 from quincepath.limits.admission import AdmissionBounds
 from quincepath.orders import (
     Ask,
+    AttemptEnded,
     AttemptOrder,
     Breach,
-    Ended,
     Finish,
-    Listed,
-    PartAsk,
+    MembershipUpdate,
+    PartRequest,
     StartCall,
     StopAttempt,
     Verdict,
@@ -47,7 +47,7 @@
 from tests.helpers import MS, SECOND, START, entry, node_id, query_class, settings
 from tests.world import World
 
-LIMITS = BookLimits(
+LIMITS = RegistryLimits(
     remember=10 * SECOND, most_remembered=3, most_bytes=1000, linger=300 * MS, most_tries=4, reserve=5 * MS
 )
 
@@ -55,12 +55,12 @@
 ROOMY = AdmissionBounds(1000, 1000, 1 << 30, SECOND)
 
 
-def book(**changes: Any) -> Book[str]:
-    return Book(replace(LIMITS, **changes))
+def book(**changes: Any) -> AskRegistry[str]:
+    return AskRegistry(replace(LIMITS, **changes))
 
 
 def attempt(handle: int, key: str = "k", body: bytes = b"b", left: int = 2 * SECOND, **more: Any) -> Try:
-    mark = Mark("", key, True) if key else None
+    mark = ClientKey("", key, True) if key else None
     return Try(handle, "", body, START + left, mark, name=f"t{handle}", **more)
 
 
@@ -70,10 +70,10 @@
 def test_a_retry_waits_with_the_first_try_and_both_get_the_answer() -> None:
     asks = book()
     assert asks.arrive(START, attempt(1)) == Begin(1)
-    assert asks.arrive(START + MS, attempt(2)) == Join(1, How.RETRY)
+    assert asks.arrive(START + MS, attempt(2)) == Join(1, MatchKind.RETRY)
     orders = asks.finish(START + 2 * MS, 1, "answer", 6, True)
-    assert orders == [Deliver(1, How.BEGAN), Deliver(2, How.RETRY)]
-    assert asks.arrive(START + 3 * MS, attempt(3)) == Again(1, "answer")
+    assert orders == [Deliver(1, MatchKind.BEGAN), Deliver(2, MatchKind.RETRY)]
+    assert asks.arrive(START + 3 * MS, attempt(3)) == ReplayAnswer(1, "answer")
     assert asks.waiting() == asks.running() == 0
 
 
@@ -81,7 +81,7 @@
     asks = book()
     asks.arrive(START, attempt(1))
     asks.finish(START, 1, "answer", 6, True)
-    assert asks.arrive(START + 10 * SECOND - 1, attempt(2)) == Again(1, "answer")
+    assert asks.arrive(START + 10 * SECOND - 1, attempt(2)) == ReplayAnswer(1, "answer")
     assert asks.arrive(START + 10 * SECOND, attempt(3)) == Begin(2)
     asks.finish(START + 11 * SECOND, 2, "refused", 6, False)
     assert asks.arrive(START + 11 * SECOND, attempt(4)) == Begin(3)
@@ -96,7 +96,7 @@
         asks.finish(START, number + 1, f"a{number}", 100, True)
     assert (asks.remembered(), asks.bytes) == (3, 300)
     assert asks.arrive(START, attempt(9, key="k1")) == Begin(6)
-    assert asks.arrive(START, attempt(10, key="k2")) == Again(3, "a2")
+    assert asks.arrive(START, attempt(10, key="k2")) == ReplayAnswer(3, "a2")
     asks.arrive(START, attempt(11, key="big"))
     asks.finish(START, 7, "big", 900, True)
     assert (asks.remembered(), asks.bytes) == (2, 1000)  # the newest small one and the big one
@@ -109,37 +109,39 @@
     asks = book()
     asks.arrive(START, attempt(1))
     assert asks.arrive(START, attempt(2, body=b"other")) == Conflict()
-    loose = Mark("", "k", False)
-    assert asks.arrive(START, replace(attempt(3, body=b"other"), mark=loose)) == Begin(2)
-    assert asks.arrive(START, replace(attempt(4), mark=Mark("else", "k", True), scope="else")) == Begin(3)
+    loose = ClientKey("", "k", False)
+    assert asks.arrive(START, replace(attempt(3, body=b"other"), client_key=loose)) == Begin(2)
+    assert asks.arrive(
+        START, replace(attempt(4), client_key=ClientKey("else", "k", True), scope="else")
+    ) == Begin(3)
 
 
 def test_the_ask_runs_on_for_a_retry_when_its_last_client_has_gone_but_not_for_ever() -> None:
     asks = book()
     asks.arrive(START, attempt(1))
-    assert asks.left(START + MS, 1) is None
+    assert asks.client_left(START + MS, 1) is None
     assert asks.next_due() == START + 301 * MS
-    assert asks.arrive(START + 200 * MS, attempt(2)) == Join(1, How.RETRY)
+    assert asks.arrive(START + 200 * MS, attempt(2)) == Join(1, MatchKind.RETRY)
     assert asks.expire(START + 301 * MS) == []  # somebody waits again
-    assert asks.left(START + 400 * MS, 2) is None
+    assert asks.client_left(START + 400 * MS, 2) is None
     assert asks.expire(START + 699 * MS) == []
-    assert asks.expire(START + 700 * MS) == [Drop(1)]
+    assert asks.expire(START + 700 * MS) == [DropAsk(1)]
     assert asks.arrive(START + 701 * MS, attempt(3)) == Begin(2)
 
 
 def test_without_a_mark_nobody_is_waited_for() -> None:
     asks = book()
     asks.arrive(START, attempt(1, key=""))
-    assert asks.left(START + MS, 1) == Drop(1)
+    assert asks.client_left(START + MS, 1) == DropAsk(1)
     assert asks.finish(START + MS, 1, "late", 4, True) == []
 
 
 def test_an_answer_that_came_while_nobody_waited_is_there_for_the_retry() -> None:
     asks = book()
     asks.arrive(START, attempt(1))
-    asks.left(START + MS, 1)
+    asks.client_left(START + MS, 1)
     assert asks.finish(START + 2 * MS, 1, "answer", 6, True) == []
-    assert asks.arrive(START + 3 * MS, attempt(2)) == Again(1, "answer")
+    assert asks.arrive(START + 3 * MS, attempt(2)) == ReplayAnswer(1, "answer")
 
 
 def test_a_try_with_less_time_than_its_ask_fails_alone() -> None:
@@ -147,29 +149,29 @@
     asks.arrive(START, attempt(1))
     asks.arrive(START, attempt(2, left=100 * MS))
     assert asks.next_due() == START + 95 * MS
-    assert asks.expire(START + 95 * MS) == [TimeUp(2)]
-    assert asks.finish(START + 96 * MS, 1, "answer", 6, True) == [Deliver(1, How.BEGAN)]
+    assert asks.expire(START + 95 * MS) == [TryExpired(2)]
+    assert asks.finish(START + 96 * MS, 1, "answer", 6, True) == [Deliver(1, MatchKind.BEGAN)]
 
 
 def test_when_the_first_has_gone_and_the_last_has_no_time_the_ask_is_dropped() -> None:
     asks = book()
     asks.arrive(START, attempt(1))
     asks.arrive(START, attempt(2, left=100 * MS))
-    asks.left(START + MS, 1)
-    assert asks.expire(START + 95 * MS) == [TimeUp(2), Drop(1)]
+    asks.client_left(START + MS, 1)
+    assert asks.expire(START + 95 * MS) == [TryExpired(2), DropAsk(1)]
 
 
 def test_equal_requests_in_flight_run_once_and_what_lacked_time_is_run_again_for_strangers() -> None:
     asks = book()
     asks.arrive(START, attempt(1, key="a", left=100 * MS, shared=True))
-    assert asks.arrive(START, attempt(2, key="b", shared=True)) == Join(1, How.EQUAL)
-    assert asks.arrive(START, attempt(3, key="c", left=SECOND, shared=True)) == Join(1, How.EQUAL)
+    assert asks.arrive(START, attempt(2, key="b", shared=True)) == Join(1, MatchKind.EQUAL)
+    assert asks.arrive(START, attempt(3, key="c", left=SECOND, shared=True)) == Join(1, MatchKind.EQUAL)
     orders = asks.finish(START + 95 * MS, 1, "time is up", 6, False)
-    assert orders == [Deliver(1, How.BEGAN), Restart(2, 2, START + 2 * SECOND, "t2")]
-    assert asks.arrive(START + 96 * MS, attempt(4, key="b", shared=True)) == Join(2, How.RETRY)
+    assert orders == [Deliver(1, MatchKind.BEGAN), Restart(2, 2, START + 2 * SECOND, "t2")]
+    assert asks.arrive(START + 96 * MS, attempt(4, key="b", shared=True)) == Join(2, MatchKind.RETRY)
     # The second run's failure is final for all.
     orders = asks.finish(START + 97 * MS, 2, "failed", 6, False)
-    assert orders == [Deliver(2, How.BEGAN), Deliver(3, How.EQUAL), Deliver(4, How.RETRY)]
+    assert orders == [Deliver(2, MatchKind.BEGAN), Deliver(3, MatchKind.EQUAL), Deliver(4, MatchKind.RETRY)]
     assert asks.running() == asks.waiting() == 0
 
 
@@ -179,7 +181,7 @@
     assert asks.arrive(START, replace(attempt(2, key="", shared=True), scope="other")) == Begin(2)
     asks.arrive(START, attempt(3, key="", shared=True))
     refused = asks.finish(START, 1, "refused", 4, False)
-    assert refused == [Deliver(1, How.BEGAN), Deliver(3, How.EQUAL)]
+    assert refused == [Deliver(1, MatchKind.BEGAN), Deliver(3, MatchKind.EQUAL)]
 
 
 def test_tries_that_wait_for_one_ask_are_bounded() -> None:
@@ -187,14 +189,14 @@
     asks.arrive(START, attempt(1))
     for handle in (2, 3, 4):
         assert isinstance(asks.arrive(START, attempt(handle)), Join)
-    assert asks.arrive(START, attempt(5)) == Crowded()
+    assert asks.arrive(START, attempt(5)) == TooManyTries()
 
 
 def test_unmarked_equal_bodies_count_as_one_ask_for_the_configured_time_only() -> None:
     asks = book()
-    first = attempt(1, key="", within=SECOND)
+    first = attempt(1, key="", retry_window=SECOND)
     asks.arrive(START, first)
-    assert asks.arrive(START + SECOND, replace(first, handle=2)) == Join(1, How.RETRY)
+    assert asks.arrive(START + SECOND, replace(first, handle=2)) == Join(1, MatchKind.RETRY)
     assert asks.arrive(START + SECOND + 1, replace(first, handle=3)) == Begin(2)
 
 
@@ -225,11 +227,11 @@
         )
         limits = {"attempts": 3, "duplicate": False}
         driver = Driver(Aggregator(one := settings((kind,), limits=limits, cells=3), 1), one, 500 * MS)
-        desk: Desk[Any] = Desk(replace(LIMITS, linger=self.linger), ROOMY, 1)
+        desk: AskIntake[Any] = AskIntake(replace(LIMITS, linger=self.linger), ROOMY, 1)
         self.desk = Reception[str, Any](driver, desk, lambda f, _c: Rendered(f, 1, f.verdict))
         self.now = START
         entries = tuple(entry(n + 1, n) for n in range(3))
-        self.desk.note(Listed(Members(Scope.CACHED, 1, entries)))
+        self.desk.note(MembershipUpdate(Members(Scope.CACHED, 1, entries)))
         self.step()
 
     def step(self) -> None:
@@ -243,7 +245,7 @@
                             self.out[one.part, one.attempt] = one
                     case StopAttempt(part, number):
                         del self.out[part, number]
-                        self.desk.note(Ended(part, number, Result.CANCELLED))
+                        self.desk.note(AttemptEnded(part, number, Result.CANCELLED))
                     case Owed(handle, reply, _how):
                         self.seen.setdefault(handle, []).append(reply)
                         assert handle not in self.gone, "an answer to a client that had left"
@@ -257,8 +259,8 @@
                 return
 
     def ask(self, handle: int) -> Any:
-        parts = tuple(PartAsk(n, 1 / 3, n) for n in range(3))
-        found = Try(handle, "", b"body", self.now + DEADLINE, Mark("", "key", True))
+        parts = tuple(PartRequest(n, 1 / 3, n) for n in range(3))
+        found = Try(handle, "", b"body", self.now + DEADLINE, ClientKey("", "key", True))
         known, context = self.desk.known(self.now, found)
         ask = None if known else Ask(0, 0, DEADLINE, parts)
         return self.desk.arrive(self.now, found, ask, context if known else "plan")
@@ -267,7 +269,7 @@
         one = next((one for one in self.out.values() if one.shard == shard), None)
         if one is not None:
             del self.out[one.part, one.attempt]
-            self.desk.note(Ended(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x"))
+            self.desk.note(AttemptEnded(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x"))
 
     def wait(self, until: int) -> None:
         """Let time pass, stepping whenever something is due."""
@@ -281,7 +283,7 @@
             for key, one in list(self.out.items()):
                 if one.deadline <= self.now:
                     del self.out[key]
-                    self.desk.note(Ended(one.part, one.attempt, Result.TIMEOUT))
+                    self.desk.note(AttemptEnded(one.part, one.attempt, Result.TIMEOUT))
             self.step()
         self.now = until
 
@@ -311,7 +313,7 @@
                 case.now = max(case.now, LAST)
             case "retry":
                 said = case.ask(retry_handle)
-                if isinstance(said, Again):
+                if isinstance(said, ReplayAnswer):
                     case.seen.setdefault(retry_handle, []).append(said.reply)
                 else:
                     assert isinstance(said, Begin | Join)
@@ -365,7 +367,7 @@
             assert handle not in case.seen or handle not in case.gone
             continue
         assert len(case.seen.get(handle, [])) == 1, f"try {handle} got {case.seen.get(handle)}"
-    assert case.desk.running() == 0 and case.desk.driver.open_work() == 0
+    assert case.desk.running() == 0 and case.desk.driver.tracked_count() == 0
     tally: dict[tuple[int, int], int] = {}
     for _, shard, number in case.sent:
         tally[shard, number] = tally.get((shard, number), 0) + 1
@@ -463,7 +465,7 @@
     assert made > 2000 and {len(seen) for seen in ends.values()} == {1}
     assert {seen.status for one in ends.values() for seen in one} == {200}
     # Each ask ran once: a report goes to three sets and a glance to two of three, one attempt a part.
-    book = world.broker.reception.desk.book
+    book = world.broker.reception.desk.registry
     assert book.counts["began"] == 400
     assert book.counts["retry"] + book.counts["replayed"] == made - 400
     sent = sum(leaf.requests for leaf in world.leaves.values())
@@ -511,7 +513,7 @@
     assert (
         seen.status == 200 and seen.response is not None and "quincepath-joined" not in seen.response.headers
     )
-    assert fresh.broker.reception.desk.book.counts["began"] == 1
+    assert fresh.broker.reception.desk.registry.counts["began"] == 1
     world.close()
     fresh.close()
 
@@ -521,7 +523,7 @@
         world = World(tmp_path, asks={"share_equal": shared})
         ends = world.ask(*[world.plan("hours-report") for _ in range(4)])
         assert {seen.status for seen in ends} == {200}
-        assert world.broker.reception.desk.book.counts["began"] == runs
+        assert world.broker.reception.desk.registry.counts["began"] == runs
         bodies = {seen.response.body for seen in ends if seen.response}
         assert len(bodies) == 1
         world.close()
@@ -538,7 +540,7 @@
     world.client.ask("patient", plan, lambda end: seen.update(patient=end))
     world.loop.call_in(100 * MS, lambda: world.faults("a0 a1 b0 b1 c0 c1"))
     world.until(lambda: len(seen) == 2)
-    book = world.broker.reception.desk.book
+    book = world.broker.reception.desk.registry
     assert (seen["hasty"].status, seen["patient"].status) == (503, 200)
     assert seen["hasty"].took < 250 * MS and book.counts["restarted"] == 1
     assert book.running() == book.waiting() == 0
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from quincepath.config.schema import Config, module_settings
 from quincepath.config.values import parse_duration, parse_share, parse_size
 from quincepath.interface import Phase, Scope
-from quincepath.membership.roster import Fact, RosterState
+from quincepath.membership.state import HolderInfo, MembershipState
 from quincepath.net.loop import Loop
 
 SOUND = """\
@@ -105,30 +105,30 @@
             parse_it(text)
 
 
-def fact(name: str, phase: Phase = Phase.READY, since: int = 0, port: int = 80) -> Fact:
-    return Fact(name, bytes((127, 0, 0, 1)) + port.to_bytes(2), "/", 0, 0, ("s0",), phase, since)
+def fact(name: str, phase: Phase = Phase.READY, since: int = 0, port: int = 80) -> HolderInfo:
+    return HolderInfo(name, bytes((127, 0, 0, 1)) + port.to_bytes(2), "/", 0, 0, ("s0",), phase, since)
 
 
 def test_news_of_a_list_are_what_changed_and_who_vanished() -> None:
-    state = RosterState()
-    news, _ = state.take([fact("a"), fact("b", port=81)])
+    state = MembershipState()
+    news, _ = state.apply_list([fact("a"), fact("b", port=81)])
     assert news is not None and news.scope is Scope.CACHED and len(news.entries) == 2
-    assert state.take([fact("a"), fact("b", port=81)]) == (None, [])
-    news, changes = state.take([fact("a", Phase.DRAINING)])
+    assert state.apply_list([fact("a"), fact("b", port=81)]) == (None, [])
+    news, changes = state.apply_list([fact("a", Phase.DRAINING)])
     assert news is not None and news.scope is Scope.DELTA
     assert [entry.phase for entry in news.entries] == [Phase.DRAINING, Phase.GONE]
-    assert [(change.name, change.what) for change in changes] == [
+    assert [(change.name, change.description) for change in changes] == [
         ("a", "ready -> draining"), ("b", "gone from the list"),
     ]  # fmt: skip
     assert state.address(fact("b", port=81).node) is None
 
 
 def test_a_start_told_again_on_a_stepped_clock_is_the_same_start() -> None:
-    state = RosterState()
-    state.take([fact("a", since=50_000_000_000)])
-    assert state.take([fact("a", since=50_400_000_000)]) == (None, [])
-    news, changes = state.take([fact("a", since=60_000_000_000)])
-    assert news is not None and changes[0].what == "started anew"
+    state = MembershipState()
+    state.apply_list([fact("a", since=50_000_000_000)])
+    assert state.apply_list([fact("a", since=50_400_000_000)]) == (None, [])
+    news, changes = state.apply_list([fact("a", since=60_000_000_000)])
+    assert news is not None and changes[0].description == "started anew"
 
 
 ROSTER = """\
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -30,19 +30,19 @@
     Watch,
 )
 from quincepath.orders import (
-    Arrived,
     Ask,
+    AttemptEnded,
     Breach,
     ClientLeft,
-    Ended,
     Finish,
-    Listed,
+    LogLine,
+    MembershipUpdate,
     Order,
-    PartAsk,
-    ReadList,
+    PartRequest,
+    QueryArrived,
+    RefreshMembership,
     StartCall,
     StopAttempt,
-    Told,
     Verdict,
     Withdraw,
 )
@@ -76,7 +76,7 @@
         self.news(entry(1, 0), entry(2, 0), entry(3, 1), scope=Scope.CACHED)
 
     def news(self, *entries: Any, scope: Scope = Scope.DELTA) -> list[Order]:
-        return self.step(Listed(Members(scope, 1, tuple(entries))))
+        return self.step(MembershipUpdate(Members(scope, 1, tuple(entries))))
 
     def step(self, *inputs: Any, say: Iterable[Action] = (), after: int = 0) -> list[Order]:
         self.now += after
@@ -87,8 +87,8 @@
         self, follow: Callable[..., Any] | None = None, time_left: int = 2 * SECOND, kind: int = 0
     ) -> None:
         """Query 1 with parts 2 (shard 0) and 3 (shard 1)."""
-        parts = (PartAsk(0, 0.5, "p0"), PartAsk(1, 0.5, "p1"))
-        self.step(Arrived(Ask(77, kind, time_left, parts, follow=follow)))
+        parts = (PartRequest(0, 0.5, "p0"), PartRequest(1, 0.5, "p1"))
+        self.step(QueryArrived(Ask(77, kind, time_left, parts, follow=follow)))
 
     def breaches(self, orders: list[Order]) -> list[str]:
         return [order.name for order in orders if isinstance(order, Breach)]
@@ -113,9 +113,9 @@
     rig = Rig()
     rig.ask()
     send(rig)
-    orders = rig.step(ClientLeft(77), Ended(2, 0, Result.TIMEOUT), say=[Cancel(2, 0)], after=MS)
-    assert orders == [] and rig.driver.open_work() == 0
-    again = rig.step(Listed(Members(Scope.DELTA, 2, ())), say=[Cancel(2, 0)])
+    orders = rig.step(ClientLeft(77), AttemptEnded(2, 0, Result.TIMEOUT), say=[Cancel(2, 0)], after=MS)
+    assert orders == [] and rig.driver.tracked_count() == 0
+    again = rig.step(MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Cancel(2, 0)])
     assert rig.breaches(again) == ["cancel_unknown"]
 
 
@@ -123,9 +123,9 @@
     rig = Rig(cells=1, limits={"batch": 2})
     rig.driver = Driver(rig.module, rig.settings, GRACE)
     rig.news(entry(1, 0), scope=Scope.CACHED)
-    rig.step(Arrived(Ask(1, 0, SECOND, tuple(PartAsk(0, 1 / 3, n) for n in range(3)))))
+    rig.step(QueryArrived(Ask(1, 0, SECOND, tuple(PartRequest(0, 1 / 3, n) for n in range(3)))))
     assert not rig.step(say=[Send(2, node_id(1), 0)], after=1)  # without an event the module is not called
-    news = Listed(Members(Scope.DELTA, 2, ()))
+    news = MembershipUpdate(Members(Scope.DELTA, 2, ()))
     orders = rig.step(news, say=[Send(p, node_id(1), 0) for p in (2, 3, 4)])
     assert [len(order.attempts) for order in orders if isinstance(order, StartCall)] == [2, 1]
 
@@ -133,14 +133,14 @@
 def test_an_attempt_never_outlives_the_client() -> None:
     rig = Rig()
     rig.ask(time_left=300 * MS)
-    news = Listed(Members(Scope.DELTA, 2, ()))
+    news = MembershipUpdate(Members(Scope.DELTA, 2, ()))
     orders = rig.step(news, say=[Send(2, node_id(1), 5 * SECOND), Send(3, node_id(3), 100 * MS)])
     ends = [a.deadline - START for order in orders if isinstance(order, StartCall) for a in order.attempts]
     assert ends == [300 * MS, 100 * MS]
 
 
 def send(rig: Rig, part: int = 2, node: int = 1) -> list[Order]:
-    return rig.step(Listed(Members(Scope.DELTA, 2, ())), say=[Send(part, node_id(node), 0)])
+    return rig.step(MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Send(part, node_id(node), 0)])
 
 
 @pytest.mark.parametrize(
@@ -150,9 +150,11 @@
         (lambda rig: None, 2, 9, "send_to_unlisted"),
         (lambda rig: None, 2, 3, "send_to_wrong_holder"),
         (lambda rig: [send(rig) for _ in range(3)], 2, 2, "send_beyond_attempts"),
-        (lambda rig: (send(rig), rig.step(Ended(2, 0, Result.OK, "x"))), 2, 2, "send_of_part_in"),
+        (lambda rig: (send(rig), rig.step(AttemptEnded(2, 0, Result.OK, "x"))), 2, 2, "send_of_part_in"),
         (
-            lambda rig: (send(rig), rig.step(Listed(Members(Scope.DELTA, 2, ())), say=[Refuse(1, 0)])),
+            lambda rig: (
+                send(rig), rig.step(MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Refuse(1, 0)]),
+            ),
             2, 2, "send_after_end",
         ),
         (
@@ -201,19 +203,19 @@
     rig.ask()
     send(rig)
     send(rig, node=2)
-    rig.step(Ended(2, 1, Result.OK, "body"))
-    orders = rig.step(Ended(2, 0, Result.OK, "later"), say=[Answer(1, True)])
+    rig.step(AttemptEnded(2, 1, Result.OK, "body"))
+    orders = rig.step(AttemptEnded(2, 0, Result.OK, "later"), say=[Answer(1, True)])
     last = finish(orders)
     assert (last.handle, last.verdict, last.whole) == (77, Verdict.ANSWERED, True)
     assert (last.parts_in, last.parts_asked, last.bodies, last.attempts) == (1, 2, ((1, 0, "body"),), 2)
-    assert rig.driver.open_work() == 0
+    assert rig.driver.tracked_count() == 0
 
 
 def test_answer_below_the_floor_is_failed_instead() -> None:
     rig = Rig()
     rig.ask()
     send(rig)
-    orders = rig.step(Ended(2, 0, Result.OK, "body"), say=[Answer(1, False)])
+    orders = rig.step(AttemptEnded(2, 0, Result.OK, "body"), say=[Answer(1, False)])
     assert rig.breaches(orders) == ["answer_below_floor"]
     assert finish(orders).verdict is Verdict.FAILED
     rig.step()
@@ -224,7 +226,7 @@
     rig = Rig(classes=(query_class(need=1.0, floor=0.5),))
     rig.ask()
     send(rig)
-    orders = rig.step(Ended(2, 0, Result.OK, "body"), say=[Answer(1, True)])
+    orders = rig.step(AttemptEnded(2, 0, Result.OK, "body"), say=[Answer(1, True)])
     assert rig.breaches(orders) == ["answer_not_whole"]
     assert (finish(orders).verdict, finish(orders).whole) == (Verdict.ANSWERED, False)
 
@@ -232,7 +234,9 @@
 def test_second_final_answer_reaches_nobody() -> None:
     rig = Rig()
     rig.ask()
-    orders = rig.step(Listed(Members(Scope.DELTA, 2, ())), say=[Fail(1), Refuse(1, 5), Answer(1, True)])
+    orders = rig.step(
+        MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Fail(1), Refuse(1, 5), Answer(1, True)]
+    )
     assert finish(orders).verdict is Verdict.FAILED
     assert rig.breaches(orders) == ["second_final_answer"] * 2
 
@@ -249,8 +253,10 @@
 def test_reply_and_last_moment_come_in_one_batch_reply_first() -> None:
     rig = Rig()
     rig.ask()
-    rig.step(Listed(Members(Scope.DELTA, 2, ())), say=[Send(2, node_id(1), 0), SetTimer(START + 5, 1)])
-    rig.step(Ended(2, 0, Result.OK, "x"), after=5)
+    rig.step(
+        MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Send(2, node_id(1), 0), SetTimer(START + 5, 1)]
+    )
+    rig.step(AttemptEnded(2, 0, Result.OK, "x"), after=5)
     kinds = [type(event) for event in rig.module.batches[-1]]
     assert kinds == [Outcome, TimerFired]
 
@@ -259,9 +265,13 @@
     rig = Rig()
     rig.ask()
     send(rig)
-    rig.step(Ended(2, 0, Result.ERROR))
+    rig.step(AttemptEnded(2, 0, Result.ERROR))
     batches = len(rig.module.batches)
-    for ended in (Ended(2, 0, Result.OK, "x"), Ended(2, 5, Result.OK), Ended(55, 0, Result.OK)):
+    for ended in (
+        AttemptEnded(2, 0, Result.OK, "x"),
+        AttemptEnded(2, 5, Result.OK),
+        AttemptEnded(55, 0, Result.OK),
+    ):
         assert rig.breaches(rig.step(ended)) == ["ending_unknown"]
     assert len(rig.module.batches) == batches
 
@@ -273,22 +283,22 @@
     orders = rig.step(ClientLeft(77), say=[Cancel(2, 0)])
     assert orders == [Withdraw(2, 0), StopAttempt(2, 0)]
     assert rig.module.batches[-1] == [Left(1)]
-    assert rig.driver.open_work() == 1
-    rig.step(Ended(2, 0, Result.CANCELLED))
+    assert rig.driver.tracked_count() == 1
+    rig.step(AttemptEnded(2, 0, Result.CANCELLED))
     ended = rig.module.batches[-1][0]
     assert isinstance(ended, Outcome) and ended.final
-    assert rig.driver.open_work() == 0
+    assert rig.driver.tracked_count() == 0
 
 
-def second_step(bodies: Any) -> tuple[PartAsk, ...]:
-    return tuple(PartAsk(shard, 1 / len(bodies), f"more {shard}") for shard in sorted(bodies))
+def second_step(bodies: Any) -> tuple[PartRequest, ...]:
+    return tuple(PartRequest(shard, 1 / len(bodies), f"more {shard}") for shard in sorted(bodies))
 
 
 def two_steps(follow: Callable[..., Any]) -> tuple[Rig, list[Order]]:
     rig = Rig(classes=(query_class(need=0.5, floor=0.5, second_step=1),))
     rig.ask(follow)
     send(rig)
-    return rig, rig.step(Ended(2, 0, Result.OK, "first"), say=[Answer(1, True)])
+    return rig, rig.step(AttemptEnded(2, 0, Result.OK, "first"), say=[Answer(1, True)])
 
 
 def test_second_step_goes_to_shards_that_answered_in_the_next_batch() -> None:
@@ -296,7 +306,7 @@
     assert orders == [] and rig.driver.next_due() == rig.now
     rig.step(say=[Send(4, node_id(2), 0)])
     assert rig.module.batches[-1] == [Part(4, 1, 1.0, 0, 0, 0)]
-    orders = rig.step(Ended(4, 0, Result.OK, "second"), say=[Answer(1, True)])
+    orders = rig.step(AttemptEnded(4, 0, Result.OK, "second"), say=[Answer(1, True)])
     assert finish(orders).bodies == ((1, 0, "first"), (2, 0, "second"))
     assert (finish(orders).whole, finish(orders).parts_in, finish(orders).parts_asked) == (True, 2, 3)
 
@@ -304,7 +314,7 @@
 def test_second_step_short_of_all_is_not_whole() -> None:
     rig, _ = two_steps(second_step)
     rig.step(say=[Send(4, node_id(2), 0)])
-    orders = rig.step(Ended(4, 0, Result.ERROR), say=[Answer(1, True)])
+    orders = rig.step(AttemptEnded(4, 0, Result.ERROR), say=[Answer(1, True)])
     assert rig.breaches(orders) == ["answer_below_floor"]
 
 
@@ -318,9 +328,10 @@
 def test_logs_lists_and_probes_are_passed_or_told() -> None:
     rig = Rig()
     orders = rig.step(
-        Listed(Members(Scope.FAILED, 1, ())), say=[Log("hm"), Watch(True), Probe(node_id(1)), Cancel(8, 0)]
+        MembershipUpdate(Members(Scope.FAILED, 1, ())),
+        say=[Log("hm"), Watch(True), Probe(node_id(1)), Cancel(8, 0)],
     )
-    assert orders[:2] == [Told("hm"), ReadList()]
+    assert orders[:2] == [LogLine("hm"), RefreshMembership()]
     assert rig.breaches(orders) == ["probe_unsupported", "cancel_unknown"]
 
 
@@ -336,13 +347,16 @@
         config = settings(classes=(query_class(need=0.6, floor=0.6),))
         driver = Driver(Aggregator(config, 11), config, GRACE)
         nodes = tuple(entry(2 * cell + j, cell) for cell in range(3) for j in range(2))
-        orders = driver.step(START, [Listed(Members(Scope.CACHED, 1, nodes))])
+        orders = driver.step(START, [MembershipUpdate(Members(Scope.CACHED, 1, nodes))])
         for turn in range(60):
             now = START + turn * 10 * MS
-            parts = tuple(PartAsk(shard, 1 / 3, None) for shard in range(3))
-            new = driver.step(now, [Arrived(Ask(turn, 0, SECOND, parts))])
+            parts = tuple(PartRequest(shard, 1 / 3, None) for shard in range(3))
+            new = driver.step(now, [QueryArrived(Ask(turn, 0, SECOND, parts))])
             calls = [a for order in new if isinstance(order, StartCall) for a in order.attempts]
-            ends = [Ended(a.part, a.attempt, (Result.OK, Result.ERROR)[a.part % 7 == 0], "b") for a in calls]
+            ends = [
+                AttemptEnded(a.part, a.attempt, (Result.OK, Result.ERROR)[a.part % 7 == 0], "b")
+                for a in calls
+            ]
             orders += new + driver.step(now + 3 * MS, ends)
         assert not driver.breaches
         return orders
@@ -385,24 +399,24 @@
                 elif isinstance(order, StopAttempt):
                     if (order.part, order.attempt) in out:
                         out.remove((order.part, order.attempt))
-                        ends.append(Ended(order.part, order.attempt, Result.CANCELLED))
+                        ends.append(AttemptEnded(order.part, order.attempt, Result.CANCELLED))
                 elif isinstance(order, Finish):
                     done.append(order.handle)
 
-        ends: list[Ended] = []
-        take(driver.step(now, [Listed(Members(Scope.CACHED, 1, tuple(nodes)))]))
+        ends: list[AttemptEnded] = []
+        take(driver.step(now, [MembershipUpdate(Members(Scope.CACHED, 1, tuple(nodes)))]))
         for what, a, b in script:
             inputs: list[Any] = [*ends]
             ends = []
             if what == "ask":
                 handle += 1
-                parts = tuple(PartAsk(shard, 1 / 3, None) for shard in range(3))
-                inputs.append(Arrived(Ask(handle, a % 3, (b + 1) * 300 * MS, parts, follow=second_step)))
+                parts = tuple(PartRequest(shard, 1 / 3, None) for shard in range(3))
+                inputs.append(QueryArrived(Ask(handle, a % 3, (b + 1) * 300 * MS, parts, follow=second_step)))
             elif what == "end" and out:
                 part, attempt = out.pop(a % len(out))
                 result = (Result.OK, Result.OK, Result.OK, Result.ERROR, Result.FULL, Result.RESET,
                           Result.CONNECT_FAILED, Result.TIMEOUT)[b]  # fmt: skip
-                inputs.append(Ended(part, attempt, result, "body"))
+                inputs.append(AttemptEnded(part, attempt, result, "body"))
             elif what == "left" and handle:
                 gone = a % handle + 1
                 if gone not in done and gone not in left:
@@ -413,7 +427,7 @@
             elif what in ("drain", "ready"):
                 phase = Phase.DRAINING if what == "drain" else Phase.READY
                 at = a % 6
-                inputs.append(Listed(Members(Scope.DELTA, 2, (replace(nodes[at], phase=phase),))))
+                inputs.append(MembershipUpdate(Members(Scope.DELTA, 2, (replace(nodes[at], phase=phase),))))
             take(driver.step(now, inputs))
         for _ in range(400):
             if not driver.queries and not out and not ends:
@@ -422,10 +436,10 @@
             inputs, ends = [*ends], []
             take(driver.step(now, inputs))
             if not driver.queries:
-                ends += [Ended(part, attempt, Result.TIMEOUT) for part, attempt in out]
+                ends += [AttemptEnded(part, attempt, Result.TIMEOUT) for part, attempt in out]
                 out.clear()
         assert sorted(done) == sorted(set(range(1, handle + 1)) - left)
-        assert driver.open_work() == 0
+        assert driver.tracked_count() == 0
         assert not driver.breaches, driver.breaches
 
     play()
--- a/tests/test_driver_leaving.py
+++ b/tests/test_driver_leaving.py
@@ -7,11 +7,11 @@
 
 from quincepath.interface import Effect, Left, Members, Outcome, Phase, Refuse, Result, Scope, Send
 from quincepath.orders import (
+    AttemptEnded,
     AttemptOrder,
     ClientLeft,
-    Ended,
-    LeaveBy,
-    Listed,
+    MembershipUpdate,
+    NodeSendDeadline,
     Order,
     StartCall,
     Verdict,
@@ -33,11 +33,11 @@
 def times(orders: list[Order]) -> tuple[int, int, int]:
     """From the rig's start on."""
     one = started(orders)
-    return one.leave_by - START, one.whole_by - START, one.deadline - START
+    return one.send_start_by - START, one.send_complete_by - START, one.deadline - START
 
 
 def end(rig: Rig, result: Result, attempt: int = 0, after: int = 100 * MS) -> list[Order]:
-    return rig.step(Ended(2, attempt, result), after=after)
+    return rig.step(AttemptEnded(2, attempt, result), after=after)
 
 
 RAN = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
@@ -121,7 +121,7 @@
 ) -> None:
     rig = rig_of(UNSAFE)
     send(rig)
-    orders = rig.step(Ended(2, 0, result), say=[Refuse(1, SECOND)], after=MS)
+    orders = rig.step(AttemptEnded(2, 0, result), say=[Refuse(1, SECOND)], after=MS)
     assert rig.breaches(orders) == ([] if promised else ["refuse_may_have_run"])
     assert finish(orders).verdict is (Verdict.REFUSED if promised else Verdict.FAILED)
 
@@ -131,10 +131,13 @@
 ):
     rig = rig_of(UNSAFE)
     rig.module.next = [Send(2, node_id(1), 0), Refuse(1, 0)]
-    assert finish(rig.driver.step(rig.now, [Listed(Members(Scope.DELTA, 2, ()))])).verdict is Verdict.REFUSED
+    assert (
+        finish(rig.driver.step(rig.now, [MembershipUpdate(Members(Scope.DELTA, 2, ()))])).verdict
+        is Verdict.REFUSED
+    )
     rig = rig_of(UNSAFE)
     send(rig)
-    orders = rig.step(Listed(Members(Scope.DELTA, 2, ())), say=[Refuse(1, 0)])
+    orders = rig.step(MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Refuse(1, 0)])
     assert finish(orders).verdict is Verdict.FAILED
 
 
@@ -147,7 +150,7 @@
     rig.news(entry(1, 0, Phase.DRAINING))
     assert times(send(rig)) == (20 * MS + GRACE, 2 * SECOND, 2 * SECOND)
     rig.news(entry(1, 0, Phase.GONE))
-    short = rig.step(Ended(2, 0, Result.ERROR), say=[Send(2, node_id(1), 30 * MS)], after=GRACE - MS)
+    short = rig.step(AttemptEnded(2, 0, Result.ERROR), say=[Send(2, node_id(1), 30 * MS)], after=GRACE - MS)
     assert times(short) == (20 * MS + GRACE, GRACE + 49 * MS, GRACE + 49 * MS)
 
 
@@ -163,7 +166,7 @@
     rig = rig_of(query_class())
     send(rig)
     rig.step(after=20 * MS)
-    bound = LeaveBy(node_id(1), START + 20 * MS + GRACE)
+    bound = NodeSendDeadline(node_id(1), START + 20 * MS + GRACE)
     assert NEWS[first](rig) == [bound]
     rig.step(after=GRACE - MS)
     for again in ("drains", "left out", "gone"):  # what was told of it counts from the first time
@@ -179,12 +182,12 @@
     rig = rig_of(query_class())
     send(rig)
     send(rig, node=2)
-    assert rig.step(Ended(2, 1, Result.OK, "x")) == [Withdraw(2, 0)]
+    assert rig.step(AttemptEnded(2, 1, Result.OK, "x")) == [Withdraw(2, 0)]
 
 
 OVER: dict[str, Callable[[Rig], list[Order]]] = {
     "left": lambda rig: rig.step(ClientLeft(77)),
-    "refused": lambda rig: rig.step(Ended(3, 0, Result.ERROR), say=[Refuse(1, 0)]),
+    "refused": lambda rig: rig.step(AttemptEnded(3, 0, Result.ERROR), say=[Refuse(1, 0)]),
     "overdue": lambda rig: rig.step(after=2 * SECOND),
 }
 
@@ -199,20 +202,20 @@
     orders = OVER[how](rig)
     kept = [Withdraw(2, 0)] if how == "refused" else [Withdraw(2, 0), Withdraw(3, 0)]
     assert [order for order in orders if isinstance(order, Withdraw)] == kept == orders[: len(kept)]
-    rig.step(Ended(2, 0, Result.CANCELLED), Ended(3, 0, Result.CANCELLED))
-    assert rig.driver.open_work() == 0
+    rig.step(AttemptEnded(2, 0, Result.CANCELLED), AttemptEnded(3, 0, Result.CANCELLED))
+    assert rig.driver.tracked_count() == 0
 
 
 def test_an_attempt_that_ended_in_the_same_batch_is_not_taken_back() -> None:
     rig = rig_of(query_class())
     send(rig)
-    assert rig.step(ClientLeft(77), Ended(2, 0, Result.ERROR)) == []
+    assert rig.step(ClientLeft(77), AttemptEnded(2, 0, Result.ERROR)) == []
     assert isinstance(rig.module.batches[-1][0], Left)
 
 
 def test_a_send_of_the_batch_that_ends_its_query_is_not_taken_back_but_never_made() -> None:
     rig = rig_of(query_class())
-    orders = rig.step(ClientLeft(78), Ended(9, 0, Result.OK), say=[])
+    orders = rig.step(ClientLeft(78), AttemptEnded(9, 0, Result.OK), say=[])
     assert not [order for order in orders if isinstance(order, Withdraw)]
     rig.module.next = [Send(2, node_id(1), 0), Refuse(1, 0)]
     orders = rig.news(entry(3, 1))
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -10,7 +10,7 @@
 from quincepath.fronts.remote_read.plan import Plan
 from quincepath.limits.door import TurnAway
 from quincepath.net.server import Exchange
-from quincepath.orders import Ended, StartCall
+from quincepath.orders import AttemptEnded, StartCall
 from tests.world import SECOND, World
 
 
@@ -34,7 +34,7 @@
     def sent(self, now: int, order: StartCall) -> None:
         self.told.extend("sent" for _ in order.attempts)
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         self.told.append("came")
 
     def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -17,7 +17,7 @@
 from quincepath.lab.load import Seen
 from quincepath.net.http1 import Limits, ResponseReader, request_bytes
 from quincepath.net.stream import Stream
-from quincepath.orders import AttemptOrder, Ended, StartCall
+from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
 from quincepath.standins.data import BEGIN_MS, END_MS
 from quincepath.standins.leaf import Leaf, Service
 from tests.world import MS, SECOND, World, answer, as_dict, ask, mark
@@ -171,7 +171,7 @@
     raw.stream.write(post(encode(ask())))
     world.until(lambda: sum(leaf.requests for leaf in world.leaves.values()) == 3)
     raw.stream.close()
-    world.until(lambda: not world.broker.clients.open and not world.broker.driver.open_work())
+    world.until(lambda: not world.broker.clients.open and not world.broker.driver.tracked_count())
     assert world.broker.upstream.counts.open == 0  # the calls were dropped with it
     sent = sum(leaf.requests for leaf in world.leaves.values())
     world.run(3)
@@ -421,7 +421,7 @@
     ends = [world.ask(world.plan())[0] for _ in range(4)]
     assert [mark(seen)[0] for seen in ends] == ["whole"] * 4
     world.run(5)
-    assert not world.broker.driver.open_work() and not world.broker.upstream.attempts
+    assert not world.broker.driver.tracked_count() and not world.broker.upstream.attempts
 
 
 def test_stop_answers_what_is_open_and_takes_no_more(make: Any) -> None:
@@ -531,7 +531,7 @@
     fetch = PartFetch(((0, ask().queries[0]),))
     until = world.loop.at + SECOND
     order = AttemptOrder(901, 0, 0, 1, until, until, until, fetch, "x")
-    ended: list[Ended] = []
+    ended: list[AttemptEnded] = []
     upstream._ended = ended.append
     upstream.start(StartCall(node, (order,)))
     upstream._ended = world.broker.turn.ended
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -168,7 +168,7 @@
     for client in held:
         client.stream.write(world.request(Req_Deadline_Ms="9000"))
     world.run(0.02)
-    assert world.broker.driver.held() <= 200
+    assert world.broker.driver.open_count() <= 200
     assert 503 in {client.status for client in held}
 
 
@@ -282,7 +282,7 @@
     out = next(iter(world.broker.nodes.outs.values()))
     del world.broker.nodes.outs[out.key]  # planted: its end will not be told any more
     world.run(10)
-    assert world.broker.state()["out"] and world.broker.driver.lingering()
+    assert world.broker.state()["out"] and world.broker.driver.lingering_count()
 
 
 # --- discovery, restarts, errors ---
--- a/tests/test_policy_cost.py
+++ b/tests/test_policy_cost.py
@@ -19,9 +19,9 @@
 from benchmarks import capacity_probe_module as probe
 from benchmarks.replay_worlds import CASES, Case, World, case_settings
 from quincepath.broker.driver import Driver
-from quincepath.broker.driver.rules import FORGOTTEN, NEVER, Rules
+from quincepath.broker.driver.rules import GONE_RETENTION_NS, NEVER, Rules
 from quincepath.interface import Action, Event, Members, Outcome, Phase, Result, Scope, Send
-from quincepath.orders import Listed
+from quincepath.orders import MembershipUpdate
 from quincepath.policy import Aggregator, QueryState
 from quincepath.policy import __file__ as face
 
@@ -124,7 +124,7 @@
     cells = nodes // probe.REPLICAS
     settings = probe.site(cells=cells)
     broker = Driver(Aggregator(settings, 1), settings, probe.SECOND)
-    broker.step(probe.START, [Listed(probe.node_list(nodes, cells))])
+    broker.step(probe.START, [MembershipUpdate(probe.node_list(nodes, cells))])
     phases = (Phase.DRAINING, Phase.READY, Phase.GONE, Phase.READY)
     deltas = [
         Members(Scope.DELTA, 2, (probe.entry(number, cells, phase),))
@@ -132,7 +132,9 @@
         for phase in phases
     ]
     tell = partial(broker.step, probe.START)
-    return steps(lambda: [tell([Listed(delta)]) for delta in deltas], (POLICY, DRIVER)) / len(deltas)
+    return steps(lambda: [tell([MembershipUpdate(delta)]) for delta in deltas], (POLICY, DRIVER)) / len(
+        deltas
+    )
 
 
 def test_one_changed_node_costs_the_same_in_a_list_ten_times_as_long() -> None:
@@ -142,14 +144,14 @@
 @pytest.mark.parametrize("back", [False, True])
 def test_a_node_that_is_gone_for_long_is_forgotten_unless_it_came_back(back: bool) -> None:
     rules, node, now = Rules(probe.site(), probe.SECOND), probe.node_id(0), probe.START
-    rules.take_in(now, probe.node_list(2, probe.CELLS))
+    rules.update_members(now, probe.node_list(2, probe.CELLS))
     for phase in (Phase.GONE, Phase.READY)[: 1 + back]:
-        rules.take_in(now, Members(Scope.DELTA, 2, (probe.entry(0, probe.CELLS, phase),)))
+        rules.update_members(now, Members(Scope.DELTA, 2, (probe.entry(0, probe.CELLS, phase),)))
     other = Members(Scope.DELTA, 3, (probe.entry(1, probe.CELLS),))
-    rules.take_in(now + probe.SECOND + FORGOTTEN, other)
-    assert (rules.leave_by(node) == NEVER) is back
-    rules.take_in(now + probe.SECOND + FORGOTTEN + 1, other)
-    assert rules.leave_by(node) == NEVER  # ready, or as unknown as one that was never named
+    rules.update_members(now + probe.SECOND + GONE_RETENTION_NS, other)
+    assert (rules.send_start_by(node) == NEVER) is back
+    rules.update_members(now + probe.SECOND + GONE_RETENTION_NS + 1, other)
+    assert rules.send_start_by(node) == NEVER  # ready, or as unknown as one that was never named
 
 
 def test_processor_time_follows_the_steps() -> None:
--- a/tests/test_remote_read.py
+++ b/tests/test_remote_read.py
@@ -89,11 +89,11 @@
 
 def test_shard_numbers_leave_their_cell_as_the_module_reckons() -> None:
     shards = ShardMap("d", MAP, True)
-    assert [(s.name, s.number % 2, s.cell, s.alone) for s in shards.shards] == [
+    assert [(s.name, s.number % 2, s.cell, s.exclusive) for s in shards.shards] == [
         ("s0", 0, 0, False), ("s1", 1, 1, True), ("s2", 0, 0, False),
     ]  # fmt: skip
     assert len({s.number for s in shards.shards}) == 3
-    assert shards.cell_of(["s2", "s0"]) == 0 and shards.cell_of(["s0"]) is None
+    assert shards.cell_of_set(["s2", "s0"]) == 0 and shards.cell_of_set(["s0"]) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rings.py
+++ b/tests/test_rings.py
@@ -21,7 +21,7 @@
 TOOLS = {"quincepath.lab", "quincepath.standins", "quincepath.cli"}
 EDGE = set(CONTRACTS["edge"]["protected_modules"])
 PLANTED = [  # contract, file, the bad line
-    ("pure", "asks/desk.py", "import time"),
+    ("pure", "asks/intake.py", "import time"),
     ("pure", "fleet/ledger/sums.py", "from os import path"),  # a room and a file that nobody has listed
     ("edge", "broker/reception.py", "from quincepath.net import loop"),
     ("edge", "limits/fair/turns.py", "from quincepath.observe.logs import *"),
--- a/tests/test_shard_versions.py
+++ b/tests/test_shard_versions.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepath.shards.versions import MapVersion, Move, Versions, difference, faults
+from quincepath.shards.versions import MapVersion, MapVersions, Move, difference, map_problems
 from tests.fleet.forecast.made import version
 
 OLD = version(1, {"s1": ["g1", ["a", "b"]], "s2": ["g1", ["c"]], "s3": ["g2", ["d", "e"]]})
@@ -40,17 +40,19 @@
     ],
 )
 def test_what_is_wrong_with_a_map_is_named(number: int, entries: dict[str, Any], said: str) -> None:
-    assert any(str(fault).startswith(said) for fault in faults(version(number, entries), OLD))
+    assert any(str(fault).startswith(said) for fault in map_problems(version(number, entries), OLD))
 
 
 def test_a_sound_next_map_has_no_faults_and_two_names_are_told_apart() -> None:
     new = version(2, {"s1": ["g1", ["a", "b", "c"]], "s3": ["g2", ["d"]]})
-    assert faults(new, OLD, frozenset({"e"})) == [] and faults(OLD) == []
+    assert map_problems(new, OLD, frozenset({"e"})) == [] and map_problems(OLD) == []
     twice = MapVersion(2, "district", (("s", "g", ("a",)), ("s", "g", ("b",))))
-    assert str(faults(twice)[0]) == "entries[1].name: 's'; expected a name other than that of entries[0]"
+    assert (
+        str(map_problems(twice)[0]) == "entries[1].name: 's'; expected a name other than that of entries[0]"
+    )
     other = MapVersion(2, "zone", OLD.entries, True)
-    assert [fault.place for fault in faults(other, OLD)] == ["label", "unlabelled"]
-    assert len(faults(version(2, {"s": ["g", ["a"] * 500]}))) == 100
+    assert [fault.place for fault in map_problems(other, OLD)] == ["label", "unlabelled"]
+    assert len(map_problems(version(2, {"s": ["g", ["a"] * 500]}))) == 100
 
 
 def test_the_digest_says_what_the_map_says_and_not_its_number() -> None:
@@ -89,7 +91,7 @@
 @given(st.lists(st.sampled_from("abcdefg"), min_size=1, max_size=30))
 def test_numbers_leave_the_set_modulo_the_sets_in_every_version(groups: list[str]) -> None:
     entries = {f"s{n}": [group, [f"v{n}"]] for n, group in enumerate(groups)}
-    built = version(2, entries).built()
+    built = version(2, entries).to_shard_map()
     names = list(dict.fromkeys(groups))
     assert len(built.by_number) == len(groups)
     for shard, group in zip(built.shards, groups, strict=True):
@@ -101,7 +103,7 @@
 
 
 def test_a_query_keeps_its_version_until_it_is_released() -> None:
-    versions = Versions(numbered(1))
+    versions = MapVersions(numbered(1))
     first = versions.hold(10)
     assert versions.adopt(numbered(2))
     assert versions.hold(10) is first and versions.hold(11) is versions.current
@@ -111,7 +113,7 @@
 
 
 def test_the_bounds() -> None:
-    versions = Versions(numbered(1), most=2, queries_most=3)
+    versions = MapVersions(numbered(1), max_versions=2, max_queries=3)
     assert versions.hold(1) and versions.adopt(numbered(2)) and versions.hold(2)
     assert not versions.adopt(numbered(3)) and versions.current.number == 2
     assert versions.release(1) == 1 and versions.adopt(numbered(3))
@@ -123,7 +125,7 @@
 @settings(max_examples=200)
 @given(st.lists(st.tuples(st.sampled_from(["hold", "release", "adopt"]), st.integers(0, 6)), max_size=60))
 def test_a_version_is_kept_while_it_is_current_or_held_and_no_longer(steps: list[tuple[str, int]]) -> None:
-    versions, model = Versions(numbered(1), most=3, queries_most=5), dict[int, int]()
+    versions, model = MapVersions(numbered(1), max_versions=3, max_queries=5), dict[int, int]()
     for what, query in steps:
         if what == "hold":
             got = versions.hold(query)
