--- a/quincepath/asks/intake.py
+++ b/quincepath/asks/intake.py
@@ -7,7 +7,7 @@
 
 from quincepath.asks.registry import AskRegistry, Begin, Decision, RegistryLimits, Try
 from quincepath.limits.admission import Admission, AdmissionBounds, Cost
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.limits.memory import Pressure
 
 R = TypeVar("R")
@@ -19,13 +19,13 @@
     def __init__(self, limits: RegistryLimits, bounds: AdmissionBounds, seed: int) -> None:
         self.registry: AskRegistry[R] = AskRegistry(limits)
         self.admission = Admission(bounds, seed)
-        self.door = self.admission.door
+        self.door = self.admission.gate
 
     def find(self, now: int, attempt: Try) -> int | None:
         """The ask that this try belongs to, running or remembered."""
         return self.registry.find(now, attempt)
 
-    def arrive(self, now: int, attempt: Try, cost: Cost | None, lingering: int) -> Decision[R] | TurnAway:
+    def arrive(self, now: int, attempt: Try, cost: Cost | None, lingering: int) -> Decision[R] | Rejection:
         """``cost`` is what it brings as an ask of its own, None where it is known to belong to one.
 
         ``lingering``: parts of ended queries that are still out.
@@ -48,4 +48,4 @@
             self.registry.forget_all()
 
 
-__all__ = ["Begin", "AskIntake", "Try", "TurnAway"]
+__all__ = ["Begin", "AskIntake", "Try", "Rejection"]
