--- a/quincepath/broker/dispatcher.py
+++ b/quincepath/broker/dispatcher.py
@@ -15,13 +15,23 @@
 from dataclasses import dataclass, replace
 from typing import Generic, TypeVar
 
-from quincepath.asks.book import Begin, Decision, Drop, How, Restart, Try
-from quincepath.asks.desk import Desk
+from quincepath.asks.intake import AskIntake
+from quincepath.asks.registry import Begin, Decision, DropAsk, MatchKind, Restart, Try
 from quincepath.broker.driver import Driver
 from quincepath.broker.pending import PendingQueue, SchedulingInfo
 from quincepath.limits.admission import Cost
 from quincepath.limits.gate import Rejection
-from quincepath.orders import Arrived, Ask, ClientLeft, Ended, Finish, Input, Order, StartCall, Verdict
+from quincepath.orders import (
+    Ask,
+    AttemptEnded,
+    ClientLeft,
+    Finish,
+    Input,
+    Order,
+    QueryArrived,
+    StartCall,
+    Verdict,
+)
 
 C = TypeVar("C")
 R = TypeVar("R")
@@ -45,7 +55,7 @@
 
     handle: int
     reply: R | None
-    how: How
+    how: MatchKind
     run: str  # name under which the ask's parts went to holders
     ask: int
 
@@ -73,7 +83,7 @@
     """One per broker. ``pending``: asks that wait for a slot; None: each ask goes to the driver at once."""
 
     def __init__(
-        self, driver: Driver, desk: Desk[R], render: Render[C, R], pending: PendingQueue | None = None
+        self, driver: Driver, desk: AskIntake[R], render: Render[C, R], pending: PendingQueue | None = None
     ) -> None:
         self.driver, self.desk, self.render, self.pending = driver, desk, render, pending
         self._running: dict[int, _Running[C]] = {}
@@ -86,7 +96,7 @@
 
     def known(self, now: int, attempt: Try) -> tuple[bool, C | None]:
         """Whether the try belongs to a known ask, and the context of that ask while it runs."""
-        ask = self.desk.known(now, attempt)
+        ask = self.desk.find(now, attempt)
         running = self._running.get(ask) if ask is not None else None
         return ask is not None, running.context if running else None
 
@@ -107,7 +117,7 @@
         """
         cost = Cost(attempt.client, ask.kind, worth, 1 + len(ask.parts), size) if ask else None
         # Admission counts each ask of a burst as it arrives: the driver gets them only with the next step.
-        decision = self.desk.arrive(now, attempt, cost, self.driver.lingering())
+        decision = self.desk.arrive(now, attempt, cost, self.driver.lingering_count())
         if isinstance(decision, Begin):
             if ask is None or context is None:
                 raise ValueError("a try that belongs to no known ask needs an ask and a context")
@@ -117,17 +127,17 @@
     def _begin(self, now: int, ask: Ask, context: C, scheduling: SchedulingInfo | None) -> None:
         self._running[ask.handle] = _Running(ask, context, scheduling)
         if self.pending is None or scheduling is None:
-            self._inbox.append(Arrived(ask))
+            self._inbox.append(QueryArrived(ask))
         else:
             self.pending.enqueue(now, ask, scheduling)
 
     def client_left(self, now: int, handle: int) -> None:
         """The client of a try has left."""
-        drop = self.desk.book.left(now, handle)
+        drop = self.desk.registry.client_left(now, handle)
         if drop is not None:
             self._drop(now, drop)
 
-    def _drop(self, now: int, drop: Drop) -> None:
+    def _drop(self, now: int, drop: DropAsk) -> None:
         running = self._running.pop(drop.ask, None)
         if running is not None:
             if self.pending is not None:
@@ -151,7 +161,7 @@
             return 0
         pending = self.pending.next_due() if self.pending is not None else None
         dues = [
-            due for due in (self.driver.next_due(), self.desk.book.next_due(), pending) if due is not None
+            due for due in (self.driver.next_due(), self.desk.registry.next_due(), pending) if due is not None
         ]
         return min(dues, default=None)
 
@@ -169,11 +179,11 @@
                 orders.append(order)
                 if self.pending is not None and isinstance(order, StartCall):
                     self.pending.attempts_started(now, order)
-        for expired in self.desk.book.expire(now):
-            if isinstance(expired, Drop):
+        for expired in self.desk.registry.expire(now):
+            if isinstance(expired, DropAsk):
                 self._drop(now, expired)
             else:
-                orders.append(TryAnswer(expired.handle, None, How.RETRY, "", 0))
+                orders.append(TryAnswer(expired.handle, None, MatchKind.RETRY, "", 0))
         ended, self._ended = self._ended, []
         return [*orders, *ended]
 
@@ -182,7 +192,7 @@
     ) -> None:
         """Ended attempts free slots; asks that start join this batch, refused asks are answered."""
         for item in self._inbox:
-            if isinstance(item, Ended):
+            if isinstance(item, AttemptEnded):
                 pending.attempt_ended(now, item)
         started, refused = pending.step(now)
         self._inbox.extend(started)
@@ -197,7 +207,7 @@
             self.pending.ask_ended(now, finish.handle, finish)
         rendered = self.render(finish, running.context)
         answered = rendered.verdict is Verdict.ANSWERED
-        results = self.desk.book.finish(now, finish.handle, rendered.reply, rendered.size, answered)
+        results = self.desk.registry.finish(now, finish.handle, rendered.reply, rendered.size, answered)
         for one in results:
             if isinstance(one, Restart):
                 time_left = one.deadline - now
@@ -209,7 +219,7 @@
                     scheduling = replace(scheduling, deadline=one.deadline)
                 self._begin(now, again, running.context, scheduling)
             else:
-                orders.append(TryAnswer(one.handle, rendered.reply, one.how, running.ask.name, finish.handle))
+                orders.append(TryAnswer(one.handle, rendered.reply, one.kind, running.ask.name, finish.handle))
         self.desk.admission.ended(finish.handle, rendered.size if answered else 0)
         orders.append(
             AskEnded(running.context, running.ask.name, finish, rendered.reply, len(results), finish.handle)
--- a/quincepath/broker/fair_pending.py
+++ b/quincepath/broker/fair_pending.py
@@ -14,7 +14,7 @@
 from quincepath.limits.fair import Cancelled, Done, Enter, Freed, Refuse, RemoteUsage, Stop
 from quincepath.limits.fair import Input as SchedulerInput
 from quincepath.limits.fair.scheduler import FairScheduler
-from quincepath.orders import Arrived, Ask, Ended, Finish, StartCall, Verdict
+from quincepath.orders import Ask, AttemptEnded, Finish, QueryArrived, StartCall, Verdict
 
 
 @dataclass(slots=True)
@@ -60,7 +60,7 @@
                 entry.parts_sent.add(one.part)
                 self._ask_of_part[one.part] = one.ask
 
-    def attempt_ended(self, now: int, item: Ended) -> None:
+    def attempt_ended(self, now: int, item: AttemptEnded) -> None:
         """An attempt has ended."""
         handle = self._ask_of_part.get(item.part)
         entry = self._entries.get(handle) if handle is not None else None
@@ -101,7 +101,7 @@
     def _slots_needed(self) -> bool:
         return bool(self.scheduler.queues.waiting) or self.scheduler.pool.full()
 
-    def step(self, now: int, flush: bool = False) -> tuple[list[Arrived], list[Finish]]:
+    def step(self, now: int, flush: bool = False) -> tuple[list[QueryArrived], list[Finish]]:
         """Asks that run from now on, with the time that is left to them, and asks that are refused.
 
         ``flush``: also process inputs deferred while nothing waits; the open asks bound their number.
@@ -122,7 +122,7 @@
                 refused.append(_refusal(now, entry, out))
                 del self._entries[out.number]
             else:
-                started.append(Arrived(replace(entry.ask, time_left=max(entry.deadline - now, 0))))
+                started.append(QueryArrived(replace(entry.ask, time_left=max(entry.deadline - now, 0))))
         return started, refused
 
     def waiting(self) -> int:
--- a/quincepath/broker/pending.py
+++ b/quincepath/broker/pending.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from quincepath.orders import Arrived, Ask, Ended, Finish, StartCall
+from quincepath.orders import Ask, AttemptEnded, Finish, QueryArrived, StartCall
 
 if TYPE_CHECKING:
     from quincepath.limits.fair import Footprint
@@ -34,7 +34,7 @@
     def attempts_started(self, now: int, order: StartCall) -> None:
         """Attempts are sent."""
 
-    def attempt_ended(self, now: int, item: Ended) -> None:
+    def attempt_ended(self, now: int, item: AttemptEnded) -> None:
         """An attempt has ended."""
 
     def ask_ended(self, now: int, handle: int, finish: Finish | None) -> None:
@@ -43,5 +43,5 @@
     def next_due(self) -> int | None:
         """When ``step`` must be called; 0: now."""
 
-    def step(self, now: int) -> tuple[list[Arrived], list[Finish]]:
+    def step(self, now: int) -> tuple[list[QueryArrived], list[Finish]]:
         """Asks that run from now on, and asks that are refused."""
