--- a/quincepath/broker/dispatcher.py
+++ b/quincepath/broker/dispatcher.py
@@ -1,4 +1,4 @@
-"""Coordinates the book of asks, admission, the pending queue and the driver as one pure state machine.
+"""Coordinates the ask registry, admission, the pending queue and the driver as one pure state machine.
 
 Tries come in, answers go out. Production and the laboratory differ only in who calls the dispatcher and who
 executes its orders. ``C`` is the context that the edge keeps with an ask (its plan), ``R`` is a reply as the
@@ -55,7 +55,7 @@
 
     handle: int
     reply: R | None
-    how: MatchKind
+    kind: MatchKind
     run: str  # name under which the ask's parts went to holders
     ask: int
 
@@ -83,9 +83,9 @@
     """One per broker. ``pending``: asks that wait for a slot; None: each ask goes to the driver at once."""
 
     def __init__(
-        self, driver: Driver, desk: AskIntake[R], render: Render[C, R], pending: PendingQueue | None = None
+        self, driver: Driver, intake: AskIntake[R], render: Render[C, R], pending: PendingQueue | None = None
     ) -> None:
-        self.driver, self.desk, self.render, self.pending = driver, desk, render, pending
+        self.driver, self.intake, self.render, self.pending = driver, intake, render, pending
         self._running: dict[int, _Running[C]] = {}
         self._inbox: list[Input] = []
         self._ended: list[AskEnded[C, R]] = []
@@ -96,7 +96,7 @@
 
     def known(self, now: int, attempt: Try) -> tuple[bool, C | None]:
         """Whether the try belongs to a known ask, and the context of that ask while it runs."""
-        ask = self.desk.find(now, attempt)
+        ask = self.intake.find(now, attempt)
         running = self._running.get(ask) if ask is not None else None
         return ask is not None, running.context if running else None
 
@@ -117,7 +117,7 @@
         """
         cost = Cost(attempt.client, ask.kind, worth, 1 + len(ask.parts), size) if ask else None
         # Admission counts each ask of a burst as it arrives: the driver gets them only with the next step.
-        decision = self.desk.arrive(now, attempt, cost, self.driver.lingering_count())
+        decision = self.intake.arrive(now, attempt, cost, self.driver.lingering_count())
         if isinstance(decision, Begin):
             if ask is None or context is None:
                 raise ValueError("a try that belongs to no known ask needs an ask and a context")
@@ -133,7 +133,7 @@
 
     def client_left(self, now: int, handle: int) -> None:
         """The client of a try has left."""
-        drop = self.desk.registry.client_left(now, handle)
+        drop = self.intake.registry.client_left(now, handle)
         if drop is not None:
             self._drop(now, drop)
 
@@ -142,7 +142,7 @@
         if running is not None:
             if self.pending is not None:
                 self.pending.ask_ended(now, drop.ask, None)
-            self.desk.admission.ended(drop.ask)
+            self.intake.admission.ended(drop.ask)
             self._inbox.append(ClientLeft(drop.ask))
             self._ended.append(AskEnded(running.context, running.ask.name, None, None, 0, drop.ask))
 
@@ -161,7 +161,9 @@
             return 0
         pending = self.pending.next_due() if self.pending is not None else None
         dues = [
-            due for due in (self.driver.next_due(), self.desk.registry.next_due(), pending) if due is not None
+            due
+            for due in (self.driver.next_due(), self.intake.registry.next_due(), pending)
+            if due is not None
         ]
         return min(dues, default=None)
 
@@ -179,7 +181,7 @@
                 orders.append(order)
                 if self.pending is not None and isinstance(order, StartCall):
                     self.pending.attempts_started(now, order)
-        for expired in self.desk.registry.expire(now):
+        for expired in self.intake.registry.expire(now):
             if isinstance(expired, DropAsk):
                 self._drop(now, expired)
             else:
@@ -207,20 +209,22 @@
             self.pending.ask_ended(now, finish.handle, finish)
         rendered = self.render(finish, running.context)
         answered = rendered.verdict is Verdict.ANSWERED
-        results = self.desk.registry.finish(now, finish.handle, rendered.reply, rendered.size, answered)
+        results = self.intake.registry.finish(now, finish.handle, rendered.reply, rendered.size, answered)
         for one in results:
             if isinstance(one, Restart):
                 time_left = one.deadline - now
                 name = one.name or running.ask.name
                 again = replace(running.ask, handle=one.ask, time_left=time_left, repeat=False, name=name)
-                self.desk.admission.renumber(finish.handle, one.ask)
+                self.intake.admission.renumber(finish.handle, one.ask)
                 scheduling = running.scheduling
                 if scheduling is not None:
                     scheduling = replace(scheduling, deadline=one.deadline)
                 self._begin(now, again, running.context, scheduling)
             else:
-                orders.append(TryAnswer(one.handle, rendered.reply, one.kind, running.ask.name, finish.handle))
-        self.desk.admission.ended(finish.handle, rendered.size if answered else 0)
+                orders.append(
+                    TryAnswer(one.handle, rendered.reply, one.kind, running.ask.name, finish.handle)
+                )
+        self.intake.admission.ended(finish.handle, rendered.size if answered else 0)
         orders.append(
             AskEnded(running.context, running.ask.name, finish, rendered.reply, len(results), finish.handle)
         )
--- a/quincepath/broker/service/clients.py
+++ b/quincepath/broker/service/clients.py
@@ -175,7 +175,7 @@
         if held is None:
             return
         if owed.reply is not None:
-            self._answer(held.exchange, owed.reply, owed.how, owed.run, owed.ask)
+            self._answer(held.exchange, owed.reply, owed.kind, owed.run, owed.ask)
             return
         held.exchange.on_left = None
         self.metrics.tries.labels("time up").inc()
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -201,4 +201,4 @@
     def _owed(self, broker: Broker, owed: TryAnswer[Ending]) -> None:
         attempt = broker.tries.pop(owed.handle, None)
         if attempt is not None:
-            self._answer_client(broker, attempt, owed.reply or Ending(504), owed.how)
+            self._answer_client(broker, attempt, owed.reply or Ending(504), owed.kind)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -168,12 +168,12 @@
         world.loop.call_in(300 * MS, lambda n=number: send("quiet", n))  # type: ignore[misc]
     world.until(lambda: len(statuses["quiet"]) == 6 and len(statuses["loud"]) == 60)
     assert statuses["loud"].count(503) > 40
-    turned = world.broker.reception.desk.admission.refused
+    turned = world.broker.reception.intake.admission.refused
     assert turned["its client holds more than its share"] > 0
     assert "its client holds more than its share" in world.broker.metrics.page().decode()
     # What was refused of the quiet client's was refused by the module, for want of time; none at the door.
     assert sum(turned.values()) <= statuses["loud"].count(503)
-    admission_ = world.broker.reception.desk.admission
+    admission_ = world.broker.reception.intake.admission
     assert (admission_.asks, admission_.work, admission_.clients()) == (0, 0, 0)
     world.close()
 
@@ -205,7 +205,7 @@
     world.run(0.5)  # the first look was at this process
     plan = replace(world.plan("hours-report"), headers={"Idempotency-Key": "k"})
     assert world.ask(plan)[0].status == 200
-    book = world.broker.reception.desk.registry
+    book = world.broker.reception.intake.registry
     assert book.remembered() == 1
     held = 80 * MIB
     world.run(0.5)
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -269,7 +269,9 @@
         one = next((one for one in self.out.values() if one.shard == shard), None)
         if one is not None:
             del self.out[one.part, one.attempt]
-            self.desk.enqueue(AttemptEnded(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x"))
+            self.desk.enqueue(
+                AttemptEnded(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x")
+            )
 
     def wait(self, until: int) -> None:
         """Let time pass, stepping whenever something is due."""
@@ -465,7 +467,7 @@
     assert made > 2000 and {len(seen) for seen in ends.values()} == {1}
     assert {seen.status for one in ends.values() for seen in one} == {200}
     # Each ask ran once: a report goes to three sets and a glance to two of three, one attempt a part.
-    book = world.broker.reception.desk.registry
+    book = world.broker.reception.intake.registry
     assert book.counts["began"] == 400
     assert book.counts["retry"] + book.counts["replayed"] == made - 400
     sent = sum(leaf.requests for leaf in world.leaves.values())
@@ -513,7 +515,7 @@
     assert (
         seen.status == 200 and seen.response is not None and "quincepath-joined" not in seen.response.headers
     )
-    assert fresh.broker.reception.desk.registry.counts["began"] == 1
+    assert fresh.broker.reception.intake.registry.counts["began"] == 1
     world.close()
     fresh.close()
 
@@ -523,7 +525,7 @@
         world = World(tmp_path, asks={"share_equal": shared})
         ends = world.ask(*[world.plan("hours-report") for _ in range(4)])
         assert {seen.status for seen in ends} == {200}
-        assert world.broker.reception.desk.registry.counts["began"] == runs
+        assert world.broker.reception.intake.registry.counts["began"] == runs
         bodies = {seen.response.body for seen in ends if seen.response}
         assert len(bodies) == 1
         world.close()
@@ -540,7 +542,7 @@
     world.client.ask("patient", plan, lambda end: seen.update(patient=end))
     world.loop.call_in(100 * MS, lambda: world.faults("a0 a1 b0 b1 c0 c1"))
     world.until(lambda: len(seen) == 2)
-    book = world.broker.reception.desk.registry
+    book = world.broker.reception.intake.registry
     assert (seen["hasty"].status, seen["patient"].status) == (503, 200)
     assert seen["hasty"].took < 250 * MS and book.counts["restarted"] == 1
     assert book.running() == book.waiting() == 0
