--- a/tests/limits/fair/simulator.py
+++ b/tests/limits/fair/simulator.py
@@ -1,6 +1,6 @@
-"""One pool in virtual time.
+"""Simulates one broker's slot pool in virtual time.
 
-Queries with their true cost, run by ``FairScheduler`` alone; slots and turns checked each step.
+``FairScheduler`` alone runs queries of known cost; slot counts and starts are checked at each step.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Query:
-    """What a client asks: ``cost`` is the slot time (ns) that it will use, even over its parts."""
+    """A client's query: ``cost`` is the slot time (ns) that it will use, spread evenly over its parts."""
 
     tenant: str
     cost: int
@@ -27,10 +27,10 @@
 
 
 @dataclass(slots=True)
-class Bench:
-    """Events in order of time; ``now`` in ns."""
+class PoolSimulator:
+    """Processes events in order of time; ``now`` in ns."""
 
-    turns: FairScheduler
+    scheduler: FairScheduler
     now: int = 0
     used: Counter[str] = field(default_factory=Counter)
     ran: dict[int, Run] = field(default_factory=dict)
@@ -60,11 +60,11 @@
         self.step(inputs)
         return numbers
 
-    def leave(self, number: int) -> None:
+    def cancel(self, number: int) -> None:
         self.step([Cancelled(number)])
 
     def step(self, inputs: Iterable[Input] = ()) -> None:
-        for output in self.turns.step(self.now, inputs):
+        for output in self.scheduler.step(self.now, inputs):
             if isinstance(output, Refuse):
                 assert output.number not in self.refused and output.number not in self.ran
                 self.refused[output.number] = output
@@ -75,18 +75,18 @@
             self.waits.setdefault(query.tenant, []).append(output.waited)
             took = max(1, query.cost // query.parts)
             self.late += output.waited + took > query.target
-            self._at(self.now + took, Freed(output.number, query.parts - 1))
-            self._at(self.now + took, Done(output.number, query.cost))
-        self.turns.check()
+            self._schedule(self.now + took, Freed(output.number, query.parts - 1))
+            self._schedule(self.now + took, Done(output.number, query.cost))
+        self.scheduler.check()
 
-    def _at(self, when: int, what: Input) -> None:
+    def _schedule(self, when: int, event: Input) -> None:
         self._order += 1
-        heapq.heappush(self._events, (when, self._order, what))
+        heapq.heappush(self._events, (when, self._order, event))
 
     def run(self, until: int) -> None:
-        """Ends of queries and dues up to ``until``."""
+        """Process ends of queries and due times up to ``until``."""
         while True:
-            due = self.turns.due()
+            due = self.scheduler.due()
             event = self._events[0][0] if self._events else None
             when = min((at for at in (due, event) if at is not None), default=until)
             if when >= until:
@@ -96,20 +96,20 @@
             while self._events and self._events[0][0] == when:
                 inputs.append(heapq.heappop(self._events)[2])
             for one in inputs:
-                if isinstance(one, Done) and one.number in self.turns.runs.all:
+                if isinstance(one, Done) and one.number in self.scheduler.runs.all:
                     self.used[self.tenants[one.number]] += one.slot_time
             self.step(inputs)
         self.now = until
         self.step()
 
     def waiting(self, tenant: str) -> int:
-        return sum(one.tenant == tenant for one, _ in self.turns.queues.waiting.values())
+        return sum(one.tenant == tenant for one, _ in self.scheduler.queues.waiting.values())
 
-    def keep(self, query: Query, waiting: int) -> None:
-        """As many of the query wait as said: a tenant that always wants more."""
+    def keep_waiting(self, query: Query, waiting: int) -> None:
+        """Add copies of the query until ``waiting`` wait: a tenant with unlimited demand."""
         more = waiting - self.waiting(query.tenant)
         if more > 0:
             self.enter_all([query] * more)
 
 
-__all__ = ["HOUR", "MS", "SECOND", "Bench", "Query"]
+__all__ = ["HOUR", "MS", "SECOND", "PoolSimulator", "Query"]
--- a/tests/limits/fair/test_fleet.py
+++ b/tests/limits/fair/test_fleet.py
@@ -1,4 +1,4 @@
-"""Fair turns at several brokers in virtual time: totals are fair, whoever spreads, sits, or dies."""
+"""Fair queueing at several brokers in virtual time: tenants get fair totals wherever their queries arrive."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 from quincepath.lab.fair_world import World
 from quincepath.limits.fair import FairScheduler, FairSettings, Stop
 from quincepath.limits.fair.types import MS, SECOND
-from tests.limits.fair.simulator import Bench, Query
+from tests.limits.fair.simulator import PoolSimulator, Query
 
 ALL = tuple(range(5))
 SETTINGS = FairSettings(slots=10, quick_slots=2)
@@ -39,20 +39,20 @@
 
 
 @pytest.mark.parametrize("at", [ALL, (0,)])
-def test_a_tenant_at_a_hundred_times_its_share_gains_nothing(at: tuple[int, ...]) -> None:
-    """At all brokers or at one; a quiet tenant hardly waits, first-come and even shares are no such help."""
-    tenants = (*USUAL, Tenant("loud", at, clients=400), Tenant("quiet", ALL, rate=2))
+def test_a_tenant_that_asks_for_a_hundred_times_its_share_gains_nothing(at: tuple[int, ...]) -> None:
+    """At all brokers or at one; a quiet tenant hardly waits. First-come and even shares are less fair."""
+    tenants = (*USUAL, Tenant("busy", at, clients=400), Tenant("quiet", ALL, rate=2))
     found = play(tenants)
     assert jain(found, tenants) > 0.95 and found.idle_share() < 0.02
     usual = [found.used[tenant.name][1] for tenant in USUAL]
-    assert found.used["loud"][1] < 1.2 * sum(usual) / len(usual)
+    assert found.used["busy"][1] < 1.2 * sum(usual) / len(usual)
     assert sorted(found.waits["quiet"])[len(found.waits["quiet"]) // 2] < 500 * MS
     if at == ALL:
         assert jain(play(tenants, FirstCome), tenants) < 0.5
         assert jain(play(tenants, EvenShares), tenants) < 0.8
 
 
-def test_whoever_sits_on_one_broker_has_its_share_by_news_and_not_without() -> None:
+def test_a_tenant_at_one_broker_gets_its_share_with_remote_usage_and_not_without() -> None:
     tenants = (*USUAL[:3], *(Tenant(f"at {n}", (n,), clients=40) for n in range(3)))
     assert jain(play(tenants), tenants) > 0.95
     assert jain(play(tenants, heard=False), tenants) < 0.8
@@ -66,32 +66,30 @@
     assert jain(found, tenants) > 0.95
 
 
-def test_a_broker_killed_with_full_queues_loses_no_slots_of_the_others() -> None:
-    tenants = (*USUAL, Tenant("loud", ALL, clients=100))
+def test_a_broker_killed_with_full_queues_costs_the_others_no_slots() -> None:
+    tenants = (*USUAL, Tenant("busy", ALL, clients=100))
     found = play(tenants, kill=(8 * SECOND, 2))
     assert jain(found, tenants) > 0.95 and found.idle_share() < 0.02
 
 
 def test_a_stop_with_full_queues_loses_no_query() -> None:
-    """Each that waited has run or was refused by the end, over seeds and times of the stop."""
+    """Each query has run or was refused by the end, for several seeds and times of the stop."""
     for seed in range(10):
         random = Random(seed)
-        world = Bench(FairScheduler(FairSettings(slots=12, quick_slots=4), seed))
+        sim = PoolSimulator(FairScheduler(FairSettings(slots=12, quick_slots=4), seed))
         for _ in range(100):
             cost = int(SECOND * random.lognormvariate(0, 1))
-            world.enter(
-                Query(f"t{random.randrange(5)}", cost, parts=random.randint(1, 4), target=20 * SECOND)
-            )
-            world.run(world.now + random.randrange(100 * MS))
-        world.step([Stop(world.now + 3 * SECOND)])
-        told = len(world.refused)
-        world.run(world.now + 3 * SECOND + 1)
-        assert not world.turns.queues.waiting and told
-        assert len(world.ran) + len(world.refused) == 100
-        world.run(world.now + 60 * SECOND)
-        assert (world.turns.pool.slow, world.turns.pool.quick) == (0, 0)
-
-
-def test_the_same_seed_is_the_same_run() -> None:
-    one, other = (play((*USUAL, Tenant("loud", (0,), clients=50))) for _ in range(2))
+            sim.enter(Query(f"t{random.randrange(5)}", cost, parts=random.randint(1, 4), target=20 * SECOND))
+            sim.run(sim.now + random.randrange(100 * MS))
+        sim.step([Stop(sim.now + 3 * SECOND)])
+        refused = len(sim.refused)
+        sim.run(sim.now + 3 * SECOND + 1)
+        assert not sim.scheduler.queues.waiting and refused
+        assert len(sim.ran) + len(sim.refused) == 100
+        sim.run(sim.now + 60 * SECOND)
+        assert (sim.scheduler.pool.slow, sim.scheduler.pool.quick) == (0, 0)
+
+
+def test_the_same_seed_gives_the_same_run() -> None:
+    one, other = (play((*USUAL, Tenant("busy", (0,), clients=50))) for _ in range(2))
     assert one.used == other.used and one.waits == other.waits and one.refused == other.refused
--- a/tests/limits/fair/test_state_machine.py
+++ b/tests/limits/fair/test_state_machine.py
@@ -1,6 +1,7 @@
-"""The scheduler explored: no slot lost, work conserved, bounds kept, lag of two tenants; planted bugs found.
+"""State machine tests of the fair scheduler: no slot lost, work conserving, bounds, lag of two tenants.
 
-The bugs are planted through the factories of ``FairScheduler``: what they make is what the checks run on.
+Planted bugs must be found. They are planted through the factories of ``FairScheduler``, so that the checks
+run on what these make.
 """
 
 from itertools import count
@@ -44,13 +45,13 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """All inputs in any order, against a model of who waits, who runs and with how many parts out."""
+    """All inputs in any order, against a model of the waiting and running queries and their parts out."""
 
     make = FairScheduler
 
     def __init__(self) -> None:
         super().__init__()
-        self.turns = self.make(BOUNDS, 1)
+        self.scheduler = self.make(BOUNDS, 1)
         self.now = 0
         self.numbers = count(1)
         self.waits: dict[int, Enter] = {}
@@ -58,8 +59,8 @@
         self.end: int | None = None
 
     def step(self, *inputs: Input) -> None:
-        for output in self.turns.step(self.now, inputs):
-            enter = self.waits.pop(output.number)  # each is told once
+        for output in self.scheduler.step(self.now, inputs):
+            enter = self.waits.pop(output.number)  # each is answered once
             if isinstance(output, Run):
                 assert output.waited <= enter.target and self.now <= enter.deadline
                 self.runs[output.number] = enter.footprint.parts
@@ -93,33 +94,33 @@
 
     @precondition(lambda self: self.runs or self.waits)
     @rule(data=st.data(), cost=st.integers(0, SECOND))
-    def gone(self, data: st.DataObject, cost: int) -> None:
+    def cancelled(self, data: st.DataObject, cost: int) -> None:
         number = data.draw(st.sampled_from(sorted({**self.runs, **self.waits})))
         self.runs.pop(number, None)
         self.waits.pop(number, None)
         self.step(Cancelled(number, cost))
 
     @rule(number=st.integers(0, 5), which=st.sampled_from([Done, Cancelled, Freed]))
-    def strange(self, number: int, which: Any) -> None:
+    def unknown_number(self, number: int, which: Any) -> None:
         self.step(which(1_000_000 + number, 1))
 
     @rule(passed=st.integers(1, 3 * SECOND))
     def time(self, passed: int) -> None:
         until = self.now + passed
         for _ in range(1000):
-            due = self.turns.due()
+            due = self.scheduler.due()
             if due is None or due > until:
                 break
             assert due > self.now
             self.now = due
             self.step()
         else:
-            raise AssertionError("a due time that does not move on")
+            raise AssertionError("a due time that does not advance")
         self.now = until
         self.step()
 
     @rule(tenant=NAMES, total=st.integers(0, 100 * SECOND), age=st.integers(0, 6 * SECOND))
-    def news(self, tenant: str, total: int, age: int) -> None:
+    def remote_usage(self, tenant: str, total: int, age: int) -> None:
         self.step(RemoteUsage({tenant: total, "b": self.now}, age))
 
     @rule(left=st.integers(0, 3 * SECOND), often=st.integers(0, 20))
@@ -129,33 +130,36 @@
             self.step(Stop(self.end))
 
     @invariant()
-    def slots_and_turns(self) -> None:
-        self.turns.check()
-        assert set(self.turns.runs.all) == set(self.runs)
-        assert set(self.turns.queues.waiting) == set(self.waits)
-        pool = self.turns.pool
-        held = sum(run.allocation.slots for run in self.turns.runs.all.values())
+    def slots_and_starts(self) -> None:
+        self.scheduler.check()
+        assert set(self.scheduler.runs.all) == set(self.runs)
+        assert set(self.scheduler.queues.waiting) == set(self.waits)
+        pool = self.scheduler.pool
+        held = sum(run.allocation.slots for run in self.scheduler.runs.all.values())
         most = sum(min(BOUNDS.query_slots_most, parts) for parts in self.runs.values())
         assert held == pool.quick + pool.slow <= most
         free = pool.slow < BOUNDS.slow_slots
         large = pool.large >= BOUNDS.slow_slots - BOUNDS.small_floor
         if free and not large:
             kept = pool.reserved(self.now)
-            assert not self.waits or pool.large >= BOUNDS.slow_slots - kept, "a slot is idle, somebody waits"
+            assert not self.waits or pool.large >= BOUNDS.slow_slots - kept, (
+                "a slot is idle while a query waits"
+            )
 
     @invariant()
     def bounded(self) -> None:
-        queues = self.turns.queues
+        queues = self.scheduler.queues
         assert len(queues.waiting) <= BOUNDS.waiting_most and len(queues.shared) <= BOUNDS.shared_queues
         assert (
-            len(queues.own) <= BOUNDS.tenants_most + 1 and len(self.turns.costs) <= BOUNDS.cost_entries_most
+            len(queues.own) <= BOUNDS.tenants_most + 1
+            and len(self.scheduler.costs) <= BOUNDS.cost_entries_most
         )
         assert sum(queues.in_lane) == len(queues.waiting) and min(queues.in_lane) >= 0
         assert queues.queued == sum(one.estimate.mean for one, _ in queues.waiting.values())
         assert all(queue.waiting <= BOUNDS.waiting_tenant_most for queue in queues.backlogged.values())
 
     def teardown(self) -> None:
-        """Whatever was open: when all has ended, every slot is free and nothing is kept of anybody."""
+        """When all queries have ended, every slot is free and none waits, whatever was open."""
         for _ in range(100):
             for number in list(self.runs):
                 del self.runs[number]
@@ -164,12 +168,12 @@
                 break
             self.now += 11 * SECOND
             self.step()
-        pool = self.turns.pool
+        pool = self.scheduler.pool
         assert not self.waits and (pool.quick, pool.slow, pool.large) == (0, 0, 0)
 
 
 class Lag(RuleBasedStateMachine):
-    """Two tenants that always have more waiting: the bound of turns.py, after every step."""
+    """Two tenants that always have queries waiting: the lag bound of tags.py, after every step."""
 
     make = FairScheduler
     SLOTS = 3
@@ -180,7 +184,7 @@
         bounds = FairSettings(slots=self.SLOTS + 1, quick_slots=1, query_slots_most=1, small_floor=0,
                               small_share=0, slow_from=1, large_from=1 << 60,
                               weights=self.WEIGHTS)  # fmt: skip
-        self.turns = self.make(bounds, 1)
+        self.scheduler = self.make(bounds, 1)
         self.now = 0
         self.numbers = count(1)
         self.tenant: dict[int, str] = {}
@@ -192,13 +196,13 @@
         self.step()
 
     def step(self, *inputs: Input) -> None:
-        for output in self.turns.step(self.now, inputs):
+        for output in self.scheduler.step(self.now, inputs):
             assert isinstance(output, Run)
             self.began[output.number] = self.now
-            run = self.turns.runs.all[output.number]
+            run = self.scheduler.runs.all[output.number]
             self.largest[self.tenant[output.number]] = max(self.largest[run.allocation.tenant], run.charged)
         for tenant in self.WEIGHTS:
-            while sum(one.tenant == tenant for one, _ in self.turns.queues.waiting.values()) < 2:
+            while sum(one.tenant == tenant for one, _ in self.scheduler.queues.waiting.values()) < 2:
                 number = next(self.numbers)
                 self.tenant[number] = tenant
                 kind = 1 + (tenant == "g")
@@ -209,21 +213,22 @@
         self.now += passed
         self.step()
 
-    @rule(data=st.data(), passed=st.integers(0, 20 * SECOND), gone=st.booleans())
-    def ends(self, data: st.DataObject, passed: int, gone: bool) -> None:
+    @rule(data=st.data(), passed=st.integers(0, 20 * SECOND), cancelled=st.booleans())
+    def ends(self, data: st.DataObject, passed: int, cancelled: bool) -> None:
         self.now += passed
         number = data.draw(st.sampled_from(sorted(self.began)))
         cost = max(1, self.now - self.began.pop(number))
         self.used[self.tenant[number]] += cost
         self.largest[self.tenant[number]] = max(self.largest[self.tenant[number]], cost)
-        self.step(Cancelled(number, cost) if gone else Done(number, cost))
+        self.step(Cancelled(number, cost) if cancelled else Done(number, cost))
 
-    @rule(times=st.integers(5, 20), passed=st.integers(100 * MS, 3 * SECOND), left=st.sampled_from([0, 3]))
-    def serve(self, times: int, passed: int, left: int) -> None:
-        """Time goes on and the oldest ends; of g some are left as soon as they run, having used nothing."""
+    @rule(times=st.integers(5, 20), passed=st.integers(100 * MS, 3 * SECOND),
+          cancelled=st.sampled_from([0, 3]))  # fmt: skip
+    def serve(self, times: int, passed: int, cancelled: int) -> None:
+        """Time passes and the oldest query ends; some of g are cancelled as they start, nothing used."""
         for _ in range(times):
             new = [n for n, at in self.began.items() if at == self.now and self.tenant[n] == "g"]
-            for number in new[:left]:
+            for number in new[:cancelled]:
                 del self.began[number]
                 self.used["g"] += 1
                 self.step(Cancelled(number, 1))
@@ -238,21 +243,21 @@
     @precondition(lambda self: not self.idled)
     @rule(hours=st.integers(1, 3))
     def idle(self, hours: int) -> None:
-        """All leave for hours; f alone is back first and runs a while. Nothing is saved up, nothing owed."""
+        """No query for hours; then f runs alone for a while. Neither credit nor debt may remain from this."""
         self.idled = True
         for tenant in "gf":
-            for number in [n for n, _ in self.turns.queues.waiting.items() if self.tenant[n] == tenant]:
-                self.turns.step(self.now, [Cancelled(number)])
+            for number in [n for n, _ in self.scheduler.queues.waiting.items() if self.tenant[n] == tenant]:
+                self.scheduler.step(self.now, [Cancelled(number)])
         for number in sorted(self.began):
-            self.turns.step(self.now, [Done(number, max(1, self.now - self.began[number]))])
+            self.scheduler.step(self.now, [Done(number, max(1, self.now - self.began[number]))])
         self.began.clear()
         self.now += hours * 3600 * SECOND
         for _ in range(30):
             number = next(self.numbers)
             self.tenant[number] = "f"
-            self.turns.step(self.now, [Enter(number, "f", Footprint(1, 1, (0,)), 1 << 60, 1 << 60)])
+            self.scheduler.step(self.now, [Enter(number, "f", Footprint(1, 1, (0,)), 1 << 60, 1 << 60)])
             self.now += 10 * SECOND
-            self.turns.step(self.now, [Done(number, 10 * SECOND)])
+            self.scheduler.step(self.now, [Done(number, 10 * SECOND)])
         self.used = dict.fromkeys(self.WEIGHTS, 0)
         self.largest = dict.fromkeys(self.WEIGHTS, 10 * SECOND)
         self.step()
@@ -272,8 +277,9 @@
 EXPLORE = settings(max_examples=150, stateful_step_count=50, deadline=None, derandomize=True, database=None,
                    suppress_health_check=list(HealthCheck))  # fmt: skip
 LONG = settings(EXPLORE, max_examples=150, stateful_step_count=8)
-# The search ends at the first find. What it draws depends on the modules that happen to be loaded (hypothesis
-# takes constants from them), so a find within a hundred examples was a matter of chance.
+# The search ends at the first failure found. What it draws depends on which modules are loaded, since
+# hypothesis takes constants from them; with a hundred examples it was a matter of chance whether the bug was
+# found.
 FIND = settings(EXPLORE, max_examples=2000, phases=[Phase.generate])
 FIND_LONG = settings(LONG, max_examples=2000, phases=[Phase.generate])
 
@@ -286,8 +292,8 @@
 # --- planted bugs: each must be found ---
 
 
-class LosesSlot(RunningQueries):
-    """A query that its client left while it ran keeps its slots."""
+class LeaksSlots(RunningQueries):
+    """A query cancelled while it runs keeps its slots."""
 
     def ended(self, now: int, number: int, slot_time: int, whole: bool) -> None:
         if whole:
@@ -297,21 +303,21 @@
 
 
 class KeepsTag(Tags):
-    """A tenant's tag is not brought up to virtual time when it comes back from idling."""
+    """A tenant's tag is not raised to virtual time when it returns from idling."""
 
     def before_enqueue(self, queue: Queue) -> None:
         pass
 
 
 class KeepsCharge(Tags):
-    """What was charged too much is not given back."""
+    """An excess charge is not given back."""
 
-    def query_ended(self, queue: Queue, put_right: int) -> None:
-        super().query_ended(queue, max(0, put_right))
+    def query_ended(self, queue: Queue, correction: int) -> None:
+        super().query_ended(queue, max(0, correction))
 
 
 class LeavesIdle(FairScheduler):
-    """Only one query is started a step."""
+    """Only one query is started per step."""
 
     def _start_eligible(self, now: int, out: list[Run | Refuse]) -> None:
         if self.queues.waiting and not any(isinstance(one, Run) for one in out):
@@ -323,7 +329,7 @@
 
 
 def planted(bug: type) -> type[FairScheduler]:
-    """``FairScheduler`` with the bug in the place of what it is a kind of."""
+    """``FairScheduler`` with the bug in place of the class that it derives from."""
 
     class WithTags(FairScheduler):
         def new_tags(self) -> Tags:
@@ -342,23 +348,25 @@
     return WithTags if issubclass(bug, Tags) else WithRuns
 
 
-def broken_by(bug: type, machine: type[Machine] | type[Lag]) -> type[Machine] | type[Lag]:
+def machine_with(bug: type, machine: type[Machine] | type[Lag]) -> type[Machine] | type[Lag]:
     return type(f"With{bug.__name__}", (machine,), {"make": planted(bug)})
 
 
 @pytest.mark.parametrize(
-    "bug, machine", [(LosesSlot, Machine), (LeavesIdle, Machine), (KeepsTag, Lag), (KeepsCharge, Lag)]
+    "bug, machine", [(LeaksSlots, Machine), (LeavesIdle, Machine), (KeepsTag, Lag), (KeepsCharge, Lag)]
 )
 def test_a_planted_bug_is_found(bug: type, machine: type[Machine] | type[Lag]) -> None:
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(broken_by(bug, machine), settings=FIND if machine is Machine else FIND_LONG)
+        run_state_machine_as_test(
+            machine_with(bug, machine), settings=FIND if machine is Machine else FIND_LONG
+        )
 
 
-# --- and the shortest way to each that the search found, played as it stands ---
+# --- the shortest example of each that the search found, replayed as it is ---
 
 
-class Chosen:
-    """Stands where hypothesis draws: one value, whatever is asked for."""
+class FixedData:
+    """Replaces the data object of hypothesis: draws one value, whatever the strategy."""
 
     def __init__(self, value: Any) -> None:
         self.value = value
@@ -368,40 +376,40 @@
 
 
 EXAMPLES: list[tuple[type, type[Machine] | type[Lag], list[tuple[str, dict[str, Any]]]]] = [
-    (LosesSlot, Machine, [
+    (LeaksSlots, Machine, [
         ("enter", {"tenant": "a", "kind": 1, "parts": 1, "wanted": 1, "times": 1}),
-        ("gone", {"data": Chosen(1), "cost": 0}),
+        ("cancelled", {"data": FixedData(1), "cost": 0}),
     ]),
     (LeavesIdle, Machine, [
         ("enter", {"tenant": "a", "kind": 1, "parts": 1, "wanted": 1, "times": 2}),
     ]),
     (KeepsTag, Lag, [
         ("idle", {"hours": 1}),
-        ("serve", {"times": 5, "passed": 100 * MS, "left": 0}),
-        ("serve", {"times": 20, "passed": 2_039_662_137, "left": 0}),
+        ("serve", {"times": 5, "passed": 100 * MS, "cancelled": 0}),
+        ("serve", {"times": 20, "passed": 2_039_662_137, "cancelled": 0}),
     ]),
     (KeepsCharge, Lag, [
-        ("serve", {"times": 14, "passed": 100 * MS, "left": 3}),
-        ("serve", {"times": 12, "passed": 100 * MS, "left": 3}),
-        ("serve", {"times": 9, "passed": 182_260_942, "left": 3}),
+        ("serve", {"times": 14, "passed": 100 * MS, "cancelled": 3}),
+        ("serve", {"times": 12, "passed": 100 * MS, "cancelled": 3}),
+        ("serve", {"times": 9, "passed": 182_260_942, "cancelled": 3}),
     ]),
 ]  # fmt: skip
 
 
-def play(machine: Machine | Lag, steps: list[tuple[str, dict[str, Any]]]) -> None:
-    """The steps, and after each what must hold always."""
-    holds = ("slots_and_turns", "bounded") if isinstance(machine, Machine) else ("lag",)
+def replay(machine: Machine | Lag, steps: list[tuple[str, dict[str, Any]]]) -> None:
+    """Run the steps, and check the invariants after each."""
+    invariants = ("slots_and_starts", "bounded") if isinstance(machine, Machine) else ("lag",)
     for name, values in steps:
         getattr(machine, name)(**values)
-        for invariant_name in holds:
+        for invariant_name in invariants:
             getattr(machine, invariant_name)()
     machine.teardown()
 
 
 @pytest.mark.parametrize("bug, machine, steps", EXAMPLES, ids=[bug.__name__ for bug, _, _ in EXAMPLES])
-def test_an_example_of_each_planted_bug_fails_with_it_and_holds_without(
+def test_an_example_of_each_planted_bug_fails_with_the_bug_and_passes_without(
     bug: type, machine: type[Machine] | type[Lag], steps: list[tuple[str, dict[str, Any]]]
 ) -> None:
-    play(machine(), steps)
+    replay(machine(), steps)
     with pytest.raises(AssertionError):
-        play(broken_by(bug, machine)(), steps)
+        replay(machine_with(bug, machine)(), steps)
