--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from quincepath.asks.intake import AskIntake
-from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.broker.dispatcher import Dispatcher, TryAnswer
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.config.schema import admission_bounds, book_limits
 from quincepath.interface import Members, Scope, Settings
 from quincepath.lab.emulator.script import Script
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -269,7 +269,9 @@
         one = next((one for one in self.out.values() if one.shard == shard), None)
         if one is not None:
             del self.out[one.part, one.attempt]
-            self.desk.enqueue(AttemptEnded(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x"))
+            self.desk.enqueue(
+                AttemptEnded(one.part, one.attempt, Result.OK if good else Result.ERROR, body="x")
+            )
 
     def wait(self, until: int) -> None:
         """Let time pass, stepping whenever something is due."""
