--- a/benchmarks/capacity/data_rows.py
+++ b/benchmarks/capacity/data_rows.py
@@ -10,10 +10,10 @@
     QUERIES_OF_A_BROKER,
 )
 from quincepath.platform.config import ProcessLimits
-from quincepath.platform.descriptors import allot
+from quincepath.platform.descriptors import allocate
 
 MODULE, DRIVER, FRAMES, LOOP = "decision module", "driver", "frames and client bodies", "loop and sockets"
-NODE_CONNECTIONS = float(allot(ProcessLimits().sockets).nodes)  # that a process may hold by default
+NODE_CONNECTIONS = float(allocate(ProcessLimits().sockets).nodes)  # that a process may hold by default
 MILLI, MICRO, KILO, MEGA = 1e3, 1e6, 1e-3, 1e-6
 
 DATA = "broker, data path"
--- a/benchmarks/capacity/driver.py
+++ b/benchmarks/capacity/driver.py
@@ -62,7 +62,7 @@
     """One that knows a node for each shard; ``real``: around the decision module."""
     config = configuration(target=4 * SECOND)
     module: Module = Aggregator(config.settings, config.seed) if real else SendAll()
-    driver = Driver(module, config.settings, config.site.grace)
+    driver = Driver(module, config.settings, config.site.drain_grace)
     entries = tuple(Entry(_node(shard), 0, 0, shard, 0, Phase.READY, 1.0) for shard in range(max(PARTS)))
     driver.step(0, [Listed(Members(Scope.FULL, 1, entries))])
     return driver
--- a/benchmarks/capacity/exchanges.py
+++ b/benchmarks/capacity/exchanges.py
@@ -12,8 +12,8 @@
 from quincepath.fleet.overload.facts import OverloadSettings
 from quincepath.fleet.view.facts import ViewSettings
 from quincepath.net.http1 import request_bytes, response_head
-from quincepath.platform.descriptors import NODE_MOST
-from quincepath.platform.list_clock import WAIT_ASKED
+from quincepath.platform.descriptors import MAX_CONNECTIONS_PER_NODE
+from quincepath.platform.list_timing import PULL_WATCH_MS
 
 HEADERS = {"Content-Type": "application/json"}
 HOST = "10.0.0.1:8500"
@@ -25,7 +25,7 @@
 
 
 def _request_bytes() -> int:
-    target = f"/api/targets?since=1234567&timeout_ms={WAIT_ASKED}"
+    target = f"/api/targets?since=1234567&timeout_ms={PULL_WATCH_MS}"
     return len(request_bytes("GET", target, HOST, {}, b"")) + IP_AND_TCP
 
 
@@ -45,11 +45,11 @@
     return (), (
         fact("nodes", "nodes", NODES),
         fact("replica sets", "sets", SETS),
-        fact("watches of a broker, nothing new", "a second", MILLI / WAIT_ASKED),
+        fact("watches of a broker, nothing new", "a second", MILLI / PULL_WATCH_MS),
         fact("watch with nothing new", "bytes", _request_bytes() + _answer_bytes(empty)),
         fact("watch with one change", "bytes", _request_bytes() + _answer_bytes(delta)),
         fact("one changed node in a list", "bytes", len(delta) - len(empty)),
-        fact("connections of a broker to a node, most", "connections", NODE_MOST),
+        fact("connections of a broker to a node, most", "connections", MAX_CONNECTIONS_PER_NODE),
         fact("idle connection is closed after", "s", idle),
         fact("trial sends at a doubted node, a broker alone", "a second", overload.alone_trials),
         fact("trial sends at a doubted node, all together", "a second", overload.trial_rate),
--- a/benchmarks/capacity/frames.py
+++ b/benchmarks/capacity/frames.py
@@ -4,7 +4,7 @@
 from benchmarks.capacity.site import MS, QUERY_TEXT, VALUE, configuration, query_body
 from quincepath.net.http1 import Request
 from quincepath.orders import Finish, Verdict
-from quincepath.platform.clients import read_query, write_finish
+from quincepath.platform.client_protocol import encode_response, read_query
 from quincepath.platform.frames import LENGTH, CallPart, FrameReader, call_frame
 
 PARTS = (13, 26, 52, 130, 260)
@@ -33,7 +33,7 @@
                 call_of(shard)
                 reader = FrameReader()
                 reader.feed(reply)
-                assert reader.done
+                assert reader.replies
 
     return processor_seconds(play) / QUERIES
 
@@ -50,7 +50,7 @@
     def play() -> None:
         for _ in range(QUERIES):
             read_query(request, 1, site, ())
-            write_finish(finish)
+            encode_response(finish)
 
     return processor_seconds(play) / QUERIES
 
--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -27,9 +27,9 @@
 from quincepath.fleet.sharing.blame import SETS_MOST, Shares
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.net.http1 import HttpError, Limits, ResponseReader
-from quincepath.platform.descriptors import allot
-from quincepath.platform.discovery import BODY_MOST
-from quincepath.platform.targets import Targets, read_list
+from quincepath.platform.descriptors import allocate
+from quincepath.platform.discovery import MAX_BODY_BYTES
+from quincepath.platform.targets import TargetTable, read_list
 
 VIEW, LOAD, LOG = "fleet view", "load totals", "log followers"
 LIST, CONNECT, FORECAST = "node list", "connections to nodes", "forecast of shard maps"
@@ -186,29 +186,36 @@
 def _list_bytes() -> LimitFound:
     body = list_body([node_entry(number) for number in range(NODES)])
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-    said = _error_of(lambda: ResponseReader(Limits(body=BODY_MOST)).feed(head + body))
+    said = _error_of(lambda: ResponseReader(Limits(body=MAX_BODY_BYTES)).feed(head + body))
     return LimitFound(
-        "bytes of a full list", "platform/discovery.py BODY_MOST", LIST, BODY_MOST, len(body), "bytes", said
+        "bytes of a full list",
+        "platform/discovery.py MAX_BODY_BYTES",
+        LIST,
+        MAX_BODY_BYTES,
+        len(body),
+        "bytes",
+        said,
     )
 
 
 def _nodes_away() -> LimitFound:
     site = configuration().site
-    targets = Targets(site.zones, site.kinds)
+    targets = TargetTable(site.zones, site.kinds)
     entries = [node_entry(number) for number in range(NODES)]
-    targets.take(SECOND, 0, read_list(list_body(entries)), base=True)
+    targets.apply(SECOND, 0, read_list(list_body(entries)), base=True)
     gone = [entry | {"state": "DELETED"} for entry in entries[:NODES_OF_A_ZONE]]
-    targets.take(2 * SECOND, 0, read_list(list_body(gone, 2, full=False)))
+    targets.apply(2 * SECOND, 0, read_list(list_body(gone, 2, full=False)))
     return LimitFound(
-        "nodes remembered as drained or gone", "platform/targets.py AWAY_MOST", LIST, len(targets.away),
-        NODES_OF_A_ZONE, "nodes", "the oldest is forgotten, and a list that lags may bring it back",
+        "nodes remembered as drained or gone", "platform/targets.py MAX_REMOVED_NODES", LIST,
+        len(targets.removed), NODES_OF_A_ZONE, "nodes",
+        "the oldest is forgotten, and a list that lags may bring it back",
     )  # fmt: skip
 
 
 def _node_connections() -> LimitFound:
-    shares = allot(configuration().limits.sockets)
+    shares = allocate(configuration().limits.sockets)
     return LimitFound(
-        "connections to nodes of one process", "platform/descriptors.py allot, 1,024 descriptors", CONNECT,
+        "connections to nodes of one process", "platform/descriptors.py allocate, 1,024 descriptors", CONNECT,
         shares.nodes, NODES, "connections", "an idle one is closed for each new one, or it has no place",
     )  # fmt: skip
 
--- a/benchmarks/capacity/listing.py
+++ b/benchmarks/capacity/listing.py
@@ -5,7 +5,7 @@
 from benchmarks.capacity.site import SECOND, configuration, list_body, node_entry
 from quincepath.broker.driver import Driver
 from quincepath.orders import Listed
-from quincepath.platform.targets import Targets, read_list
+from quincepath.platform.targets import TargetTable, read_list
 from quincepath.policy import Aggregator
 
 NODES = (600, 1200, 2500, 6000, 12_000)
@@ -17,14 +17,16 @@
 
     def __init__(self) -> None:
         config = configuration()
-        self.targets = Targets(config.site.zones, config.site.kinds)
-        self.driver = Driver(Aggregator(config.settings, config.seed), config.settings, config.site.grace)
+        self.targets = TargetTable(config.site.zones, config.site.kinds)
+        self.driver = Driver(
+            Aggregator(config.settings, config.seed), config.settings, config.site.drain_grace
+        )
         self.now = SECOND
 
     def take(self, body: bytes, base: bool = False) -> None:
         """A body of discovery, from its bytes to the module's state."""
         self.now += SECOND
-        members = self.targets.take(self.now, self.now / 1e6, read_list(body), base=base)
+        members = self.targets.apply(self.now, self.now / 1e6, read_list(body), base=base)
         assert members is not None
         self.driver.step(self.now, [Listed(members)])
 
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -19,8 +19,8 @@
 from quincepath.net.loop import READ, Loop
 from quincepath.net.server import Exchange, HttpServer, Times
 from quincepath.orders import AttemptOrder, Ended, StartCall
-from quincepath.platform.link import LinkTimes
-from quincepath.platform.nodes import Nodes
+from quincepath.platform.connection_state import ConnectionTimeouts
+from quincepath.platform.nodes import NodePool
 from quincepath.platform.service import Broker
 
 PARTS = (13, 26, 52, 130, 260)
@@ -40,10 +40,10 @@
     def __init__(self, loop: Loop, ports: list[int]) -> None:
         self.loop, self.ports = loop, ports
         self.ended = 0
-        self.nodes = Nodes(
+        self.nodes = NodePool(
             loop,
             100,
-            LinkTimes(SECOND, 60 * SECOND),
+            ConnectionTimeouts(SECOND, 60 * SECOND),
             4,
             4 * len(ports),
             self._where,
--- a/quincepath/platform/__main__.py
+++ b/quincepath/platform/__main__.py
@@ -25,7 +25,7 @@
 from logging import LogRecord
 
 from quincepath.net.loop import Loop, Timer
-from quincepath.platform.config import CONFIG, ConfigError, read_configuration, read_discovery
+from quincepath.platform.config import CONFIG_VARIABLE, ConfigError, read_configuration, read_discovery
 from quincepath.platform.service import Broker
 
 REREAD = 250_000_000  # ns until a file that could not be used is read again, so often at most
@@ -68,10 +68,11 @@
     handler = Sparing()
     handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(levelname)s %(message)s", "%H:%M:%S"))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
-    path = os.environ.get(CONFIG, "")
+    path = os.environ.get(CONFIG_VARIABLE, "")
     if not path:
         print(
-            f"quincepath: variable {CONFIG} is missing: the path of a JSON file was expected", file=sys.stderr
+            f"quincepath: variable {CONFIG_VARIABLE} is missing: the path of a JSON file was expected",
+            file=sys.stderr,
         )
         return 2
     try:
--- a/quincepath/platform/clients.py
+++ b/quincepath/platform/client_protocol.py
@@ -13,7 +13,7 @@
 
 from quincepath.net.http1 import Request
 from quincepath.orders import Ask, Finish, PartAsk, Verdict
-from quincepath.platform.config import BLANK, Site
+from quincepath.platform.config import HEADER_BLANKS, SiteSettings
 
 ID = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
 DIGITS = re.compile(r"[0-9]{1,9}")
@@ -26,7 +26,7 @@
 TEXT = {"Content-Type": "text/plain; charset=utf-8"}
 
 
-class BadQuery(ValueError):
+class RequestError(ValueError):
     """The request is none that a client may make; ``status`` is what it is told."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -63,9 +63,9 @@
 def _header(request: Request, name: str, pattern: re.Pattern[str] | None = None) -> str:
     value = request.headers.get(name)
     if value is None:
-        raise BadQuery(400, f"header {name} is missing")
+        raise RequestError(400, f"header {name} is missing")
     if pattern is not None and not pattern.fullmatch(value):
-        raise BadQuery(400, f"header {name}: {value[:60]!r} is not allowed there")
+        raise RequestError(400, f"header {name}: {value[:60]!r} is not allowed there")
     return value
 
 
@@ -76,12 +76,12 @@
     with suppress(UnicodeError):
         utf8 = name.encode("latin-1").decode()
         for at, one in enumerate(names):
-            if one.strip(BLANK) == utf8:
+            if one.strip(HEADER_BLANKS) == utf8:
                 return at
     for at, one in enumerate(names):
-        if one.strip(BLANK) == name:
+        if one.strip(HEADER_BLANKS) == name:
             return at
-    raise BadQuery(status, f"{what} {name[:60]!r} is unknown")
+    raise RequestError(status, f"{what} {name[:60]!r} is unknown")
 
 
 def _unquoted(path: str) -> str:
@@ -99,53 +99,55 @@
     return f"{path}/".startswith(first) or "%" in path and f"{_unquoted(path)}/".startswith(first)
 
 
-def _parts(body: bytes, site: Site) -> tuple[PartAsk, ...]:
+def _parts(body: bytes, site: SiteSettings) -> tuple[PartAsk, ...]:
     try:
         query = _decoder.decode(body)
         text = query.predicate.encode()
     except (msgspec.DecodeError, RecursionError, UnicodeError) as error:
-        raise BadQuery(400, f"body: {error}") from None
+        raise RequestError(400, f"body: {error}") from None
     if not query.ranges:
-        raise BadQuery(400, "body: ranges is empty")
+        raise RequestError(400, "body: ranges is empty")
     if len(text) > TEXT_MOST:
-        raise BadQuery(413, f"body: predicate of {len(text)} bytes, {TEXT_MOST} are allowed")
+        raise RequestError(413, f"body: predicate of {len(text)} bytes, {TEXT_MOST} are allowed")
     seen: set[int] = set()
     total = 0.0
     for at, item in enumerate(query.ranges):
         if not 0 <= item.range < site.shards:
-            raise BadQuery(400, f"body: ranges[{at}].range {item.range}, 0 to {site.shards - 1} are served")
+            raise RequestError(
+                400, f"body: ranges[{at}].range {item.range}, 0 to {site.shards - 1} are served"
+            )
         if item.range in seen:
-            raise BadQuery(400, f"body: ranges[{at}].range {item.range} appears twice")
+            raise RequestError(400, f"body: ranges[{at}].range {item.range} appears twice")
         if not math.isfinite(item.portion) or not 0 < item.portion <= 1 + WEIGHT_SLACK:
-            raise BadQuery(400, f"body: ranges[{at}].portion {item.portion}, over 0 up to 1 was expected")
+            raise RequestError(400, f"body: ranges[{at}].portion {item.portion}, over 0 up to 1 was expected")
         seen.add(item.range)
         total += item.portion
     if abs(total - 1) > WEIGHT_SLACK:
-        raise BadQuery(400, f"body: portions add up to {total:.6f}, not 1")
+        raise RequestError(400, f"body: portions add up to {total:.6f}, not 1")
     return tuple(PartAsk(item.range, item.portion, text) for item in query.ranges)
 
 
-def read_query(request: Request, handle: int, site: Site, open_names: Container[str]) -> Ask:
-    """A request as the driver takes it; raises ``BadQuery``."""
+def read_query(request: Request, handle: int, site: SiteSettings, open_names: Container[str]) -> Ask:
+    """A request as the driver takes it; raises ``RequestError``."""
     if request.method != "POST":
-        raise BadQuery(405, f"method {request.method[:20]!r}, POST was expected")
+        raise RequestError(405, f"method {request.method[:20]!r}, POST was expected")
     name = _header(request, ID_HEADER, ID)
     kind_name = _header(request, CLASS_HEADER)
     kind = _position(site.classes, kind_name, "class", 404)
     if not _begins(request.path, kind_name):
-        raise BadQuery(404, f"path {request.path[:60]!r} does not begin with the class {kind_name!r}")
+        raise RequestError(404, f"path {request.path[:60]!r} does not begin with the class {kind_name!r}")
     tenant = 0
     if site.tenants:
         tenant = _position(site.tenants, _header(request, TENANT_HEADER), "tenant", 400)
     time_left = int(_header(request, DEADLINE_HEADER, DIGITS)) * MS
     parts = _parts(request.body, site)
     if name in open_names:
-        raise BadQuery(409, f"header {ID_HEADER}: {name!r} is the id of a request that is open")
+        raise RequestError(409, f"header {ID_HEADER}: {name!r} is the id of a request that is open")
     repeat = request.headers.get(RETRY_HEADER) == "1"
     return Ask(handle, kind, time_left, parts, tenant, repeat=repeat, name=name)
 
 
-def write_finish(finish: Finish) -> tuple[int, dict[str, str], bytes]:
+def encode_response(finish: Finish) -> tuple[int, dict[str, str], bytes]:
     """Status, headers and body of a final answer. ``retry_in`` 0 gives no advice."""
     if finish.verdict is Verdict.ANSWERED:
         values = [_Value(shard, body) for _, shard, body in finish.bodies]
--- a/quincepath/platform/config.py
+++ b/quincepath/platform/config.py
@@ -15,10 +15,10 @@
 from quincepath.settings import Reader, SettingsError, read_settings
 
 Address = tuple[str, int]
-CONFIG = "BALANCER_CONFIG"
-FALLBACK = {"listen": "BALANCER_LISTEN", "discovery": "BALANCER_DISCOVERY", "name": "BALANCER_NAME"}
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+FALLBACK_VARIABLES = {"listen": "BALANCER_LISTEN", "discovery": "BALANCER_DISCOVERY", "name": "BALANCER_NAME"}
 
-BLANK = " \t"  # around a header's value these say nothing
+HEADER_BLANKS = " \t"  # around a header's value these say nothing
 
 
 class ConfigError(ValueError):
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Site:
+class SiteSettings:
     """Names and figures of the settings that the broker needs and the module does not; times in ns."""
 
     classes: tuple[str, ...]
@@ -53,9 +53,9 @@
     kinds: tuple[str, ...]
     shards: int
     max_open: int
-    streams: int
-    grace: int
-    must_ask: bool
+    max_streams: int
+    drain_grace: int
+    pull_discovery: bool
     report_fields: tuple[str, ...]
 
 
@@ -70,7 +70,7 @@
     limits: ProcessLimits
     known: TargetList | None
     settings: Settings
-    site: Site
+    site: SiteSettings
 
 
 def plain(text: str) -> str:
@@ -136,24 +136,24 @@
     for at, item in enumerate(items):
         where = f"{key}.{at}.name"
         name = _text(item.get("name"), where)
-        other = names.setdefault(name.strip(BLANK), where)
+        other = names.setdefault(name.strip(HEADER_BLANKS), where)
         if other != where:
             raise SettingsError(f"setting {where}: {name!r}, another name than {other} has was expected")
     return tuple(item["name"] for item in items)
 
 
-def _site(text: str, settings: Mapping[str, Any]) -> Site:
+def _site(text: str, settings: Mapping[str, Any]) -> SiteSettings:
     r = Reader(text)
-    return Site(
+    return SiteSettings(
         classes=_named(settings, "classes"),
         tenants=_named(settings, "tenants"),
         zones=_names(settings, "zones"),
         kinds=_names(settings, "kinds"),
         shards=r.get("specifics.shards", int),
         max_open=r.get("limits.maxOpen", int),
-        streams=r.get("limits.maxStreams", int),
-        grace=r.get("rules.drainGrace", int),
-        must_ask=r.get("discovery", str, "push") == "ask",
+        max_streams=r.get("limits.maxStreams", int),
+        drain_grace=r.get("rules.drainGrace", int),
+        pull_discovery=r.get("discovery", str, "push") == "ask",
         report_fields=_names(settings, "report.fields"),
     )
 
@@ -167,13 +167,13 @@
 
 def read_configuration(data: bytes, environment: Mapping[str, str]) -> Configuration:
     """The whole configuration; raises ``ConfigError``. What the file leaves out is taken from variables."""
-    where = f"{CONFIG} ({environment.get(CONFIG, '-')})"
+    where = f"{CONFIG_VARIABLE} ({environment.get(CONFIG_VARIABLE, '-')})"
     file = _file(data, where)
 
     def text(key: str) -> str:
-        found: str = getattr(file, key) or environment.get(FALLBACK[key], "")
+        found: str = getattr(file, key) or environment.get(FALLBACK_VARIABLES[key], "")
         if not found:
-            raise ConfigError(f"{where}: key {key!r} is missing, and so is {FALLBACK[key]}")
+            raise ConfigError(f"{where}: key {key!r} is missing, and so is {FALLBACK_VARIABLES[key]}")
         return found
 
     try:
@@ -194,5 +194,5 @@
 
 def read_discovery(data: bytes) -> Address:
     """The address of discovery in a replaced file; raises ``ConfigError``."""
-    file = _file(data, CONFIG)
-    return read_address(file.discovery, f"{CONFIG}: discovery")
+    file = _file(data, CONFIG_VARIABLE)
+    return read_address(file.discovery, f"{CONFIG_VARIABLE}: discovery")
--- a/quincepath/platform/connection.py
+++ b/quincepath/platform/connection.py
@@ -10,28 +10,28 @@
 from quincepath.net.dial import LATE, Dial, why
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Stream
-from quincepath.platform.frames import FRAME_MOST, CallPart, Reply, Spoilt, call_frame, give_up_frame
-from quincepath.platform.leaving import Frame, Leaving
-from quincepath.platform.link import Link, LinkTimes
+from quincepath.platform.connection_state import ConnectionState, ConnectionTimeouts
+from quincepath.platform.frames import MAX_FRAME_BYTES, CallPart, FrameError, Reply, call_frame, cancel_frame
+from quincepath.platform.outgoing import Frame, OutgoingAttempt
 from quincepath.upstream.outcomes import End, Meaning, of_transport
 
 MS = 1_000_000
 
 
 class Owner(Protocol):
-    """What a connection needs of ``Nodes``."""
+    """What a connection needs of ``NodePool``."""
 
     loop: Loop
     streams: int
-    times: LinkTimes
+    times: ConnectionTimeouts
     counts: Counter[str]
     on_event: Callable[[str, NodeId, str], None]
 
-    def replied(self, part: Leaving, reply: Reply) -> None:
+    def replied(self, part: OutgoingAttempt, reply: Reply) -> None:
         """A whole reply to an attempt has come."""
         ...
 
-    def end(self, part: Leaving, meaning: Meaning) -> None:
+    def end(self, part: OutgoingAttempt, meaning: Meaning) -> None:
         """An attempt has ended."""
         ...
 
@@ -49,7 +49,7 @@
 
     def __init__(self, owner: Owner, node: NodeId, address: tuple[str, int]) -> None:
         self.owner, self.node, self.address = owner, node, address
-        self.link = Link(owner.streams, owner.times, owner.loop.now)
+        self.state = ConnectionState(owner.streams, owner.times, owner.loop.now)
         self.queue: deque[Frame] = deque()
         self.leaving: Frame | None = None  # begun, not wholly with the system
         self.stream: Stream | None = None
@@ -59,7 +59,7 @@
 
     def _opened(self, sock: socket.socket) -> None:
         self.dial = None
-        self.link.opened(self.owner.loop.now)
+        self.state.opened(self.owner.loop.now)
         self.stream = Stream(self.owner.loop, sock, self._data, self._lost, self._pump)
         self._pump()
 
@@ -71,7 +71,7 @@
     def put(self, frame: Frame) -> None:
         """A frame of a call; its ids may be carried."""
         for part in frame.parts:
-            self.link.put(self.owner.loop.now, part.id, part)
+            self.state.put(self.owner.loop.now, part.id, part)
         self.queue.append(frame)
         self._pump()
 
@@ -103,36 +103,36 @@
         late = [part for part in frame.parts if not part.may_begin(now)]
         for part in late:
             frame.parts.remove(part)
-            self.link.take_back(part.id)
+            self.state.take_back(part.id)
             self.owner.end(part, of_transport(End.NOT_LEFT))
         if not frame.parts:
             return False
         for part in frame.parts:
             part.written = True
         frame.data = call_frame([self._part(part, now) for part in frame.parts])
-        self.link.used_at = now
+        self.state.used_at = now
         return True
 
     @staticmethod
-    def _part(part: Leaving, now: int) -> CallPart:
+    def _part(part: OutgoingAttempt, now: int) -> CallPart:
         wait = max((part.order.deadline - now) // MS, 1)
         return CallPart(part.id, part.order.shard, wait, part.order.payload)
 
-    def begun(self, part: Leaving) -> bool:
+    def begun(self, part: OutgoingAttempt) -> bool:
         """Whether a byte of its frame may have left: a full socket may have taken none."""
         frame, stream = self.leaving, self.stream
         if frame is None or stream is None or part not in frame.parts:
             return part.written
         return stream.pending < len(frame.data)
 
-    def give_up(self, part: Leaving) -> bool:
+    def give_up(self, part: OutgoingAttempt) -> bool:
         """Nobody waits for an attempt any more; tells whether it certainly never ran."""
         if part.handed:
-            self.link.give_up(part.id)
-            self.queue.append(Frame(data=give_up_frame(part.id)))
+            self.state.give_up(part.id)
+            self.queue.append(Frame(data=cancel_frame(part.id)))
             self._pump()
             return False
-        self.link.take_back(part.id)
+        self.state.take_back(part.id)
         if part.written:
             # Its last byte, whenever the node reads on, would make it an attempt: after its query's answer,
             # past its window, or beside its resend. Only the end of the connection keeps it from running; by
@@ -150,21 +150,23 @@
         return True
 
     def _data(self, data: bytes) -> None:
-        replies, spoilt = self.link.receive(self.owner.loop.now, data)
+        replies, spoilt = self.state.receive(self.owner.loop.now, data)
         for part, reply in replies:
-            assert isinstance(part, Leaving)
+            assert isinstance(part, OutgoingAttempt)
             self.owner.replied(part, reply)
         if spoilt is not None:
             self.spoil(spoilt)
 
-    def spoil(self, spoilt: Spoilt) -> None:
+    def spoil(self, spoilt: FrameError) -> None:
         """The bytes cannot be used: the attempt concerned failed, the others go down with the connection."""
         self.owner.counts["spoilt"] += 1
         # Which attempt the bytes were for is often unreadable: the one that has waited longest stands for it.
-        handed = [part for part in self.link.live.values() if isinstance(part, Leaving) and part.handed]
-        concerned = self.link.live.get(spoilt.part) or (handed[0] if handed else None)
-        if isinstance(concerned, Leaving):
-            self.link.give_up(concerned.id)
+        handed = [
+            part for part in self.state.live.values() if isinstance(part, OutgoingAttempt) and part.handed
+        ]
+        concerned = self.state.live.get(spoilt.part) or (handed[0] if handed else None)
+        if isinstance(concerned, OutgoingAttempt):
+            self.state.give_up(concerned.id)
             self.owner.end(concerned, of_transport(End.PROTOCOL, spoilt.text))
         self.owner.on_event("spoilt connection", self.node, spoilt.text)
         unsent = of_transport(End.LOST_UNSENT, spoilt.text)
@@ -175,7 +177,7 @@
 
     def end_all(self, unsent: Meaning, sent: Meaning, reset: bool = False) -> None:
         """The connection is over; each attempt on it ends by whether its frame had left."""
-        parts = [part for part in self.link.live.values() if isinstance(part, Leaving)]
+        parts = [part for part in self.state.live.values() if isinstance(part, OutgoingAttempt)]
         self.close(reset)
         for part in parts:
             self.owner.end(part, sent if part.handed else unsent)
@@ -185,7 +187,7 @@
 
         Guards against a reset that throws away frames ``n``: closing over an unread reply sends one.
         """
-        if self.closed or self.stream is None or self.stream.closed or self.link.live:
+        if self.closed or self.stream is None or self.stream.closed or self.state.live:
             self.close()
             return
         self._forget()
@@ -195,7 +197,7 @@
             timer.cancel()
             self.close()
 
-        self.stream.finish(FRAME_MOST, done)
+        self.stream.finish(MAX_FRAME_BYTES, done)
 
     def close(self, reset: bool = False) -> None:
         """Close at once, in whatever state; what is out is not told."""
@@ -209,6 +211,6 @@
     def _forget(self) -> None:
         if not self.closed:
             self.closed = True
-            self.link.live.clear()
+            self.state.live.clear()
             self.queue.clear()
             self.owner.forget(self)
--- a/quincepath/platform/link.py
+++ b/quincepath/platform/connection_state.py
@@ -10,30 +10,40 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from quincepath.platform.frames import FrameReader, Reply, Spoilt
-
-NEVER = 1 << 62  # a time, in ns, that does not come
-GIVEN_UP_MOST = 0.5  # of the places on a connection that parts given up may still hold until it is retired
-ANSWERED_MOST = 512  # ids answered, remembered: a second copy follows its first at once
-QUIET_DIALS = 2  # a connection on which parts wait and nothing came for so many dial time-outs is doubted
-IDLE_SHARE = 0.7  # of the idle time: an older connection may be closed at the other end by now
-ECHO_DIALS = 0.1  # a second copy of an answer comes within so many dial time-outs after it, if one comes
-STALL_DIALS = 0.5  # a reply that began and does not go on for so many dial time-outs is spoilt,
-FRAME_DIALS = 2  # and so is one that is not whole in so many: drips keep the replies behind it back for ever
+from quincepath.platform.frames import FrameError, FrameReader, Reply
+
+NEVER_NS = 1 << 62  # a time, in ns, that does not come
+MAX_CANCELLED_SHARE = (
+    0.5  # of the places on a connection that parts given up may still hold until it is retired
+)
+MAX_ANSWERED_IDS = 512  # ids answered, remembered: a second copy follows its first at once
+SUSPECT_DIAL_TIMEOUTS = (
+    2  # a connection on which parts wait and nothing came for so many dial time-outs is doubted
+)
+USABLE_IDLE_SHARE = 0.7  # of the idle time: an older connection may be closed at the other end by now
+DUPLICATE_REPLY_DIAL_TIMEOUTS = (
+    0.1  # a second copy of an answer comes within so many dial time-outs after it, if one comes
+)
+STALLED_REPLY_DIAL_TIMEOUTS = (
+    0.5  # a reply that began and does not go on for so many dial time-outs is spoilt,
+)
+WHOLE_REPLY_DIAL_TIMEOUTS = (
+    2  # and so is one that is not whole in so many: drips keep the replies behind it back for ever
+)
 
 
 @dataclass(slots=True, frozen=True)
-class LinkTimes:
+class ConnectionTimeouts:
     """Nanoseconds, from the settings."""
 
     dial: int
     idle: int
 
 
-class Link:
+class ConnectionState:
     """One connection. Keys are the caller's own names of attempts."""
 
-    def __init__(self, places: int, times: LinkTimes, now: int) -> None:
+    def __init__(self, places: int, times: ConnectionTimeouts, now: int) -> None:
         self.places, self.times = max(places, 1), times
         self.reader = FrameReader()
         self.live: dict[bytes, Hashable] = {}
@@ -53,7 +63,7 @@
         """Whether so many may go out: not full, not retired, not doubted, not near its idle end."""
         if self.retired or len(self.live) + len(self.given_up) + parts > self.places:
             return False
-        return not self.doubted(now) and now < self.used_at + int(IDLE_SHARE * self.times.idle)
+        return not self.doubted(now) and now < self.used_at + int(USABLE_IDLE_SHARE * self.times.idle)
 
     def doubted(self, now: int) -> bool:
         """Parts wait and nothing comes: the machine may have vanished, and this connection would not tell.
@@ -61,7 +71,7 @@
         A new connection tells: it comes up where the machine is there, and proves otherwise that nothing ran.
         """
         waits = bool(self.live or self.given_up)
-        return waits and now > self.waiting_since + QUIET_DIALS * self.times.dial
+        return waits and now > self.waiting_since + SUSPECT_DIAL_TIMEOUTS * self.times.dial
 
     def may_carry(self, now: int, part: bytes) -> bool:
         """Whether a reply to this id could only belong to the attempt that is about to go out."""
@@ -79,7 +89,7 @@
         """Nobody waits for a part any more; its reply may still come."""
         if self.live.pop(part, None) is not None:
             self.given_up.add(part)
-            self.retired |= len(self.given_up) >= GIVEN_UP_MOST * self.places
+            self.retired |= len(self.given_up) >= MAX_CANCELLED_SHARE * self.places
 
     def take_back(self, part: bytes) -> None:
         """A part's frame never left: no reply can come."""
@@ -90,36 +100,36 @@
 
         Counted from what came alone: what is sent here, or comes in drips, is no sign that it will be whole.
         """
-        if not self.reader.inside:
+        if not self.reader.mid_frame:
             return False
-        still = now > self.heard_at + int(STALL_DIALS * self.times.dial)
-        return still or now > self.reply_since + FRAME_DIALS * self.times.dial
+        still = now > self.heard_at + int(STALLED_REPLY_DIAL_TIMEOUTS * self.times.dial)
+        return still or now > self.reply_since + WHOLE_REPLY_DIAL_TIMEOUTS * self.times.dial
 
-    def receive(self, now: int, data: bytes) -> tuple[list[tuple[Hashable, Reply]], Spoilt | None]:
+    def receive(self, now: int, data: bytes) -> tuple[list[tuple[Hashable, Reply]], FrameError | None]:
         """Replies by attempt, and what is wrong with the bytes after them, if anything is."""
         self.used_at = self.heard_at = self.waiting_since = now
-        began = self.reader.inside
-        spoilt: Spoilt | None = None
+        began = self.reader.mid_frame
+        spoilt: FrameError | None = None
         try:
             self.reader.feed(data)
-        except Spoilt as error:
+        except FrameError as error:
             spoilt = error
         found: list[tuple[Hashable, Reply]] = []
-        replies, self.reader.done = self.reader.done, []
+        replies, self.reader.replies = self.reader.replies, []
         if replies or not began:
             self.reply_since = now  # of the one that these bytes end with
         for reply in replies:
             key = self.live.pop(reply.id, None)
             if key is not None:
                 found.append((key, reply))
-                turned_away = reply.end == b"later"
-                echo = int(ECHO_DIALS * self.times.dial)
-                self.answered[reply.id] = now + echo if turned_away else NEVER
-                if len(self.answered) > ANSWERED_MOST:
+                turned_away = reply.status == b"later"
+                echo = int(DUPLICATE_REPLY_DIAL_TIMEOUTS * self.times.dial)
+                self.answered[reply.id] = now + echo if turned_away else NEVER_NS
+                if len(self.answered) > MAX_ANSWERED_IDS:
                     del self.answered[next(iter(self.answered))]
             elif reply.id in self.given_up:
                 self.given_up.discard(reply.id)
-                self.answered[reply.id] = NEVER
+                self.answered[reply.id] = NEVER_NS
             elif reply.id not in self.answered:  # a second copy of an answer is no harm
-                return found, spoilt or Spoilt("a reply to a part that was never sent here")
+                return found, spoilt or FrameError("a reply to a part that was never sent here")
         return found, spoilt
--- a/quincepath/platform/descriptors.py
+++ b/quincepath/platform/descriptors.py
@@ -14,7 +14,9 @@
 RESERVE = 24  # listener, selector, wake-up pair, standard streams, discovery old and new, files read
 KEPT_SHARE = 1 / 6  # of all: connections that brought queries and may idle, half of what clients use for them
 CLIENT_SHARE = 0.6  # of what is left; clients use a third of all for requests
-NODE_MOST = 4  # connections to one node: one that works, one doubted, and two that still wait for answers
+MAX_CONNECTIONS_PER_NODE = (
+    4  # connections to one node: one that works, one doubted, and two that still wait for answers
+)
 FIRST = 2 * SECOND  # from a connect until its first request is whole
 REQUEST = 2 * SECOND  # from the first byte of a later request until it is whole
 IDLE = 60 * SECOND  # between requests; over the places that there are, the longest idle goes earlier
@@ -34,7 +36,7 @@
     kept: int
 
 
-def allot(descriptors: int) -> Shares:
+def allocate(descriptors: int) -> Shares:
     """Divide what the process may hold."""
     free = max(descriptors - RESERVE, 16)
     clients = int(free * CLIENT_SHARE)
--- a/quincepath/platform/discovery.py
+++ b/quincepath/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Asks discovery for the list, then for changes, for ever. Moves bytes; ``Targets`` keeps what was told."""
+"""Client of the discovery service: fetches the node list, then watches for changes, indefinitely."""
 
 import random
 import socket
@@ -8,9 +8,9 @@
 from quincepath.net.http1 import HttpError, Limits, Response, ResponseReader, request_bytes
 from quincepath.net.loop import Loop, Timer
 from quincepath.net.stream import Stream
-from quincepath.platform.list_clock import MS, answer_of, pause_of, wait_of
+from quincepath.platform.list_timing import MS, response_timeout, retry_delay, watch_wait_ms
 
-BODY_MOST = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 ORDERLY = "end of stream"  # how a stream names the end that its peer meant; a reset has other words
 
 
@@ -45,7 +45,7 @@
         self.refusals = 0  # of these, the last in a row that a shared service answered, saying that it cannot
         self._dial: Dial | None = None
         self._stream: Stream | None = None
-        self._reader = ResponseReader(Limits(body=BODY_MOST))
+        self._reader = ResponseReader(Limits(body=MAX_BODY_BYTES))
         self._timer: Timer | None = None  # of the call that is out, from its dial to its last byte
         self._pause: Timer | None = None
         self._whole = True  # the call that is out asks for the whole list
@@ -85,7 +85,7 @@
         self.calls += 1
         self._whole = self.version is None
         wait = 0 if self._whole else self._wait() * MS
-        answer = answer_of(self.failures)
+        answer = response_timeout(self.failures)
         self._held_until = self.loop.clock() + wait
         self._timer = self.loop.call_in(wait + answer, self._late)
         if self._stream is None or self._stream.closed:
@@ -95,14 +95,14 @@
 
     def _wait(self) -> int:
         """For how many ms the call for changes that is out may be held: the first one tells at once."""
-        return wait_of(self.wait, self.failures if self._heard else 1)
+        return watch_wait_ms(self.wait, self.failures if self._heard else 1)
 
     def _not_opened(self, code: int) -> None:
         self._fail(why(code))
 
     def _opened(self, sock: socket.socket) -> None:
         self._dial = None
-        self._reader = ResponseReader(Limits(body=BODY_MOST))
+        self._reader = ResponseReader(Limits(body=MAX_BODY_BYTES))
         self._stream = Stream(self.loop, sock, self._data, self._ended)
         self._send()
 
@@ -171,7 +171,7 @@
         self._rest()
 
     def _rest(self) -> None:
-        self._pause = self.loop.call_in(pause_of(self._random.random(), self.refusals), self._call)
+        self._pause = self.loop.call_in(retry_delay(self._random.random(), self.refusals), self._call)
 
     def fail(self, text: str) -> None:
         """After an error of this program: the call ends, the next one follows."""
--- a/quincepath/platform/frames.py
+++ b/quincepath/platform/frames.py
@@ -10,13 +10,13 @@
 from struct import Struct
 
 LENGTH = Struct("<I")
-HEAD = 5  # length and letter
-FRAME_MOST = 64 * 1024  # bytes after the length that a node may send in one frame
-LINE_MOST = 1024  # bytes of a reply's line
+HEADER_BYTES = 5  # length and letter
+MAX_FRAME_BYTES = 64 * 1024  # bytes after the length that a node may send in one frame
+MAX_LINE_BYTES = 1024  # bytes of a reply's line
 _LINE = re.compile(rb"([!-~]{1,256}) (good|bad|later) (-?[0-9]{1,24}) ([^\n]+)")
 
 
-class Spoilt(Exception):
+class FrameError(Exception):
     """The bytes of a node are no frame: the connection is of no further use. ``id`` where it was readable."""
 
     def __init__(self, text: str, part: bytes = b"") -> None:
@@ -39,7 +39,7 @@
     """How one part ended at the node: ``good``, ``bad`` or ``later``; ``value`` is text."""
 
     id: bytes
-    end: bytes
+    status: bytes
     report: bytes
     value: str
 
@@ -57,7 +57,7 @@
     return _frame(b"m", b"".join(pieces))
 
 
-def give_up_frame(part: bytes) -> bytes:
+def cancel_frame(part: bytes) -> bytes:
     """A part that nobody waits for any more."""
     return _frame(b"n", part)
 
@@ -76,44 +76,44 @@
     """``feed`` puts whole replies into ``done``; what is there before bytes that are spoilt stays good."""
 
     def __init__(self) -> None:
-        self.done: list[Reply] = []
+        self.replies: list[Reply] = []
         self._buffer = bytearray()
 
     @property
-    def inside(self) -> bool:
+    def mid_frame(self) -> bool:
         """Whether a frame has begun and not ended."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; raises ``Spoilt``."""
+        """Take bytes; raises ``FrameError``."""
         buffer = self._buffer
         buffer += data
         at = 0
         try:
-            while len(buffer) - at >= HEAD:
+            while len(buffer) - at >= HEADER_BYTES:
                 size = LENGTH.unpack_from(buffer, at)[0]
                 letter = buffer[at + 4]
                 if letter not in b"qr":
-                    raise Spoilt(f"letter {letter} is unknown")
-                if not 1 < size <= FRAME_MOST:
-                    raise Spoilt(f"a frame of {size} bytes, 2 to {FRAME_MOST} are allowed")
+                    raise FrameError(f"letter {letter} is unknown")
+                if not 1 < size <= MAX_FRAME_BYTES:
+                    raise FrameError(f"a frame of {size} bytes, 2 to {MAX_FRAME_BYTES} are allowed")
                 end = at + 4 + size
-                line = buffer.find(b"\n", at + HEAD, min(end, at + HEAD + LINE_MOST))
+                line = buffer.find(b"\n", at + HEADER_BYTES, min(end, at + HEADER_BYTES + MAX_LINE_BYTES))
                 if letter == ord("r"):
                     if len(buffer) >= end:
-                        words = bytes(buffer[at + HEAD : end][:200]).decode("ascii", "replace")
-                        raise Spoilt(f"the node could not use a frame: {words!r}")
+                        words = bytes(buffer[at + HEADER_BYTES : end][:200]).decode("ascii", "replace")
+                        raise FrameError(f"the node could not use a frame: {words!r}")
                     return
                 if line < 0:
-                    if len(buffer) >= min(end, at + HEAD + LINE_MOST):
-                        raise Spoilt("a reply's line does not end")
+                    if len(buffer) >= min(end, at + HEADER_BYTES + MAX_LINE_BYTES):
+                        raise FrameError("a reply's line does not end")
                     return
-                match = _LINE.fullmatch(bytes(buffer[at + HEAD : line]))
+                match = _LINE.fullmatch(bytes(buffer[at + HEADER_BYTES : line]))
                 if match is None:
-                    raise Spoilt("a reply's line cannot be read")
+                    raise FrameError("a reply's line cannot be read")
                 if len(buffer) < end:
                     return
-                self.done.append(self._reply(match, bytes(buffer[line + 1 : end])))
+                self.replies.append(self._reply(match, bytes(buffer[line + 1 : end])))
                 at = end
         finally:
             del buffer[:at]
@@ -124,7 +124,7 @@
         try:
             text = value.decode()
         except UnicodeDecodeError:
-            raise Spoilt("a value is not UTF-8", part) from None
+            raise FrameError("a value is not UTF-8", part) from None
         if not text.isprintable() or end == b"good" and not text:
-            raise Spoilt("a value is empty or holds control characters", part)
+            raise FrameError("a value is empty or holds control characters", part)
         return Reply(part, end, report, text)
--- a/quincepath/platform/nodes.py
+++ b/quincepath/platform/nodes.py
@@ -7,21 +7,21 @@
 from quincepath.net.loop import Loop
 from quincepath.orders import Ended, StartCall
 from quincepath.platform.connection import Connection
-from quincepath.platform.frames import Reply, Spoilt, read_report
-from quincepath.platform.leaving import Frame, Key, Leaving
-from quincepath.platform.link import LinkTimes
+from quincepath.platform.connection_state import ConnectionTimeouts
+from quincepath.platform.frames import FrameError, Reply, read_report
+from quincepath.platform.outgoing import Frame, Key, OutgoingAttempt
 from quincepath.upstream.outcomes import End, Meaning, of_transport
 
 MS = 1_000_000
 SWEEP = 100 * MS
-ENDS = {
+REPLY_MEANINGS = {
     b"good": Meaning(Result.OK, ""),
     b"bad": Meaning(Result.ERROR, "the node said bad"),
     b"later": Meaning(Result.FULL, "the node turned it away"),
 }
 
 
-class Nodes:
+class NodePool:
     """All connections. ``ended`` is called once for each attempt started.
 
     ``where(node)`` gives the address, None where no list names the node any more; ``streams`` is the number
@@ -32,7 +32,7 @@
         self,
         loop: Loop,
         streams: int,
-        times: LinkTimes,
+        times: ConnectionTimeouts,
         most: int,
         most_open: int,
         where: Callable[[NodeId], tuple[str, int] | None],
@@ -45,7 +45,7 @@
         self._where, self._ended, self._fields, self.on_event = where, ended, report_fields, on_event
         self.connections: dict[NodeId, list[Connection]] = {}
         self.ending: set[Connection] = set()  # closed to everything new, their last bytes on the way
-        self.outs: dict[Key, Leaving] = {}
+        self.outs: dict[Key, OutgoingAttempt] = {}
         self.counts: Counter[str] = Counter()
         self._sweep()
 
@@ -55,7 +55,7 @@
         for attempt in order.attempts:
             key = (attempt.part, attempt.attempt)
             id = f"{attempt.query_name}.{attempt.shard}".encode()
-            out = Leaving(key, attempt, id, attempt.leave_by)
+            out = OutgoingAttempt(key, attempt, id, attempt.leave_by)
             self.outs[key] = out
             outs.append(out)
         address = self._where(order.node)
@@ -71,11 +71,13 @@
             self._arm(out)
         connection.put(Frame(outs))
 
-    def _connection(self, node: NodeId, address: tuple[str, int], outs: list[Leaving]) -> Connection | None:
+    def _connection(
+        self, node: NodeId, address: tuple[str, int], outs: list[OutgoingAttempt]
+    ) -> Connection | None:
         now = self.loop.now
         held = self.connections.setdefault(node, [])
         for connection in held:
-            link = connection.link
+            link = connection.state
             if connection.address != address:
                 link.retired = True
             elif (
@@ -105,7 +107,7 @@
     def _make_room(self, held: list[Connection]) -> None:
         """Close one that nobody waits on."""
         for connection in held:
-            if not connection.link.live and connection.dial is None:
+            if not connection.state.live and connection.dial is None:
                 connection.close()
                 return
 
@@ -126,17 +128,17 @@
     def leave_by(self, node: NodeId, at: int) -> None:
         """Nothing that waits for a node begins to leave after ``at``."""
         for connection in self.connections.get(node, ()):
-            for out in connection.link.live.values():
-                if isinstance(out, Leaving) and not out.handed and at < out.leave_by:
+            for out in connection.state.live.values():
+                if isinstance(out, OutgoingAttempt) and not out.handed and at < out.leave_by:
                     out.leave_by = at
                     self._arm(out)
 
-    def _arm(self, out: Leaving) -> None:
+    def _arm(self, out: OutgoingAttempt) -> None:
         if out.timer is not None:
             out.timer.cancel()
         out.timer = self.loop.call_at(out.due(), lambda: self._due(out))
 
-    def _due(self, out: Leaving) -> None:
+    def _due(self, out: OutgoingAttempt) -> None:
         """Its time to leave, or to be answered, is over, if it has not got further meanwhile."""
         if out.key not in self.outs or out.carrier is None:
             return
@@ -147,13 +149,13 @@
         self.counts["not_left"] += never_ran
         self.end(out, of_transport(End.NOT_LEFT if never_ran else End.TIMEOUT))
 
-    def replied(self, out: Leaving, reply: Reply) -> None:
+    def replied(self, out: OutgoingAttempt, reply: Reply) -> None:
         """A whole reply to an attempt has come."""
-        body = reply.value if reply.end == b"good" else None
-        self.end(out, ENDS[reply.end], body, read_report(reply.report, self._fields))
+        body = reply.value if reply.status == b"good" else None
+        self.end(out, REPLY_MEANINGS[reply.status], body, read_report(reply.report, self._fields))
 
     def end(
-        self, out: Leaving, meaning: Meaning, body: str | None = None, report: tuple[float, ...] = ()
+        self, out: OutgoingAttempt, meaning: Meaning, body: str | None = None, report: tuple[float, ...] = ()
     ) -> None:
         """An attempt has ended; told once."""
         if self.outs.pop(out.key, None) is None:
@@ -163,7 +165,7 @@
         self.counts[meaning.result.name.lower()] += 1
         self._ended(Ended(out.key[0], out.key[1], meaning.result, body, meaning.cause, report))
 
-    def _end_each(self, outs: list[Leaving], meaning: Meaning) -> None:
+    def _end_each(self, outs: list[OutgoingAttempt], meaning: Meaning) -> None:
         for out in outs:
             self.end(out, meaning)
 
@@ -183,8 +185,8 @@
     def close_node(self, node: NodeId) -> None:
         """A node is gone or drains: what nobody waits on is closed, the rest takes nothing new."""
         for connection in list(self.connections.get(node, ())):
-            connection.link.retired = True
-            if not connection.link.live:
+            connection.state.retired = True
+            if not connection.state.live:
                 connection.finish()
 
     def open_count(self) -> int:
@@ -204,9 +206,9 @@
         now = self.loop.now
         for held in list(self.connections.values()):
             for connection in list(held):
-                link = connection.link
+                link = connection.state
                 if link.stalled(now):
-                    connection.spoil(Spoilt("a reply that began does not go on"))
+                    connection.spoil(FrameError("a reply that began does not go on"))
                 elif connection.dial is None and not link.live and not link.room(now):
                     connection.finish()  # which gives up whatever frames ``n`` still wait
         self.loop.call_in(SWEEP, self._sweep)
--- a/quincepath/platform/leaving.py
+++ b/quincepath/platform/outgoing.py
@@ -23,17 +23,17 @@
 class Carrier(Protocol):
     """The connection that an attempt waits for, or has left on."""
 
-    def begun(self, part: "Leaving") -> bool:
+    def begun(self, part: "OutgoingAttempt") -> bool:
         """Whether a byte of its frame may have left."""
         ...
 
-    def give_up(self, part: "Leaving") -> bool:
+    def give_up(self, part: "OutgoingAttempt") -> bool:
         """Nobody waits for an attempt any more; tells whether it certainly never ran."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class Leaving:
+class OutgoingAttempt:
     """One attempt that is out at the edge."""
 
     key: Key
@@ -61,5 +61,5 @@
 class Frame:
     """Parts of one call whose frame has not begun to leave, or bytes that tell of a part given up."""
 
-    parts: list[Leaving] = field(default_factory=list)
+    parts: list[OutgoingAttempt] = field(default_factory=list)
     data: bytes = b""
--- a/quincepath/platform/service.py
+++ b/quincepath/platform/service.py
@@ -33,14 +33,14 @@
     Withdraw,
 )
 from quincepath.platform import descriptors, status
-from quincepath.platform.clients import BadQuery, read_query, refusal, write_finish
+from quincepath.platform.client_protocol import RequestError, encode_response, read_query, refusal
 from quincepath.platform.config import Address, Configuration
+from quincepath.platform.connection_state import ConnectionTimeouts
 from quincepath.platform.discovery import Discovery
-from quincepath.platform.ending import Ending
-from quincepath.platform.link import LinkTimes
-from quincepath.platform.list_clock import WAIT_ASKED, WAIT_PUSHED
-from quincepath.platform.nodes import Nodes
-from quincepath.platform.targets import BadList, TargetList, Targets, read_list
+from quincepath.platform.list_timing import PULL_WATCH_MS, PUSH_WATCH_MS
+from quincepath.platform.nodes import NodePool
+from quincepath.platform.shutdown import ShutdownSchedule
+from quincepath.platform.targets import TargetList, TargetListError, TargetTable, read_list
 from quincepath.policy import Aggregator
 
 MS = 1_000_000
@@ -64,11 +64,13 @@
     ) -> None:
         self.config, self.loop, self.site, self._wall_ms = config, loop, config.site, wall_ms
         self.counts: Counter[str] = Counter()
-        self.driver = Driver(make_module(config.settings, config.seed), config.settings, config.site.grace)
+        self.driver = Driver(
+            make_module(config.settings, config.seed), config.settings, config.site.drain_grace
+        )
         self.door = Door(
             Bounds(config.site.max_open, config.settings.limits.max_retry_after), config.seed + 1
         )
-        self.targets = Targets(config.site.zones, config.site.kinds)
+        self.targets = TargetTable(config.site.zones, config.site.kinds)
         self.open: dict[int, Exchange] = {}
         self.names: dict[str, int] = {}  # of open queries
         self._name_of: dict[int, str] = {}
@@ -78,30 +80,30 @@
         self._due: Timer | None = None
         self._due_at = 0
         classes = config.settings.classes
-        self.ending = Ending([c.deadline for c in classes], [c.target for c in classes])
+        self.ending = ShutdownSchedule([c.deadline for c in classes], [c.target for c in classes])
         self.stopping = False
         self._watched = False  # the last call to discovery brought something usable
         self._failure_told = False  # to the module, since then or since it asked
         self.on_ended: Callable[[], None] | None = None
         self.slowest_turn = self.latest = 0
-        room = descriptors.allot(config.limits.sockets)
+        room = descriptors.allocate(config.limits.sockets)
         limits = config.settings.limits
-        self.nodes = Nodes(
-            loop, config.site.streams, LinkTimes(limits.connect_timeout, limits.idle_close),
-            descriptors.NODE_MOST, room.nodes, self._where, self._ended, config.site.report_fields,
-            self._node_event,
+        self.nodes = NodePool(
+            loop, config.site.max_streams, ConnectionTimeouts(limits.connect_timeout, limits.idle_close),
+            descriptors.MAX_CONNECTIONS_PER_NODE, room.nodes, self._where, self._ended,
+            config.site.report_fields, self._node_event,
         )  # fmt: skip
         self.room = room
         if config.known is not None:
             try:
                 self._listed(config.known, cached=True)
-            except BadList as error:  # one that is brought along is no reason not to start
+            except TargetListError as error:  # one that is brought along is no reason not to start
                 log.error("the list of the configuration is unusable: %s", error)
-        must_ask = config.site.must_ask
+        pull_discovery = config.site.pull_discovery
         self.discovery = Discovery(
             loop, config.discovery, self._discovered, self._discovery_failed, config.seed + 2,
-            WAIT_ASKED if must_ask else WAIT_PUSHED, shared=must_ask,
-            held=self._held_version(config) if must_ask else None,
+            PULL_WATCH_MS if pull_discovery else PUSH_WATCH_MS, shared=pull_discovery,
+            held=self._held_version(config) if pull_discovery else None,
         )  # fmt: skip
         # What the agent has counts as told from the first moment, and ``known`` may be older: no client is
         # let in before it has spoken, or had the time: a call that breaks off is made again within that.
@@ -135,7 +137,7 @@
         handle = self._handles
         try:
             ask = read_query(request, handle, self.site, self.names)
-        except BadQuery as error:
+        except RequestError as error:
             self.counts["bad"] += 1
             exchange.request.keep_alive = False  # what else such a client sends is not worth reading
             exchange.text(error.status, str(error))
@@ -234,7 +236,7 @@
         log.warning("%s node=%s cause=%s", what, node.decode("ascii", "replace"), why)
 
     def _listed(self, told: TargetList, cached: bool = False, base: bool = False) -> None:
-        news = self.targets.take(self.loop.now, self._wall_ms(), told, cached, base)
+        news = self.targets.apply(self.loop.now, self._wall_ms(), told, cached, base)
         if news is None:
             return
         self._inputs.append(Listed(news))
@@ -251,7 +253,7 @@
     def _discovered(self, body: bytes, whole: bool) -> int | None:
         told = read_list(body)
         if whole and not told.full:
-            raise BadList("changes, where the whole list was asked for")
+            raise TargetListError("changes, where the whole list was asked for")
         self._listed(told, base=whole)
         self._watched, self._failure_told = True, False
         # Older than what it was asked to go on from: discovery numbers anew, and its whole list is the base.
@@ -262,7 +264,7 @@
         log.warning("discovery failed: %s", why)
         self._watched = False
         # Only who asks is told, and once: the module asks again for each failure told, and lists are priced.
-        if self.site.must_ask and not self._failure_told:
+        if self.site.pull_discovery and not self._failure_told:
             self._failure_told = True
             self._inputs.append(Listed(Members(Scope.FAILED, max(self.targets.version, 0), ())))
 
@@ -326,7 +328,7 @@
                 exchange.request.headers["req-id"], finish.verdict.value, finish.cause, finish.parts_in,
                 finish.parts_asked, finish.attempts, finish.took / MS,
             )  # fmt: skip
-        status, headers, body = write_finish(finish)
+        status, headers, body = encode_response(finish)
         exchange.respond(status, headers, body)
 
     # --- what is believed, and what is so ---
@@ -360,14 +362,14 @@
         self.discovery.move(address)
 
     def stop(self, on_ended: Callable[[], None]) -> None:
-        """Serve on for as long as ``Ending`` says, not ready any more; then end."""
+        """Serve on for as long as ``ShutdownSchedule`` says, not ready any more; then end."""
         if self.stopping:
             return
         log.info("stopping, %d queries open", len(self.open))
         self.stopping = True
         self.on_ended = on_ended
         self.ending.begin(self.loop.now)
-        self.loop.call_at(self.ending.takes_until(), self._drain_clients)
+        self.loop.call_at(self.ending.accepts_until(), self._drain_clients)
 
     def _drain_clients(self) -> None:
         self.server.drain()
@@ -377,7 +379,7 @@
 
     def _end_when_done(self) -> None:
         # Lingering connections are waited for, but not up to the kill; who has asked is owed an answer.
-        last = self.ending.leaves_at()
+        last = self.ending.exits_at()
         if self.open or self.server.peers and self.loop.now < last:
             again = self.loop.now + ENDING
             self.loop.call_at(min(again, last) if self.loop.now < last else again, self._end_when_done)
--- a/quincepath/platform/ending.py
+++ b/quincepath/platform/shutdown.py
@@ -16,7 +16,7 @@
 COMING = 500 * MS  # after the signal, at the least, new connections are taken: they come for 400 ms
 
 
-class Ending:
+class ShutdownSchedule:
     """One broker's end; ``deadlines`` and ``targets`` are those of its classes, in ns."""
 
     def __init__(self, deadlines: Sequence[int], targets: Sequence[int]) -> None:
@@ -29,12 +29,12 @@
         if self.end is None:
             self.end = now + self._length
 
-    def takes_until(self) -> int:
+    def accepts_until(self) -> int:
         """From then on nothing is taken any more: connections between requests are closed."""
         assert self.end is not None
         return self.end - min(*self.targets, self._length - COMING)
 
-    def leaves_at(self) -> int:
+    def exits_at(self) -> int:
         """When the process ends even if clients have not ended their connections: the kill is near."""
         assert self.end is not None
         return self.end + LINGERING
--- a/quincepath/platform/status.py
+++ b/quincepath/platform/status.py
@@ -6,8 +6,8 @@
 from quincepath.broker.driver import Driver
 from quincepath.net.loop import Loop
 from quincepath.net.server import Exchange, HttpServer
-from quincepath.platform.nodes import Nodes
-from quincepath.platform.targets import Targets
+from quincepath.platform.nodes import NodePool
+from quincepath.platform.targets import TargetTable
 
 
 class Reported(Protocol):
@@ -16,8 +16,8 @@
     loop: Loop
     driver: Driver
     server: HttpServer
-    nodes: Nodes
-    targets: Targets
+    nodes: NodePool
+    targets: TargetTable
     counts: Counter[str]
     open: dict[int, Exchange]
 
@@ -32,9 +32,9 @@
     open_now = {
         node.decode("ascii", "replace"): [
             {
-                "address": f"{c.address[0]}:{c.address[1]}", "out": len(c.link.live),
-                "given_up": len(c.link.given_up), "dialling": c.dial is not None,
-                "retired": c.link.retired,
+                "address": f"{c.address[0]}:{c.address[1]}", "out": len(c.state.live),
+                "given_up": len(c.state.given_up), "dialling": c.dial is not None,
+                "retired": c.state.retired,
             }
             for c in held
         ]
--- a/quincepath/platform/targets.py
+++ b/quincepath/platform/targets.py
@@ -1,7 +1,8 @@
-"""The list of nodes as the platform tells it: lists and changes in, the module's list news out. Pure.
+"""The node list from discovery: full lists and deltas in, membership updates for the module out. Pure.
 
-A node is named by its id everywhere in the broker; the address is only looked up to connect. Times of start
-come in wall time and are turned into the broker's own clock once, so that one start stays one start.
+A node is identified by its id everywhere in the broker; its address is only looked up to connect. Start times
+arrive as wall-clock time and are converted to the broker's own clock only once, so that one start of a node
+is not mistaken for several.
 """
 
 from collections.abc import Sequence
@@ -13,13 +14,13 @@
 
 STATES = {"SERVING": Phase.READY, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 MS = 1_000_000
-VERSION_MOST = 1 << 53  # what every reader of JSON holds exactly
-STARTED_MOST = 1 << 53
-AWAY_MOST = 1024  # nodes drained or gone that are remembered, the last ones
+MAX_VERSION = 1 << 53  # the largest integer that every JSON parser represents exactly
+MAX_STARTED_MS = 1 << 53
+MAX_REMOVED_NODES = 1024  # drained or deleted nodes remembered; the oldest are dropped
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One node as told."""
+    """One node as discovery describes it."""
 
     id: str
     state: str
@@ -32,7 +33,7 @@
 
 
 class TargetList(msgspec.Struct, frozen=True):
-    """A whole list, or the changes since one."""
+    """A full list, or the changes since an earlier version."""
 
     version: int
     full: bool
@@ -40,8 +41,8 @@
 
 
 @dataclass(slots=True)
-class Known:
-    """A node that is on the list: where it is, and its start on both clocks."""
+class ListedNode:
+    """A node on the list: its address, and its start on both clocks (``since`` is the broker's, in ns)."""
 
     host: str
     port: int
@@ -51,72 +52,73 @@
     since: int
 
 
-class BadList(ValueError):
-    """An answer of discovery that cannot be used; what is held stays in force."""
+class TargetListError(ValueError):
+    """A response of discovery that cannot be used; the current list stays in force."""
 
 
 _decoder = msgspec.json.Decoder(TargetList)
 
 
 def read_list(body: bytes) -> TargetList:
-    """A body of discovery; raises ``BadList``."""
+    """Decode a response body of discovery; raises ``TargetListError``."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise BadList(f"discovery's answer: {error}") from None
+        raise TargetListError(f"discovery response: {error}") from None
 
 
 @dataclass(slots=True, frozen=True)
-class Away:
-    """A node that was told to be draining or gone: by the news of which version, and of which start."""
+class RemovedNode:
+    """A node reported as draining or deleted: the list version that said so, and the node's start time."""
 
     version: int
     started_ms: int
 
 
-class Targets:
-    """What was told, and when. Bounded: by the list, and by ``AWAY_MOST`` nodes that were taken away."""
+class TargetTable:
+    """The current node list. Bounded by the list's size plus ``MAX_REMOVED_NODES`` remembered removals."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
         self.zones = {name: index for index, name in enumerate(zones)}
         self.kinds = {name: index for index, name in enumerate(kinds)}
         self.version = -1
-        self.nodes: dict[NodeId, Known] = {}
-        self.away: dict[NodeId, Away] = {}
-        self.told_at = 0  # when discovery last said anything usable
+        self.nodes: dict[NodeId, ListedNode] = {}
+        self.removed: dict[NodeId, RemovedNode] = {}
+        self.updated_at = 0  # when discovery last sent a usable list, in ns
 
-    def take(
-        self, now: int, wall_ms: float, told: TargetList, cached: bool = False, base: bool = False
+    def apply(
+        self, now: int, wall_ms: float, update: TargetList, cached: bool = False, base: bool = False
     ) -> Members | None:
-        """News for the module, None where there is none. ``wall_ms`` is the wall clock at ``now``.
-
-        All of it or, with ``BadList``, nothing. ``base``: the answer to a call for the whole list, which
-        counts whatever its version: discovery may have moved, or number anew. Other news that is older than
-        what is held may only take nodes away. Either way a node that was taken away comes back by newer news
-        alone, or by a later start: guards rule 3 against a copy of discovery that lags behind the one that
-        told of a drain.
+        """Apply an update; returns the module's membership update, or None where nothing changed for it.
+
+        ``wall_ms`` is the wall clock at ``now``. The update is applied as a whole or, with
+        ``TargetListError``, not at all. ``base``: the response to a request for the full list, which is
+        accepted whatever its version, since discovery may have moved or may have restarted its version
+        numbers. Any other update older than the current list may only remove nodes. In both cases a removed
+        node returns only by a newer version or a later start time. Guards rule 3, no sends to a drained node,
+        against a discovery replica that lags behind the one that reported the drain.
         """
-        if not 0 <= told.version <= VERSION_MOST:
-            raise BadList(f"version {told.version}, 0 to {VERSION_MOST} was expected")
-        stale = told.version < self.version and not base
-        full = told.full and not stale
-        # The last word on each node; all are read before any is taken.
-        read = [self._read(now, wall_ms, one) for one in {one.id: one for one in told.servers}.values()]
+        if not 0 <= update.version <= MAX_VERSION:
+            raise TargetListError(f"version {update.version}, 0 to {MAX_VERSION} was expected")
+        stale = update.version < self.version and not base
+        full = update.full and not stale
+        # Of several entries for one node the last counts; all are validated before any is applied.
+        parsed = [self._parse(now, wall_ms, one) for one in {one.id: one for one in update.servers}.values()]
         entries: list[Entry] = []
-        for known, entry in read:
+        for known, entry in parsed:
             before = self.nodes.get(entry.node)
             if entry.phase is Phase.READY:
                 if stale:
                     continue
-                if self._outdated(entry.node, told.version, known.started_ms):
+                if self._outdated(entry.node, update.version, known.started_ms):
                     if before is None or not full:
                         continue
-                    entry = replace(entry, phase=Phase.DRAINING, since=before.since)  # named, still draining
+                    entry = replace(entry, phase=Phase.DRAINING, since=before.since)  # listed, still draining
                     known = before
                 else:
-                    self.away.pop(entry.node, None)
+                    self.removed.pop(entry.node, None)
             else:
-                self._take_away(entry.node, told.version, known.started_ms)
+                self._record_removal(entry.node, update.version, known.started_ms)
             if entry.phase is Phase.GONE:
                 if before is None:
                     continue
@@ -127,39 +129,39 @@
                 continue
             entries.append(entry)
         if full:
-            named = {entry.node for entry in entries}
-            for node in [node for node in self.nodes if node not in named]:
-                self._take_away(node, told.version, self.nodes.pop(node).started_ms)
+            listed = {entry.node for entry in entries}
+            for node in [node for node in self.nodes if node not in listed]:
+                self._record_removal(node, update.version, self.nodes.pop(node).started_ms)
         if not stale:
-            self.version = told.version
+            self.version = update.version
         if not cached:
-            self.told_at = now
+            self.updated_at = now
         if not entries and not full:
             return None
         scope = Scope.CACHED if cached else Scope.FULL if full else Scope.DELTA
         return Members(scope, max(self.version, 0), tuple(entries))
 
     def _outdated(self, node: NodeId, version: int, started_ms: int) -> bool:
-        away = self.away.get(node)
-        return away is not None and version < away.version and started_ms <= away.started_ms
-
-    def _take_away(self, node: NodeId, version: int, started_ms: int) -> None:
-        away = self.away.pop(node, None)
-        if away is not None:
-            version, started_ms = max(version, away.version), max(started_ms, away.started_ms)
-        self.away[node] = Away(version, started_ms)
-        if len(self.away) > AWAY_MOST:
-            del self.away[next(iter(self.away))]
-
-    def _read(self, now: int, wall_ms: float, target: Target) -> tuple[Known, Entry]:
-        """One node as told; changes nothing."""
+        removal = self.removed.get(node)
+        return removal is not None and version < removal.version and started_ms <= removal.started_ms
+
+    def _record_removal(self, node: NodeId, version: int, started_ms: int) -> None:
+        removal = self.removed.pop(node, None)
+        if removal is not None:
+            version, started_ms = max(version, removal.version), max(started_ms, removal.started_ms)
+        self.removed[node] = RemovedNode(version, started_ms)
+        if len(self.removed) > MAX_REMOVED_NODES:
+            del self.removed[next(iter(self.removed))]
+
+    def _parse(self, now: int, wall_ms: float, target: Target) -> tuple[ListedNode, Entry]:
+        """Validate and convert one target; changes no state."""
         phase = STATES.get(target.state)
         if phase is None:
-            raise BadList(
+            raise TargetListError(
                 f"node {target.id}: state {target.state!r}, one of {', '.join(STATES)} was expected"
             )
-        if not 0 <= target.started_ms <= STARTED_MOST:
-            raise BadList(f"node {target.id}: started_ms {target.started_ms} is no time")
+        if not 0 <= target.started_ms <= MAX_STARTED_MS:
+            raise TargetListError(f"node {target.id}: started_ms {target.started_ms} is out of range")
         node = target.id.encode()
         before = self.nodes.get(node)
         if before is not None and before.started_ms == target.started_ms:
@@ -171,11 +173,11 @@
         host, port = "", 0
         if phase is not Phase.GONE:
             host, _, digits = target.addr.rpartition(":")
-            plain = digits.isascii() and digits.isdigit() and len(digits) <= 5
-            if not host or not plain or not 0 < int(digits) < 65536:
-                raise BadList(f"node {target.id}: address {target.addr!r}, host:port was expected")
+            valid_port = digits.isascii() and digits.isdigit() and len(digits) <= 5
+            if not host or not valid_port or not 0 < int(digits) < 65536:
+                raise TargetListError(f"node {target.id}: address {target.addr!r}, host:port was expected")
             port = int(digits)
-        return Known(host, port, target.cell, phase, target.started_ms, since), Entry(
+        return ListedNode(host, port, target.cell, phase, target.started_ms, since), Entry(
             node, self.kinds.get(target.kind, 0), self.zones.get(target.zone, len(self.zones)),
             target.cell, since, phase, target.weight,
         )  # fmt: skip
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -19,9 +19,9 @@
 from quincepath.lab.emulator.recording import RecordingError, read_recording
 from quincepath.lab.emulator.script import Script
 from quincepath.net.http1 import HttpError, Limits, Request, RequestReader, ResponseReader, request_bytes
-from quincepath.platform.clients import BadQuery, read_query
-from quincepath.platform.frames import FrameReader, Spoilt
-from quincepath.platform.targets import BadList, read_list
+from quincepath.platform.client_protocol import RequestError, read_query
+from quincepath.platform.frames import FrameError, FrameReader
+from quincepath.platform.targets import TargetListError, read_list
 from quincepath.shards.shardmap import ShardMap
 from quincepath.standins.data import BEGIN_MS, END_MS, Store
 from quincepath.standins.leaf import parts_of
@@ -158,7 +158,7 @@
         request = Request("POST", "/any", {**good, **change}, PLATFORM_BODY if change else data)
         try:
             ask = read_query(request, 1, PLATFORM, {})
-        except BadQuery as error:
+        except RequestError as error:
             assert 400 <= error.status < 500 and str(error)
         else:
             assert ask.name.isascii() and ask.name.isprintable() and " " not in ask.name
@@ -173,9 +173,9 @@
         try:
             for at in range(0, len(data), size):
                 reader.feed(data[at : at + size])
-        except Spoilt as error:
+        except FrameError as error:
             spoilt = bool(error.text)
-        found.append(([(r.id, r.end, r.value) for r in reader.done], spoilt))
+        found.append(([(r.id, r.status, r.value) for r in reader.replies], spoilt))
     assert found[0] == found[1]
 
 
@@ -183,7 +183,7 @@
     """What discovery sends."""
     try:
         read_list(data)
-    except BadList as error:
+    except TargetListError as error:
         assert str(error)
 
 
--- a/tests/platform/test_closing.py
+++ b/tests/platform/test_closing.py
@@ -197,7 +197,7 @@
     done: list[int] = []
     began = world.loop.at
     world.broker.stop(lambda: done.append(world.loop.at))
-    closes = world.broker.ending.takes_until()
+    closes = world.broker.ending.accepts_until()
     world.run((closes - world.loop.at) / SECOND - 0.01)
     if kind == "half a request":
         client.sendall(world.request()[:30])
--- a/tests/platform/test_list_answers.py
+++ b/tests/platform/test_list_answers.py
@@ -10,13 +10,13 @@
 
 from quincepath.interface import Phase
 from quincepath.platform import descriptors
-from quincepath.platform.list_clock import ANSWER, PAUSE
+from quincepath.platform.list_timing import MAX_RETRY_DELAY, RESPONSE_TIMEOUT
 from quincepath.platform.targets import Target, TargetList
 from tests.platform.test_start import refused
 from tests.standins.agent import HEAD, MS, Agent, chunked, framed, unframed
 from tests.standins.platform import World
 
-SOON = PAUSE + 50 * MS  # a pause, and the call after it
+SOON = MAX_RETRY_DELAY + 50 * MS  # a pause, and the call after it
 
 
 # --- on sockets ---
@@ -119,7 +119,7 @@
     agent.tell(world.entry(0, "DRAINING"))
     agent.last = "end" if answer is unframed else ""
     assert world.until(lambda: world.phase(0) is Phase.DRAINING, 30)
-    assert world.loop.at - began <= ANSWER + SOON
+    assert world.loop.at - began <= RESPONSE_TIMEOUT + SOON
 
 
 def bad_entries(world: World) -> dict[str, dict[str, Any]]:
@@ -282,7 +282,7 @@
     """Also with every connection to nodes open: the parts and the reserve are all that a process may hold."""
     world = World(limits={"sockets": 64})
     agent = Agent(world.loop)
-    room = descriptors.allot(64)
+    room = descriptors.allocate(64)
     assert room.clients + 8 + room.nodes + descriptors.RESERVE - 8 <= 64
     world.broker.move_discovery(("127.0.0.1", 1))
     idle = [socket.create_connection(("127.0.0.1", world.port)) for _ in range(100)]
--- a/tests/platform/test_list_clock.py
+++ b/tests/platform/test_list_timing.py
@@ -11,30 +11,38 @@
 
 from quincepath.interface import Phase
 from quincepath.orders import ReadList
-from quincepath.platform import list_clock
-from quincepath.platform.list_clock import AFTER_MOVE, MARGIN, MOVED, MS, PAUSE, SUMS, TOLD
+from quincepath.platform import list_timing
+from quincepath.platform.list_timing import (
+    MARGIN,
+    MAX_RETRY_DELAY,
+    MOVE_DEADLINE,
+    MS,
+    NEWS_DEADLINE,
+    WORST_CASE_AFTER_MOVE,
+    WORST_CASES,
+)
 from tests.standins.agent import SECOND, Agent
 from tests.standins.platform import World
 
 MODES = ["push", "ask"]
-WITHIN = TOLD - MARGIN
+WITHIN = NEWS_DEADLINE - MARGIN
 CALLS = ["still", "trickle", "half", "reset", "lost"]  # what one more call may meet with
 
 
-@pytest.mark.parametrize("case", SUMS)
+@pytest.mark.parametrize("case", WORST_CASES)
 def test_each_sum_leaves_its_margin(case: str) -> None:
-    assert SUMS[case] <= WITHIN
+    assert WORST_CASES[case] <= WITHIN
 
 
 def test_a_list_that_must_be_asked_for_is_asked_for_no_more_often_than_the_sum_wants() -> None:
     """Calls for lists are priced over all brokers: a shorter wait has to have a reason."""
-    assert SUMS["watch, asked for, fell silent"] > WITHIN - 100 * MS
+    assert WORST_CASES["watch, asked for, fell silent"] > WITHIN - 100 * MS
 
 
 def test_after_a_move_the_sum_leaves_its_margin_and_a_watch_goes_on_after_a_pause() -> None:
-    assert AFTER_MOVE <= MOVED - MARGIN
-    assert PAUSE <= 150 * MS, "with a connection to open, within 200 ms"
-    assert list_clock.pause_of(0.0) > 0 and list_clock.pause_of(1.0) <= PAUSE
+    assert WORST_CASE_AFTER_MOVE <= MOVE_DEADLINE - MARGIN
+    assert MAX_RETRY_DELAY <= 150 * MS, "with a connection to open, within 200 ms"
+    assert list_timing.retry_delay(0.0) > 0 and list_timing.retry_delay(1.0) <= MAX_RETRY_DELAY
 
 
 def world_of(mode: str) -> tuple[World, Agent]:
@@ -79,7 +87,7 @@
     assert world.until(lambda: world.broker.counts["discovery failed"] == failed + 1, 60)
     given_up = world.loop.at
     assert world.until(lambda: world.broker.counts["discovery failed"] == failed + 2, 60)
-    assert world.loop.at - given_up >= list_clock.ANSWER, "it was refused, not lost"
+    assert world.loop.at - given_up >= list_timing.RESPONSE_TIMEOUT, "it was refused, not lost"
     agent.reachable()
     assert held_in(world, began) <= WITHIN
 
@@ -162,7 +170,7 @@
     moved.fates = list(met)
     began = world.loop.at
     world.broker.move_discovery(("127.0.0.1", moved.port))
-    assert held_in(world, began) <= MOVED - MARGIN
+    assert held_in(world, began) <= MOVE_DEADLINE - MARGIN
     assert [world.phase(n) for n in range(4)] == [Phase.DRAINING, Phase.READY, None, None]
     began = world.loop.at
     moved.tell(world.entry(3))
@@ -245,7 +253,7 @@
     world.run(8)
     agent.tell(world.entry(0, "DRAINING"))
     agent.always = "well"
-    assert held_in(world, world.loop.at) <= PAUSE + 20 * MS
+    assert held_in(world, world.loop.at) <= MAX_RETRY_DELAY + 20 * MS
 
 
 def test_after_a_refusal_that_is_over_the_first_pause_is_short_again() -> None:
@@ -257,4 +265,4 @@
     assert world.until(lambda: bool(agent.waiting), 5)
     began = world.loop.at
     agent.reset()
-    assert world.until(lambda: bool(agent.waiting), 5) and world.loop.at - began <= PAUSE + 20 * MS
+    assert world.until(lambda: bool(agent.waiting), 5) and world.loop.at - began <= MAX_RETRY_DELAY + 20 * MS
--- a/tests/platform/test_list_taken.py
+++ b/tests/platform/test_list_versions.py
@@ -6,7 +6,14 @@
 
 from quincepath.interface import Scope
 from quincepath.net.http1 import HttpError, Limits, Response, ResponseReader
-from quincepath.platform.targets import AWAY_MOST, BadList, Target, TargetList, Targets, read_list
+from quincepath.platform.targets import (
+    MAX_REMOVED_NODES,
+    Target,
+    TargetList,
+    TargetListError,
+    TargetTable,
+    read_list,
+)
 from tests.standins.agent import HEAD, SECOND, chunked, framed, unframed
 
 LIST = b'{"version":4,"full":true,"servers":[]}'
@@ -71,15 +78,15 @@
     return TargetList(version, full, made)
 
 
-def held(targets: Targets) -> dict[str, str]:
+def held(targets: TargetTable) -> dict[str, str]:
     return {node.decode(): known.phase.name for node, known in targets.nodes.items()}
 
 
-def after(*news: tuple[TargetList, bool]) -> Targets:
+def after(*news: tuple[TargetList, bool]) -> TargetTable:
     """What is held after these, one after the other; True: the answer to a call for the whole list."""
-    targets = Targets(["a"], ["m2"])
+    targets = TargetTable(["a"], ["m2"])
     for list_, base in news:
-        targets.take(SECOND, 1_000.0, list_, base=base)
+        targets.apply(SECOND, 1_000.0, list_, base=base)
     return targets
 
 
@@ -99,7 +106,7 @@
     lagging = told(7, full, ("x", "SERVING", 5), ("y", "SERVING", 5))
     targets = after((NINE, True), (lagging, base and full), (told(8, False, ("x", "SERVING", 5)), False))
     assert held(targets) == {"x": "DRAINING", "y": "READY"}
-    targets.take(SECOND, 1_000.0, told(10, False, ("x", "SERVING", 5)))
+    targets.apply(SECOND, 1_000.0, told(10, False, ("x", "SERVING", 5)))
     assert held(targets)["x"] == "READY", "newer news does"
 
 
@@ -114,21 +121,21 @@
 
 
 def test_what_is_remembered_of_nodes_that_are_gone_is_bounded() -> None:
-    many = [(f"n{number}", "DELETED", 5) for number in range(AWAY_MOST + 50)]
-    assert len(after((told(1, True, *many), True)).away) == AWAY_MOST
+    many = [(f"n{number}", "DELETED", 5) for number in range(MAX_REMOVED_NODES + 50)]
+    assert len(after((told(1, True, *many), True)).removed) == MAX_REMOVED_NODES
 
 
 def test_of_one_node_named_twice_the_last_word_counts() -> None:
-    targets = Targets(["a"], ["m2"])
+    targets = TargetTable(["a"], ["m2"])
     twice = told(1, True, ("x", "DRAINING", 5), ("y", "SERVING", 5), ("x", "SERVING", 5), ("y", "DELETED", 5))
-    news = targets.take(SECOND, 1_000.0, twice)
+    news = targets.apply(SECOND, 1_000.0, twice)
     assert news is not None and [entry.node for entry in news.entries] == [b"x"]
     assert held(targets) == {"x": "READY"}
 
 
 def test_deleted_of_a_node_that_is_not_held_is_no_news() -> None:
     targets = after((NINE, True))
-    assert targets.take(SECOND, 1_000.0, told(10, False, ("q", "DELETED", 0))) is None
+    assert targets.apply(SECOND, 1_000.0, told(10, False, ("q", "DELETED", 0))) is None
     assert targets.version == 10
 
 
@@ -136,20 +143,20 @@
     targets = after((NINE, True))
     before = targets.nodes[b"y"]
     moved = TargetList(10, False, [Target("y", "SERVING", "10.0.0.9:1", "a", "m2", 1, started_ms=5)])
-    targets.take(9 * SECOND, 9_000.0, moved)
+    targets.apply(9 * SECOND, 9_000.0, moved)
     now = targets.nodes[b"y"]
     assert (now.host, now.port, now.since) == ("10.0.0.9", 1, before.since)
 
 
 def test_a_start_that_is_yet_to_come_counts_from_now() -> None:
-    targets = Targets([], [])
-    news = targets.take(SECOND, 1_000.0, told(1, True, ("x", "SERVING", 5_000)))
+    targets = TargetTable([], [])
+    news = targets.apply(SECOND, 1_000.0, told(1, True, ("x", "SERVING", 5_000)))
     assert news is not None and news.entries[0].since == SECOND
 
 
 def test_a_scope_of_the_list_brought_along_is_told_as_such() -> None:
-    targets = Targets(["a"], ["m2"])
-    news = targets.take(SECOND, 1_000.0, NINE, cached=True)
+    targets = TargetTable(["a"], ["m2"])
+    news = targets.apply(SECOND, 1_000.0, NINE, cached=True)
     assert news is not None and news.scope is Scope.CACHED
-    with pytest.raises(BadList):
+    with pytest.raises(TargetListError):
         read_list(b'{"version":4.0,"full":true,"servers":[]}')
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quincepath.platform.config import ConfigError, Configuration, read_configuration
-from quincepath.platform.targets import Target, TargetList, Targets
+from quincepath.platform.targets import Target, TargetList, TargetTable
 from tests.platform.test_turns import Seen
 from tests.standins.platform import SECOND, Client, World, site
 
@@ -73,9 +73,9 @@
 def test_zones_and_kinds_keep_their_places(key: str) -> None:
     names = ["", "a b", "a_b", "a,b", "c"]
     config = read(zones=names, kinds=names)
-    targets = Targets(config.site.zones, config.site.kinds)
+    targets = TargetTable(config.site.zones, config.site.kinds)
     servers = [Target(f"s-{at}", "SERVING", "127.0.0.1:9", name, name) for at, name in enumerate(names)]
-    news = targets.take(SECOND, 0.0, TargetList(1, True, servers))
+    news = targets.apply(SECOND, 0.0, TargetList(1, True, servers))
     assert news is not None and [getattr(entry, key) for entry in news.entries] == [0, 1, 2, 3, 4]
 
 
--- a/tests/platform/test_replies.py
+++ b/tests/platform/test_replies.py
@@ -8,11 +8,11 @@
 
 from quincepath.interface import Result
 from quincepath.net.loop import READ
-from quincepath.platform.link import FRAME_DIALS, STALL_DIALS
+from quincepath.platform.connection_state import STALLED_REPLY_DIAL_TIMEOUTS, WHOLE_REPLY_DIAL_TIMEOUTS
 from tests.standins.edge import BIG, DIAL, NODE, Edge
 from tests.standins.platform import MS, SECOND, frame
 
-STALL, WHOLE = int(STALL_DIALS * DIAL), FRAME_DIALS * DIAL
+STALL, WHOLE = int(STALLED_REPLY_DIAL_TIMEOUTS * DIAL), WHOLE_REPLY_DIAL_TIMEOUTS * DIAL
 SWEEP = 110 * MS
 GOOD = frame(b"q", b"q1.0 good 7 -\n" + b"v" * 4000)
 
@@ -135,7 +135,7 @@
     if why == "drains":
         edge.nodes.close_node(NODE)
     else:
-        edge.connection.link.retired = True
+        edge.connection.state.retired = True
         edge.nodes._sweep()
     assert not edge.nodes.connections
     edge.flow()
@@ -159,8 +159,8 @@
     monkeypatch.setattr(edge.loop, "watch", full)
     edge.nodes.stop(1, 0)
     edge.nodes.stop(2, 0)
-    assert edge.connection.queue and not edge.connection.link.live
-    edge.run(FRAME_DIALS * DIAL + SWEEP + DIAL + 2 * MS)
+    assert edge.connection.queue and not edge.connection.state.live
+    edge.run(WHOLE_REPLY_DIAL_TIMEOUTS * DIAL + SWEEP + DIAL + 2 * MS)
     assert stream.closed and edge.nodes.open_count() == 0
 
 
@@ -201,7 +201,7 @@
     held = edge.nodes.connections[NODE]
     assert len(held) <= 4
     for one in held:
-        assert len(one.queue) + len(one.link.live) + len(one.link.given_up) <= 2 * 20
+        assert len(one.queue) + len(one.state.live) + len(one.state.given_up) <= 2 * 20
     assert Result.CONNECT_FAILED in edge.results().values()
     for key in list(edge.nodes.outs):
         edge.nodes.stop(*key)
@@ -218,4 +218,4 @@
     edge.run(20 * MS)
     edge.start(4, 5)
     edge.run(20 * MS)
-    assert sorted(len(one.link.live) for one in edge.nodes.connections[NODE]) == [2, 3]
+    assert sorted(len(one.state.live) for one in edge.nodes.connections[NODE]) == [2, 3]
--- a/tests/platform/test_shared_list_service.py
+++ b/tests/platform/test_shared_list_service.py
@@ -9,7 +9,7 @@
 
 from quincepath.interface import Phase
 from quincepath.platform.discovery import Discovery
-from quincepath.platform.list_clock import TOLD, WAIT_AGAIN, WAIT_ASKED
+from quincepath.platform.list_timing import NEWS_DEADLINE, PULL_WATCH_MS, RETRY_WATCH_MS
 from quincepath.platform.targets import TargetList, read_list
 from tests.standins.list_service import SharedListService
 from tests.standins.platform import World
@@ -24,7 +24,7 @@
     def __init__(self, world: World, service: SharedListService, number: int, held: int | None) -> None:
         self.version = 1
         self.discovery = Discovery(
-            world.loop, service.address, self._told, lambda why: None, number, WAIT_ASKED, True, held
+            world.loop, service.address, self._told, lambda why: None, number, PULL_WATCH_MS, True, held
         )
 
     def _told(self, body: bytes, whole: bool) -> int:
@@ -67,7 +67,7 @@
     service.change()
     began = world.loop.at
     assert world.until(lambda: all(follower.version == 2 for follower in followers), 20)
-    assert world.loop.at - began <= TOLD
+    assert world.loop.at - began <= NEWS_DEADLINE
 
 
 def world_that_asks(known_version: int | None = 1) -> World:
@@ -84,8 +84,8 @@
     world = world_that_asks()
     world.run(0.1)
     assert world.discovery.asked == [
-        f"/api/targets?since=1&timeout_ms={WAIT_AGAIN}",
-        f"/api/targets?since=1&timeout_ms={WAIT_ASKED}",
+        f"/api/targets?since=1&timeout_ms={RETRY_WATCH_MS}",
+        f"/api/targets?since=1&timeout_ms={PULL_WATCH_MS}",
     ]
 
 
--- a/tests/platform/test_end.py
+++ b/tests/platform/test_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quincepath.net.http1 import request_bytes
-from quincepath.platform.ending import Ending
+from quincepath.platform.shutdown import ShutdownSchedule
 from tests.standins.platform import MS, SECOND, Client, World
 from tests.test_deploy import MODULE, Program
 
@@ -26,10 +26,10 @@
     classes: list[tuple[float, float]],
 ) -> None:
     deadlines, targets = ([int(one * SECOND) for one in column] for column in zip(*classes, strict=True))
-    ending = Ending(deadlines, targets)
+    ending = ShutdownSchedule(deadlines, targets)
     ending.begin(0)
     assert ending.end is not None
-    assert COMING < ending.takes_until() <= ending.end < min(max(deadlines), 3 * SECOND) + 700 * MS
+    assert COMING < ending.accepts_until() <= ending.end < min(max(deadlines), 3 * SECOND) + 700 * MS
 
 
 @pytest.mark.parametrize("after", [100 * MS, 1400 * MS, 1700 * MS, 2500 * MS, KILL - 20 * MS])
@@ -60,7 +60,7 @@
     world = World(limits={"sockets": 1024})
     world.broker.stop(lambda: None)
     clients = []
-    world.loop.at = world.broker.ending.takes_until()  # in the next turn the listener closes
+    world.loop.at = world.broker.ending.accepts_until()  # in the next turn the listener closes
     for _ in range(WAITING):
         clients.append(Client(world))
         clients[-1].stream.write(world.request("all", (0,)))
--- a/tests/standins/edge.py
+++ b/tests/standins/edge.py
@@ -8,8 +8,8 @@
 from quincepath.net.loop import Loop
 from quincepath.orders import AttemptOrder, Ended, StartCall
 from quincepath.platform.connection import Connection
-from quincepath.platform.link import LinkTimes
-from quincepath.platform.nodes import Nodes
+from quincepath.platform.connection_state import ConnectionTimeouts
+from quincepath.platform.nodes import NodePool
 from tests.standins.platform import MS, SECOND, Node
 
 NODE: NodeId = b"s-1"
@@ -54,8 +54,8 @@
         self.ended: list[Ended] = []
         self.events: list[str] = []
         host, port = self.node.address.split(":")
-        self.nodes = Nodes(
-            self.loop, streams, LinkTimes(DIAL, 15 * SECOND), 4, 64, lambda node: (host, int(port)),
+        self.nodes = NodePool(
+            self.loop, streams, ConnectionTimeouts(DIAL, 15 * SECOND), 4, 64, lambda node: (host, int(port)),
             self.ended.append, (), lambda what, node, why: self.events.append(what),
         )  # fmt: skip
 
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,4 +1,4 @@
-"""Nodes and discovery of the operators' platform on loopback, one broker between them, in virtual time.
+"""NodePool and discovery of the operators' platform on loopback, one broker between them, in virtual time.
 
 A node does what ``acts`` says of a part, by what is first in its list: the name of an act below, or ``good``.
 """
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -192,7 +192,10 @@
 
 
 def test_pipelining_without_end_is_not_held_without_end(make: Any) -> None:
-    """It is read on all the same: behind it may lie the client's end (tests/platform/test_gone.py)."""
+    """It is read on all the same: behind it may lie the client's end.
+
+    See tests/platform/test_client_disconnect.py.
+    """
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     raw = Raw(world)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -485,7 +485,7 @@
 
 def test_descriptors_are_split_with_a_reserve() -> None:
     for most in (64, 256, 384, 1024):
-        room = descriptors.allot(most)
+        room = descriptors.allocate(most)
         assert room.clients + room.nodes + descriptors.RESERVE <= most
         assert room.clients >= most // 3
 
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -11,15 +11,22 @@
 
 from quincepath.interface import Phase, Scope
 from quincepath.platform.config import ConfigError, flatten, read_configuration
+from quincepath.platform.connection_state import ConnectionState, ConnectionTimeouts
 from quincepath.platform.descriptors import evict
-from quincepath.platform.ending import Ending
-from quincepath.platform.frames import CallPart, FrameReader, Spoilt, call_frame, give_up_frame, read_report
-from quincepath.platform.link import Link, LinkTimes
-from quincepath.platform.targets import BadList, Target, TargetList, Targets, read_list
+from quincepath.platform.frames import (
+    CallPart,
+    FrameError,
+    FrameReader,
+    call_frame,
+    cancel_frame,
+    read_report,
+)
+from quincepath.platform.shutdown import ShutdownSchedule
+from quincepath.platform.targets import Target, TargetList, TargetListError, TargetTable, read_list
 from quincepath.settings import read_settings
 from tests.standins.platform import MS, SECOND, frame, site
 
-TIMES = LinkTimes(dial=250 * MS, idle=15 * SECOND)
+TIMES = ConnectionTimeouts(dial=250 * MS, idle=15 * SECOND)
 GOOD = frame(b"q", b"a.1 good 17 inflight=2\nv1")
 LATER = frame(b"q", b"a.2 later 0 -\n")
 
@@ -30,7 +37,7 @@
 def test_a_call_and_a_give_up_are_the_bytes_of_the_page() -> None:
     sent = call_frame([CallPart(b"9b1f03aa5c7e2d41.3", 3, 240, b"c41e77d0")])
     assert sent == frame(b"m", b"9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d0")
-    assert give_up_frame(b"a.3") == b"\x04\0\0\0na.3"
+    assert cancel_frame(b"a.3") == b"\x04\0\0\0na.3"
 
 
 def read(pieces: list[bytes]) -> tuple[list[tuple[bytes, bytes, str]], str]:
@@ -38,9 +45,9 @@
     try:
         for piece in pieces:
             reader.feed(piece)
-    except Spoilt as error:
+    except FrameError as error:
         spoilt = error.text
-    return [(r.id, r.end, r.value) for r in reader.done], spoilt
+    return [(r.id, r.status, r.value) for r in reader.replies], spoilt
 
 
 @pytest.mark.parametrize("cut", range(1, len(GOOD + LATER)))
@@ -79,7 +86,7 @@
 
 def test_a_long_declared_frame_is_dropped_at_its_head_and_nothing_is_stored() -> None:
     reader = FrameReader()
-    with pytest.raises(Spoilt, match="are allowed"):
+    with pytest.raises(FrameError, match="are allowed"):
         reader.feed(struct.pack("<I", 3_000_000_000) + b"q" + bytes(100))
 
 
@@ -94,8 +101,8 @@
 # --- links ---
 
 
-def link(now: int = SECOND, places: int = 4) -> Link:
-    made = Link(places, TIMES, now)
+def link(now: int = SECOND, places: int = 4) -> ConnectionState:
+    made = ConnectionState(places, TIMES, now)
     made.put(now, b"a.1", "first")
     return made
 
@@ -109,7 +116,7 @@
 
 
 def test_an_id_turned_away_travels_again_but_not_while_a_second_copy_may_come() -> None:
-    held = Link(4, TIMES, SECOND)
+    held = ConnectionState(4, TIMES, SECOND)
     held.put(SECOND, b"a.2", "first")
     assert held.receive(SECOND, LATER)[0]
     assert not held.may_carry(SECOND + 10 * MS, b"a.2")
@@ -132,7 +139,7 @@
 
 
 def test_ids_given_up_are_bounded_by_retiring_the_connection() -> None:
-    held = Link(100, TIMES, SECOND)
+    held = ConnectionState(100, TIMES, SECOND)
     for number in range(100):
         if not held.room(SECOND):
             break
@@ -151,7 +158,7 @@
 
 
 def test_an_idle_connection_takes_nothing_near_its_end() -> None:
-    held = Link(4, TIMES, SECOND)
+    held = ConnectionState(4, TIMES, SECOND)
     assert held.room(11 * SECOND) and not held.room(12 * SECOND)
 
 
@@ -165,34 +172,34 @@
 
 
 def test_what_a_whole_list_leaves_out_is_gone_also_where_it_is_empty() -> None:
-    targets = Targets(["a"], ["m2"])
-    first = targets.take(0, 0, told(4, True, ("x", "SERVING"), ("y", "SERVING")), cached=True)
+    targets = TargetTable(["a"], ["m2"])
+    first = targets.apply(0, 0, told(4, True, ("x", "SERVING"), ("y", "SERVING")), cached=True)
     assert first is not None and first.scope is Scope.CACHED and set(targets.nodes) == {b"x", b"y"}
-    news = targets.take(0, 0, told(5, True))
+    news = targets.apply(0, 0, told(5, True))
     assert news is not None and news.scope is Scope.FULL and news.entries == () and not targets.nodes
 
 
 def test_older_news_may_only_take_nodes_away() -> None:
-    targets = Targets(["a"], ["m2"])
-    targets.take(0, 0, told(9, True, ("x", "DRAINING"), ("y", "SERVING")))
-    assert targets.take(0, 0, told(8, False, ("x", "SERVING"))) is None
+    targets = TargetTable(["a"], ["m2"])
+    targets.apply(0, 0, told(9, True, ("x", "DRAINING"), ("y", "SERVING")))
+    assert targets.apply(0, 0, told(8, False, ("x", "SERVING"))) is None
     assert targets.nodes[b"x"].phase is Phase.DRAINING and targets.version == 9
-    targets.take(0, 0, told(8, True, ("y", "DRAINING")))
+    targets.apply(0, 0, told(8, True, ("y", "DRAINING")))
     assert targets.nodes[b"y"].phase is Phase.DRAINING and b"x" in targets.nodes
 
 
 def test_a_start_is_turned_to_the_own_clock_once() -> None:
-    targets = Targets([], [])
+    targets = TargetTable([], [])
     start = TargetList(1, True, [Target("x", "SERVING", "10.0.0.1:1", started_ms=5_000)])
-    first = targets.take(100 * SECOND, 8_000.0, start)
-    again = targets.take(101 * SECOND, 9_500.0, start)  # the wall clock has stepped
+    first = targets.apply(100 * SECOND, 8_000.0, start)
+    again = targets.apply(101 * SECOND, 9_500.0, start)  # the wall clock has stepped
     assert first is not None and again is not None
     assert first.entries[0].since == again.entries[0].since == 97 * SECOND
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"version":"x"}', b"[" * 100_000, b"\xff"])
 def test_an_unreadable_list_says_so(data: bytes) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(TargetListError):
         read_list(data)
 
 
@@ -232,7 +239,7 @@
 
 
 def test_the_end_comes_before_the_kill_and_cuts_the_time_of_queries() -> None:
-    ending = Ending([2 * SECOND, 9 * SECOND], [SECOND, 2 * SECOND])
+    ending = ShutdownSchedule([2 * SECOND, 9 * SECOND], [SECOND, 2 * SECOND])
     assert ending.time_left(0, 1, 5 * SECOND) == 5 * SECOND
     ending.begin(0)
     assert ending.end == 3550 * MS
