--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -17,7 +17,7 @@
 from quincepath.fleet.agreement.messages import Follow
 from quincepath.fleet.agreement.post import pack, unpack
 from quincepath.fleet.permits import Begun, Grant, encode
-from quincepath.store.keeper import KeeperStore
+from quincepath.store.consensus import ConsensusStore
 
 SIZES = (50, 100, 250, 500, FOLLOWERS_MOST)
 COMMITS = 5  # of one timing
@@ -96,7 +96,7 @@
     """Processor time of so many entries written and synced one by one."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "store"
-        store = KeeperStore(path, FLEET, "broker-0000", first(("broker-0000",)), check=False)
+        store = ConsensusStore(path, FLEET, "broker-0000", first(("broker-0000",)), check=False)
         try:
 
             def play() -> None:
--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -17,7 +17,7 @@
 from benchmarks.capacity.site import MS, REPLICAS, SECOND, configuration, list_body, node_entry
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import READ, Loop
-from quincepath.net.server import Exchange, HttpServer, Times
+from quincepath.net.server import Exchange, HttpServer, Timeouts
 from quincepath.orders import AttemptOrder, Ended, StartCall
 from quincepath.platform.link import LinkTimes
 from quincepath.platform.nodes import Nodes
@@ -31,7 +31,7 @@
 DATAGRAM_SIZES = (100, 200, 400, 1100)
 TARGET = 4 * SECOND  # of answers here: on a busy machine none is refused for its time, only priced
 LONGEST = 60.0  # seconds that anything here may take
-WAIT = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
+WAIT = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND)
 
 
 class Edge:
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -40,16 +40,16 @@
 from quincepath.membership.source import node_id
 from quincepath.net.http1 import Limits, Request, Response
 from quincepath.net.loop import Loop
-from quincepath.net.server import Exchange, HttpServer, Times
+from quincepath.net.server import Exchange, HttpServer, Timeouts
 from quincepath.observe.logs import setup
 from quincepath.orders import Ask, AttemptOrder, Ended, Finish, PartAsk, StartCall, Verdict
 from quincepath.shards.shardmap import ShardMap
 from quincepath.standins.data import BEGIN_MS, END_MS, Store
 from quincepath.upstream.pool import PoolLimits, Upstream
-from quincepath.upstream.remote_read import RemoteReadCalls
+from quincepath.upstream.remote_read import RemoteReadCodec
 
 SHARDS = [f"d{number}.example.org" for number in range(4)]
-TIMES = Times(60_000_000_000, 60_000_000_000, 60_000_000_000)
+TIMES = Timeouts(60_000_000_000, 60_000_000_000, 60_000_000_000)
 MINUTE = 60_000_000_000
 KINDS = ("module", "bare", "threads")
 CONNECTIONS = 32
@@ -121,7 +121,7 @@
             assert cell is not None
             self.nodes.setdefault(cell, []).append(node_id(holder.url))
         limits = PoolLimits(250_000_000, MINUTE, 256, 64 << 20)
-        calls = RemoteReadCalls(64 << 20)
+        calls = RemoteReadCodec(64 << 20)
         self.upstream = Upstream(loop, calls, limits, lambda node: "/api/v1/read", self.ended)
         self.open: dict[int, tuple[Exchange, Plan, int, list[tuple[int, int, Any]]]] = {}
         self.parts: dict[int, tuple[int, int]] = {}
@@ -166,7 +166,7 @@
     def __init__(self, config: Config) -> None:
         self.map = shard_map(config)
         self.front = RemoteReadFront(config, self.map)
-        self.calls = RemoteReadCalls(64 << 20)
+        self.calls = RemoteReadCodec(64 << 20)
         self.ports: dict[int, list[int]] = {}
         for holder in config.holders:
             cell = self.map.cell_of(holder.shards)
--- a/quincepath/broker/service/clients.py
+++ b/quincepath/broker/service/clients.py
@@ -64,7 +64,7 @@
         self._handles += 1
         handle, now, request = self._handles, self.loop.now, exchange.request
         name = name_of(request, handle)
-        attempt = self.front.identify(request, handle, exchange.peer.address)
+        attempt = self.front.identify(request, handle, exchange.connection.address)
         known, plan = self.reception.known(now, attempt)
         ask: Ask | None = None
         if self.door.stopping and not known:
@@ -109,7 +109,7 @@
                 self._answer(exchange, said, How.REPLAYED)
             case Join() | Begin():
                 self.open[handle] = _Open(exchange, name)
-                exchange.on_left = lambda: self._left(handle)
+                exchange.on_disconnect = lambda: self._left(handle)
                 if isinstance(decision, Begin):
                     self.guests.began(now, decision.ask, request.headers)
 
@@ -126,14 +126,14 @@
     def _at_once(self, exchange: Exchange, reply: Reply, name: str) -> None:
         """The reply to a request that becomes no ask."""
         if reply.verdict is None:
-            self.metrics.bad.labels(str(reply.status)).inc()
+            self.metrics.bad_requests.labels(str(reply.status)).inc()
             self.log.info("bad request", query=name, status=reply.status, cause=reply.body.decode().strip())
         exchange.respond(reply.status, reply.headers, reply.body)
 
     def _answer(self, exchange: Exchange, reply: Reply, how: How, run: str = "", ask: int = 0) -> None:
         """Send a final answer to one try; ``run`` is the name of the try whose run it shares."""
         trace = self.trace_of(ask)
-        exchange.on_left = None
+        exchange.on_disconnect = None
         joined = {} if how is How.BEGAN else {JOINED_HEADER: how.value}
         if joined and run:
             joined[RUN_HEADER] = run
@@ -143,12 +143,12 @@
         exchange.respond(reply.status, {**reply.headers, **joined}, reply.body)
 
     def _internal(self, name: str) -> Reply:
-        self.metrics.internal.inc()
+        self.metrics.internal_errors.inc()
         self.log.exception("internal error", query=name)
         return Reply(500, {"Content-Type": "text/plain"}, b"failed: internal error\n", Verdict.FAILED)
 
     def _turn_away(self, exchange: Exchange, away: TurnAway, name: str) -> None:
-        self.metrics.turn_away.labels(away.cause).inc()
+        self.metrics.rejected.labels(away.cause).inc()
         self.log.info("turned away", query=name, cause=away.cause)
         reply = self.front.refusal(f"refused: {away.cause}; asking again is harmless", away.retry_in)
         exchange.respond(reply.status, reply.headers, reply.body)
@@ -175,6 +175,6 @@
         if owed.reply is not None:
             self._answer(held.exchange, owed.reply, owed.how, owed.run, owed.ask)
             return
-        held.exchange.on_left = None
+        held.exchange.on_disconnect = None
         self.metrics.tries.labels("time up").inc()
         held.exchange.text(504, "failed: time is up")
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -18,21 +18,21 @@
 from quincepath.membership.source import ListSource
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop
-from quincepath.net.server import Exchange, HttpServer, Times
+from quincepath.net.server import Exchange, HttpServer, Timeouts
 from quincepath.observe.logs import logger
 from quincepath.observe.metrics import Metrics
 from quincepath.orders import Listed
 from quincepath.policy import Aggregator
 from quincepath.shards.shardmap import ShardMap
 from quincepath.upstream.pool import PoolLimits, Upstream
-from quincepath.upstream.remote_read import RemoteReadCalls
+from quincepath.upstream.remote_read import RemoteReadCodec
 
 if TYPE_CHECKING:
     from quincepath.broker.waiting import WaitingRoom
 
 MakeModule = Callable[[Settings, int], Module]
 ORDER_BODY = 192 * 1024  # bytes of a command that proposes a shard map, or a change of the configuration
-METRICS_TIMES = Times(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
+METRICS_TIMES = Timeouts(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
 
 
 def waiting_room(config: Config, seed: int) -> "WaitingRoom | None":
@@ -109,7 +109,7 @@
         )
         self.upstream = self.turn.upstream = Upstream(
             loop,
-            RemoteReadCalls(config.limits.max_answer, config.broker.number),
+            RemoteReadCodec(config.limits.max_answer, config.broker.number),
             PoolLimits(
                 config.limits.connect_timeout,
                 config.limits.idle_close,
@@ -153,10 +153,10 @@
         self.server = HttpServer(
             loop, listen.host, listen.port, self.clients.request,
             Limits(listen.max_headers, listen.max_body),
-            Times(listen.idle_timeout, listen.request_timeout, listen.write_timeout),
+            Timeouts(listen.idle_timeout, listen.request_timeout, listen.write_timeout),
             listen.max_connections,
             lambda why: self.log.warning("accepting paused", cause=why),
-            most_per_address=listen.max_connections_per_address,
+            max_per_address=listen.max_connections_per_address,
         )  # fmt: skip
         self.metrics_server = HttpServer(
             loop, config.metrics.host, config.metrics.port, self._metrics_request,
@@ -189,7 +189,7 @@
                 self.upstream.close_node(entry.node)
 
     def _trace_of(self, ask: int) -> str:
-        return "" if self.traces is None else self.traces.of(ask)
+        return "" if self.traces is None else self.traces.trace_id(ask)
 
     def _metrics_request(self, exchange: Exchange) -> None:
         if self.guests.request(exchange):
@@ -201,13 +201,13 @@
         metrics.open_queries.set(len(self.driver.queries))
         metrics.open_parts.set(len(self.driver.parts))
         room = self.waiting_room
-        metrics.waiting.set(room.waiting() if room is not None else 0)
-        metrics.connections.labels("clients").set(len(self.server.peers))
+        metrics.fair_waiting.set(room.waiting() if room is not None else 0)
+        metrics.connections.labels("clients").set(len(self.server.connections))
         metrics.connections.labels("holders").set(self.upstream.counts.open)
         for phase in ("READY", "DRAINING", "GONE"):
             count = sum(fact.phase.name == phase for fact in self.holders.source.state.facts.values())
             metrics.holders.labels(phase.lower()).set(count)
-        exchange.respond(200, PAGE_TYPE, metrics.page())
+        exchange.respond(200, PAGE_TYPE, metrics.render())
 
     # --- stopping ---
 
@@ -236,7 +236,7 @@
         self.guests.close()
 
     def _end_when_idle(self) -> None:
-        idle = not self.clients.open and not self.reception.running() and not self.server.peers
+        idle = not self.clients.open and not self.reception.running() and not self.server.connections
         if self.stopping and idle and self.on_stopped is not None:
             done, self.on_stopped = self.on_stopped, None
             done()
--- a/quincepath/broker/service/figures.py
+++ b/quincepath/broker/service/figures.py
@@ -50,7 +50,7 @@
         self.metrics.answers.labels(kind, answer).inc()
         if finish is None or reply is None:
             return
-        self.metrics.seconds.labels(kind).observe(finish.took / 1e9)
+        self.metrics.query_seconds.labels(kind).observe(finish.took / 1e9)
         if reply.stats is not None:
             self.metrics.duplicates.inc(reply.stats.duplicates)
             self.metrics.conflicts.inc(reply.stats.conflicts)
@@ -96,7 +96,7 @@
             resident = self.resident()
         except (OSError, psutil.Error):  # out of descriptors: the size is read from a file
             return
-        self.metrics.resident.set(resident)
+        self.metrics.resident_bytes.set(resident)
         before = self.circuit.pressure
         found = self.circuit.sample(resident)
         if found is not before:
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -24,9 +24,9 @@
 
 def open_keepers_store(path: Path, fleet: str, member: str, first: Stable) -> Storage:
     """A keeper's store on disk. Raises ``StoreError``."""
-    from quincepath.store.keeper import KeeperStore  # with it LMDB, which only keepers need
+    from quincepath.store.consensus import ConsensusStore  # with it LMDB, which only keepers need
 
-    return KeeperStore(path, fleet, member, first)
+    return ConsensusStore(path, fleet, member, first)
 
 
 class FleetGuest(Guest):
--- a/quincepath/broker/service/tracing.py
+++ b/quincepath/broker/service/tracing.py
@@ -37,11 +37,11 @@
     def sent(self, now: int, order: StartCall) -> None:
         name = self.name(order.node)
         for one in order.attempts:
-            self.traces.sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
+            self.traces.attempt_sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
 
     def came(self, now: int, part: OpenPart, item: Ended) -> None:
         outcome = item.result.name.lower()
-        self.traces.came(part.query.ask.handle, item.part, item.attempt, outcome, item.cause, now)
+        self.traces.attempt_ended(part.query.ask.handle, item.part, item.attempt, outcome, item.cause, now)
 
     def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
         finish, entry = ended.finish, ended.context.entry
--- a/quincepath/broker/service/turn.py
+++ b/quincepath/broker/service/turn.py
@@ -54,7 +54,7 @@
             began = time.monotonic_ns()
             for order in self.reception.step(self.loop.now):
                 self._carry_out(order)
-            self.figures.metrics.lag.observe((time.monotonic_ns() - began) / 1e9)
+            self.figures.metrics.turn_seconds.observe((time.monotonic_ns() - began) / 1e9)
         due = self.reception.next_due()
         if due is not None and (self._due is None or self._due.call is None or due < self._due_at):
             if self._due is not None:
@@ -78,7 +78,7 @@
             case Told(text):
                 self.figures.log.warning("module", text=text)
             case Breach(name, detail):
-                self.figures.metrics.breaches.labels(name).inc()
+                self.figures.metrics.contract_breaches.labels(name).inc()
                 self.figures.log.error("contract broken, made harmless", name=name, detail=detail)
             case ReadList():
                 self.holders.read(force=True)
--- a/quincepath/fleet/edge.py
+++ b/quincepath/fleet/edge.py
@@ -24,7 +24,7 @@
     View,
 )  # fmt: skip
 from quincepath.fleet.view.facts import Change
-from quincepath.net.dial import Dial, why
+from quincepath.net.dial import Dial, describe_connect_error
 from quincepath.net.loop import READ, Loop, Timer
 from quincepath.net.stream import Listener, Stream
 
@@ -203,7 +203,7 @@
 
         def failed(code: int) -> None:
             line.dial = None
-            self._ended(number, why(code))
+            self._ended(number, describe_connect_error(code))
 
         timeout = self.view.settings.exchange_time
         line.dial = Dial(self.loop, self.places[to], timeout, opened, failed)
--- a/quincepath/lab/emulator/world/calls.py
+++ b/quincepath/lab/emulator/world/calls.py
@@ -7,8 +7,7 @@
 from quincepath.lab.emulator.world.actors import Broker, Call, Connection
 from quincepath.lab.emulator.world.turns import Turns
 from quincepath.orders import Ended
-from quincepath.upstream.outcomes import End as CallEnd
-from quincepath.upstream.outcomes import of_transport
+from quincepath.upstream.outcomes import CallEnd, transport_outcome
 
 
 class Calls(Turns):
@@ -61,7 +60,7 @@
     def _expire(self, broker: Broker, call: Call) -> None:
         if not call.waiting:
             return
-        result = of_transport(CallEnd.DIAL_TIMEOUT if call.dialling else CallEnd.TIMEOUT).result
+        result = transport_outcome(CallEnd.DIAL_TIMEOUT if call.dialling else CallEnd.TIMEOUT).result
         for order in call.orders:
             key = (order.part, order.attempt)
             if key in call.waiting and order.deadline <= self.now:
--- a/quincepath/lab/emulator/world/sending.py
+++ b/quincepath/lab/emulator/world/sending.py
@@ -4,8 +4,7 @@
 from quincepath.lab.emulator.world.actors import Broker, Call, Connection, Pool
 from quincepath.lab.emulator.world.holders import Holders
 from quincepath.orders import StartCall
-from quincepath.upstream.outcomes import End as CallEnd
-from quincepath.upstream.outcomes import of_transport
+from quincepath.upstream.outcomes import CallEnd, transport_outcome
 
 
 class Sending(Holders):
@@ -29,7 +28,7 @@
             broker.calls[key] = call
         if idle is None and pool.open >= limits.connections_per_holder:
             connection.closed = True
-            self._end_call(broker, call, of_transport(CallEnd.NO_PLACE).result)
+            self._end_call(broker, call, transport_outcome(CallEnd.NO_FREE_CONNECTION).result)
             return
         life = broker.life
         for deadline in sorted({a.deadline for a in order.attempts}):
@@ -46,11 +45,11 @@
 
         def late() -> None:
             if call.dialling and call.waiting:
-                self._drop(broker, call, of_transport(CallEnd.DIAL_TIMEOUT).result)
+                self._drop(broker, call, transport_outcome(CallEnd.DIAL_TIMEOUT).result)
 
         def refused() -> None:
             if call.dialling and call.waiting:
-                self._drop(broker, call, of_transport(CallEnd.REFUSED).result)
+                self._drop(broker, call, transport_outcome(CallEnd.REFUSED).result)
 
         def connected() -> None:
             if call.dialling and call.waiting:
--- a/quincepath/net/closing.py
+++ b/quincepath/net/closing.py
@@ -1,4 +1,4 @@
-"""How a connection ends: its states, and what may follow what. Pure; sockets only carry it out.
+"""How a connection ends: its states, and the transitions between them. Pure; sockets carry it out.
 
 There is one way. Guards against a close over unread bytes: the system answers it with a reset, which destroys
 the answer on its way and tells a client whose request crossed the close that its request may have run. So the
@@ -29,7 +29,7 @@
 
 
 S, E = State, Event
-FOLLOWS: dict[tuple[State, Event], State] = {
+TRANSITIONS: dict[tuple[State, Event], State] = {
     (S.OPEN, E.FINISH): S.DRAINING,
     (S.OPEN, E.PEER_END): S.CLOSED,
     (S.OPEN, E.LOST): S.CLOSED,
@@ -43,16 +43,16 @@
 }
 
 
-def follow(state: State, event: Event) -> State:
+def next_state(state: State, event: Event) -> State:
     """The next state; an event that means nothing in a state leaves it."""
-    return FOLLOWS.get((state, event), state)
+    return TRANSITIONS.get((state, event), state)
 
 
-def takes(state: State) -> bool:
+def accepts_data(state: State) -> bool:
     """Whether what is read counts. After our last word nothing does: it is read and dropped."""
     return state is State.OPEN
 
 
-def drops(state: State) -> bool:
+def discards_data(state: State) -> bool:
     """Whether what comes is read and thrown away."""
     return state in (State.DRAINING, State.HALF_CLOSED)
--- a/quincepath/net/dial.py
+++ b/quincepath/net/dial.py
@@ -7,18 +7,19 @@
 
 from quincepath.net.loop import WRITE, Loop
 
-LATE = -1  # the code of a connection that was not established in time
+CONNECT_TIMED_OUT = -1  # the code of a connection that was not established in time
 
 
-def why(code: int) -> str:
+def describe_connect_error(code: int) -> str:
     """The words for a code given to ``on_failed``."""
-    return "not established in time" if code == LATE else os.strerror(code)
+    return "not established in time" if code == CONNECT_TIMED_OUT else os.strerror(code)
 
 
 class Dial:
-    """One attempt to connect. ``on_open(sock)`` or ``on_failed(errno or LATE)`` is called once, later.
+    """One attempt to connect.
 
-    ``close`` gives up without a word.
+    ``on_open(sock)`` or ``on_failed(errno or CONNECT_TIMED_OUT)`` is called once, in a later turn. ``close``
+    abandons the attempt without calling either.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         if code not in (0, errno.EINPROGRESS):
             self.timer = loop.call_at(loop.now, lambda: self._fail(code))
             return
-        self.timer = loop.call_in(timeout, lambda: self._fail(LATE))
+        self.timer = loop.call_in(timeout, lambda: self._fail(CONNECT_TIMED_OUT))
         loop.watch(sock, WRITE, self._ready)
 
     def _ready(self, _: int) -> None:
--- a/quincepath/net/http1.py
+++ b/quincepath/net/http1.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-AHEAD = 16  # whole requests held at most; what comes behind is not parsed
+MAX_PIPELINED_REQUESTS = 16  # whole requests held at most; what comes behind is not parsed
 PIECE = 16 * 1024  # bytes parsed at once: over a limit, no more than so many are held
 LINE = 4  # bytes that frame a header line: colon, space, line end
 
@@ -121,8 +121,8 @@
 class RequestReader(_Reader):
     """Server side: the requests completed by what was fed are in ``done``, in order; pipelining included.
 
-    With ``AHEAD`` of them waiting nothing more is parsed: what comes is ``dropped``, and nothing can be read
-    on this connection any more.
+    With ``MAX_PIPELINED_REQUESTS`` of them waiting, parsing stops: further bytes are only counted in
+    ``dropped``, and no later request can be read from this connection.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -167,7 +167,7 @@
     def feed(self, data: bytes) -> None:
         """Take bytes; whole requests are in ``done``. Raises ``HttpError``; ``done`` before it stays good."""
         for at in range(0, len(data), PIECE):
-            if self.dropped or len(self.done) >= AHEAD:
+            if self.dropped or len(self.done) >= MAX_PIPELINED_REQUESTS:
                 self.dropped += len(data) - at
                 return
             if self._parser is None:
--- a/quincepath/net/server.py
+++ b/quincepath/net/server.py
@@ -19,14 +19,14 @@
 SWEEP = 250_000_000  # ns between looks for connections past a time limit
 LINGER_MOST = 1024 * 1024  # bytes read and dropped from a client that has its last answer
 JOINED = 16 * 1024  # bytes of a body that are copied behind the head
-DROP_MOST = 1024 * 1024  # bytes sent ahead, read and dropped; then the connection is broken off: a flood
+MAX_DISCARDED_BYTES = 1024 * 1024  # sent ahead, read and discarded; over it the connection is closed
 GREETING = 250_000_000  # ns that a new connection has to begin its request while the server drains
 STALE = 20_000_000  # ns that an end may lie unseen; queries must not be sent on 100 ms after it
 TEXT = {"Content-Type": "text/plain; charset=utf-8"}
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
+class Timeouts:
     """Nanoseconds: between requests, within one request's arrival, without a byte taken by the client.
 
     ``first``: from the connect until the first request is whole, 0 where that is as later ones. ``linger``:
@@ -43,17 +43,17 @@
 class Exchange:
     """One request and the one answer that it is owed."""
 
-    def __init__(self, peer: "Peer", request: Request) -> None:
-        self.peer, self.request = peer, request
+    def __init__(self, peer: "ClientConnection", request: Request) -> None:
+        self.connection, self.request = peer, request
         self.answered = False
-        self.on_left: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def respond(self, status: int, headers: dict[str, str], body: bytes = b"") -> bool:
         """Answer; false, with nothing sent, where the answer was given before or the client has left."""
-        if self.answered or self.peer.stream.closed:
+        if self.answered or self.connection.stream.closed:
             return False
         self.answered = True
-        self.peer.respond(status, headers, body, self.request.keep_alive)
+        self.connection.respond(status, headers, body, self.request.keep_alive)
         return True
 
     def text(self, status: int, text: str, headers: dict[str, str] | None = None) -> bool:
@@ -61,7 +61,7 @@
         return self.respond(status, TEXT | (headers or {}), text.encode() + b"\n")
 
 
-class Peer:
+class ClientConnection:
     """One client connection."""
 
     def __init__(self, server: "HttpServer", sock: socket.socket) -> None:
@@ -99,7 +99,7 @@
         else:
             self.behind += len(data)
         # Not left unread: behind it may lie the client's end, and its open query must not go on then.
-        if self.behind + self.reader.dropped > DROP_MOST:
+        if self.behind + self.reader.dropped > MAX_DISCARDED_BYTES:
             self.server.counts["flooded"] += 1
             self.stream.fail("sent too much ahead")
             return
@@ -184,8 +184,8 @@
         self.server.forget(self)
         self.reader.close()
         exchange, self.current = self.current, None
-        if exchange is not None and exchange.on_left is not None:
-            exchange.on_left()
+        if exchange is not None and exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
     def fail(self, why: str) -> None:
         """End this connection after an error of this program."""
@@ -195,18 +195,18 @@
         """Answer before any request and close: the client is told, not just cut off."""
         self._send(503, {**TEXT, "Retry-After": "1"}, why.encode() + b"\n", keep_alive=False)
 
-    def expire(self, now: int, times: Times) -> None:
+    def expire(self, now: int, times: Timeouts) -> None:
         """End or answer what is past its time."""
         if self.stream.pending:
             if now > self.stream.progress_at + times.write:
                 self.abandon("slow_readers")
         elif self.closing:
-            if now > self.stream.state_at + times.linger:  # since the half-close, not since the answer
+            if now > self.stream.state_since + times.linger:  # since the half-close, not since the answer
                 self.abandon("lingered")
         elif self.current is None:
             self._expire_idle(now, times)
 
-    def _expire_idle(self, now: int, times: Times) -> None:
+    def _expire_idle(self, now: int, times: Timeouts) -> None:
         first = not self.asked and times.first > 0
         if first or self.arriving:
             late = now - self.since - (times.first if first else times.request)
@@ -234,7 +234,7 @@
         self.stream.abandon()
         self._closed(count)
 
-    def break_off(self) -> None:
+    def reject_incomplete_requests(self) -> None:
         """The last moment of the process is near: who is not served now is not served any more."""
         if self.current is None and not self.closing:
             if self.arriving:
@@ -253,21 +253,21 @@
         port: int,
         handler: Callable[[Exchange], None],
         limits: Limits,
-        times: Times,
+        times: Timeouts,
         most: int,
         on_paused: Callable[[str], None] = lambda why: None,
-        on_peer: Callable[[Peer], None] = lambda peer: None,
-        most_per_address: int = 0,
-        make_room: Callable[["HttpServer", Peer], None] = lambda server, peer: None,
+        on_connection: Callable[[ClientConnection], None] = lambda peer: None,
+        max_per_address: int = 0,
+        enforce_limit: Callable[["HttpServer", ClientConnection], None] = lambda server, peer: None,
     ) -> None:
-        self.make_room = make_room  # asked after each new connection; may cut others, or this one
+        self.enforce_limit = enforce_limit  # asked after each new connection; may cut others, or this one
         self.last_answers = False  # each answer is the last on its connection
-        self.on_peer = on_peer
-        self.most_per_address = most_per_address  # 0: no bound
+        self.on_connection = on_connection
+        self.max_per_address = max_per_address  # 0: no bound
         self.by_address: Counter[str] = Counter()
         self.loop, self.handler, self.limits, self.times = loop, handler, limits, times
-        self.peers: dict[Peer, None] = {}
-        self.lingering: dict[Peer, None] = {}  # of these: who has our last word, the oldest first
+        self.connections: dict[ClientConnection, None] = {}
+        self.lingering: dict[ClientConnection, None] = {}  # of these: who has our last word, the oldest first
         self.most = most
         self.counts: Counter[str] = Counter()
         self.draining = False  # idle connections are closed
@@ -287,12 +287,12 @@
         Guards against a crowd that does not answer our half-close and thereby keeps the listener resting.
         One whose answer is still leaving stays.
         """
-        if len(self.peers) >= self.most:
+        if len(self.connections) >= self.most:
             for peer in [peer for peer in self.lingering if peer.stream.state is State.HALF_CLOSED]:
                 peer.abandon("lingered_out")
-                if len(self.peers) < self.most:
+                if len(self.connections) < self.most:
                     break
-        return len(self.peers)
+        return len(self.connections)
 
     def _look_for_ends(self) -> None:
         """After a long turn, ends of open requests' clients that came meanwhile, ahead of what is sent on.
@@ -302,31 +302,31 @@
         loop = self.loop
         if loop.lag + loop.clock() - loop.now < STALE:
             return
-        for peer in [peer for peer in self.peers if peer.current is not None]:
+        for peer in [peer for peer in self.connections if peer.current is not None]:
             if not peer.closing and peer.stream.gone():
                 self.counts["gone_unseen"] += 1
                 peer.stream.fail("end of stream")
 
     def _accept(self, sock: socket.socket) -> None:
         self.counts["accepted"] += 1
-        peer = Peer(self, sock)
-        self.peers[peer] = None
+        peer = ClientConnection(self, sock)
+        self.connections[peer] = None
         self.by_address[peer.address] += 1
-        if self.most_per_address and self.by_address[peer.address] > self.most_per_address:
+        if self.max_per_address and self.by_address[peer.address] > self.max_per_address:
             self.counts["too_many_of_address"] += 1
             peer.refuse("too many connections from this address")
             return
-        self.on_peer(peer)
-        self.make_room(self, peer)
+        self.on_connection(peer)
+        self.enforce_limit(self, peer)
 
-    def forget(self, peer: Peer) -> None:
+    def forget(self, peer: ClientConnection) -> None:
         """A connection is closed."""
-        if peer in self.peers:
-            del self.peers[peer]
+        if peer in self.connections:
+            del self.connections[peer]
             self.lingering.pop(peer, None)
             self.uncount(peer)
 
-    def uncount(self, peer: Peer) -> None:
+    def uncount(self, peer: ClientConnection) -> None:
         """A connection holds no place of its address any more: it is closed, or has its last answer."""
         if peer.counted:
             peer.counted = False
@@ -335,9 +335,9 @@
                 del self.by_address[peer.address]
 
     def _sweep(self) -> None:
-        for peer in list(self.peers):
+        for peer in list(self.connections):
             peer.expire(self.loop.now, self.times)
-        if not self.listener.closed or self.peers:
+        if not self.listener.closed or self.connections:
             self.loop.call_in(SWEEP, self._sweep)
 
     def retire(self) -> None:
@@ -348,20 +348,20 @@
         """Accept no more than who waits now; idle connections close, open requests are still answered."""
         self.draining = self.last_answers = True
         self.listener.drain()
-        for peer in list(self.peers):
+        for peer in list(self.connections):
             peer.expire(self.loop.now, self.times)
 
-    def break_off(self) -> None:
+    def reject_incomplete_requests(self) -> None:
         """Also requests that are not whole are not waited for any more."""
-        for peer in list(self.peers):
-            peer.break_off()
+        for peer in list(self.connections):
+            peer.reject_incomplete_requests()
 
     def close(self) -> None:
         """Close all at once."""
         self.listener.close()
-        for peer in list(self.peers):
+        for peer in list(self.connections):
             peer.stream.abandon()
-        self.peers.clear()
+        self.connections.clear()
         self.lingering.clear()
         if self._look_for_ends in self.loop.turn_hooks:
             self.loop.turn_hooks.remove(self._look_for_ends)
--- a/quincepath/net/stream.py
+++ b/quincepath/net/stream.py
@@ -6,13 +6,15 @@
 from collections import deque
 from collections.abc import Callable
 
-from quincepath.net.closing import Event, State, drops, follow
+from quincepath.net.closing import Event, State, discards_data, next_state
 from quincepath.net.loop import READ, WRITE, Loop
 
-CHUNK = 256 * 1024  # bytes read in one turn from one socket: a fast sender must not starve the others
+READ_CHUNK_BYTES = (
+    256 * 1024
+)  # bytes read in one turn from one socket: a fast sender must not starve the others
 # Where bytes are read to. A fresh piece of that size for each read, cut down to what came, stretches the heap
 # for ever: what came lies at its start for a while, and the next piece has to go behind it.
-_ROOM = memoryview(bytearray(CHUNK))
+_ROOM = memoryview(bytearray(READ_CHUNK_BYTES))
 BACKLOG = 1024  # connections that the system holds until they are accepted
 LAST_READS = 8  # reads before a close at a bound: 2 MiB, more than a receive buffer commonly holds
 ACCEPT_PAUSE = 100_000_000  # ns for which a listener pauses when accepting fails for want of descriptors
@@ -27,7 +29,7 @@
 
     Writes go out at once as far as the kernel takes them; the rest waits in ``pending`` bytes.
     ``progress_at`` is the last time (ns) at which the peer took bytes: for a slow reader's time-out.
-    ``state`` says how far its end is (net/closing.py), ``state_at`` since when.
+    ``state`` says how far its end is (net/closing.py), ``state_since`` since when.
     """
 
     def __init__(
@@ -43,7 +45,7 @@
         self._out: deque[memoryview] = deque()
         self.pending = 0
         self.unsent = 0  # bytes that the system had not taken when it was closed
-        self.progress_at = self.state_at = loop.now
+        self.progress_at = self.state_since = loop.now
         self.state = State.OPEN
         self.closed = False  # whether the socket was given back; asked too often for a property
         self._reading = True
@@ -98,7 +100,7 @@
 
     def _move(self, event: Event) -> None:
         """Carry out what the table says."""
-        state = follow(self.state, event)
+        state = next_state(self.state, event)
         if state is self.state:
             return
         if state is State.CLOSED:
@@ -109,14 +111,14 @@
             if done is not None:
                 done()
             return
-        self.state, self.state_at = state, self.loop.now
+        self.state, self.state_since = state, self.loop.now
         if state is State.HALF_CLOSED:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
             except OSError:  # it was reset
                 self._move(Event.LOST)
                 return
-        self._reading = drops(state)
+        self._reading = discards_data(state)
         self._rewatch()
 
     def _drop_unread(self) -> None:
@@ -149,7 +151,7 @@
         """Close at once without a word to ``on_close``; ``reset`` drops what is buffered and sends RST."""
         if self.closed:
             return
-        self.state, self.state_at, self.closed = State.CLOSED, self.loop.now, True
+        self.state, self.state_since, self.closed = State.CLOSED, self.loop.now, True
         self._out.clear()
         self.unsent, self.pending = self.pending, 0
         # Whoever holds this stream is held by these: cut, so that both go at once and not at some collection.
@@ -178,7 +180,7 @@
             except OSError as error:
                 self._lost(error.strerror or str(error))
                 return
-            if drops(self.state):
+            if discards_data(self.state):
                 self._discard -= size
                 if not size:
                     self._move(Event.PEER_END)
--- a/quincepath/observe/metrics.py
+++ b/quincepath/observe/metrics.py
@@ -21,16 +21,18 @@
         self.answers = Counter(
             "quincepath_queries", "Queries by class and final answer", ["class", "answer"], registry=registry
         )
-        self.seconds = Histogram(
+        self.query_seconds = Histogram(
             "quincepath_query_seconds", "Time from taking a query to its final answer", ["class"],
             buckets=TIMES, registry=registry,
         )  # fmt: skip
-        self.resident = Gauge("quincepath_resident_bytes", "Memory that the process holds", registry=registry)
+        self.resident_bytes = Gauge(
+            "quincepath_resident_bytes", "Memory that the process holds", registry=registry
+        )
         self.tries = Counter(
             "quincepath_tries", "Requests that were owed an answer, by how they came to it", ["how"],
             registry=registry,
         )  # fmt: skip
-        self.bad = Counter(
+        self.bad_requests = Counter(
             "quincepath_bad_requests",
             "Requests that became no query, by status",
             ["status"],
@@ -40,19 +42,19 @@
             "quincepath_attempts", "Attempts ended, by holder and outcome", ["holder", "outcome"],
             registry=registry,
         )  # fmt: skip
-        self.breaches = Counter(
+        self.contract_breaches = Counter(
             "quincepath_contract_breaches", "Broken contracts made harmless", ["name"], registry=registry
         )
-        self.internal = Counter(
+        self.internal_errors = Counter(
             "quincepath_internal_errors", "Queries failed by a fault of this program", registry=registry
         )
         self.open_queries = Gauge("quincepath_open_queries", "Queries open", registry=registry)
         self.open_parts = Gauge("quincepath_open_parts", "Parts held", registry=registry)
-        self.waiting = Gauge(
+        self.fair_waiting = Gauge(
             "quincepath_fair_waiting", "Slow queries that wait for their turn", registry=registry
         )
         self.connections = Gauge("quincepath_connections", "Connections open", ["side"], registry=registry)
-        self.turn_away = Counter(
+        self.rejected = Counter(
             "quincepath_turned_away", "Queries refused at the door: too much open, or stopping", ["why"],
             registry=registry,
         )  # fmt: skip
@@ -66,10 +68,10 @@
         self.conflicts = Counter(
             "quincepath_merge_conflicts", "Dropped duplicates that differed", registry=registry
         )
-        self.lag = Histogram(
+        self.turn_seconds = Histogram(
             "quincepath_turn_seconds", "Time of one turn's work on the loop", buckets=TIMES, registry=registry
         )
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """The text format."""
         return generate_latest(self.registry)
--- a/quincepath/observe/traces.py
+++ b/quincepath/observe/traces.py
@@ -89,12 +89,14 @@
         self._open[ask] = _Noted(trace, parent, now)
         return format_trace_id(trace)
 
-    def of(self, ask: int) -> str:
+    def trace_id(self, ask: int) -> str:
         """The trace's id of an open ask; empty where there is none."""
         noted = self._open.get(ask)
         return format_trace_id(noted.trace) if noted else ""
 
-    def sent(self, ask: int, part: int, attempt: int, shard: int, step: int, node: str, now: int) -> None:
+    def attempt_sent(
+        self, ask: int, part: int, attempt: int, shard: int, step: int, node: str, now: int
+    ) -> None:
         """An attempt went out."""
         if ask not in self._open:
             self.begin(ask, now, {})  # a run that began without a request of its own
@@ -104,7 +106,7 @@
         else:
             noted.attempts[part, attempt] = _Attempt(shard, step, attempt, node, now)
 
-    def came(self, ask: int, part: int, attempt: int, outcome: str, cause: str, now: int) -> None:
+    def attempt_ended(self, ask: int, part: int, attempt: int, outcome: str, cause: str, now: int) -> None:
         """An attempt ended."""
         noted = self._open.get(ask)
         known = noted.attempts.get((part, attempt)) if noted else None
--- a/quincepath/platform/connection.py
+++ b/quincepath/platform/connection.py
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 from quincepath.interface import NodeId
-from quincepath.net.dial import LATE, Dial, why
+from quincepath.net.dial import CONNECT_TIMED_OUT, Dial, describe_connect_error
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Stream
 from quincepath.platform.frames import FRAME_MOST, CallPart, Reply, Spoilt, call_frame, give_up_frame
 from quincepath.platform.leaving import Frame, Leaving
 from quincepath.platform.link import Link, LinkTimes
-from quincepath.upstream.outcomes import End, Meaning, of_transport
+from quincepath.upstream.outcomes import CallEnd, CallOutcome, transport_outcome
 
 MS = 1_000_000
 
@@ -31,7 +31,7 @@
         """A whole reply to an attempt has come."""
         ...
 
-    def end(self, part: Leaving, meaning: Meaning) -> None:
+    def end(self, part: Leaving, meaning: CallOutcome) -> None:
         """An attempt has ended."""
         ...
 
@@ -65,8 +65,13 @@
 
     def _not_opened(self, code: int) -> None:
         self.dial = None
-        end = {LATE: End.DIAL_TIMEOUT, errno.ECONNREFUSED: End.REFUSED}.get(code, End.UNREACHABLE)
-        self.end_all(of_transport(end, why(code)), of_transport(end, why(code)))
+        end = {CONNECT_TIMED_OUT: CallEnd.DIAL_TIMEOUT, errno.ECONNREFUSED: CallEnd.REFUSED}.get(
+            code, CallEnd.UNREACHABLE
+        )
+        self.end_all(
+            transport_outcome(end, describe_connect_error(code)),
+            transport_outcome(end, describe_connect_error(code)),
+        )
 
     def put(self, frame: Frame) -> None:
         """A frame of a call; its ids may be carried."""
@@ -104,7 +109,7 @@
         for part in late:
             frame.parts.remove(part)
             self.link.take_back(part.id)
-            self.owner.end(part, of_transport(End.NOT_LEFT))
+            self.owner.end(part, transport_outcome(CallEnd.NOT_SENT))
         if not frame.parts:
             return False
         for part in frame.parts:
@@ -139,7 +144,11 @@
             # a reset, so that calls which the system still holds do not come late either.
             text = "it took no more bytes"
             self.owner.on_event("blocked connection", self.node, text)
-            self.end_all(of_transport(End.LOST_UNSENT, text), of_transport(End.BLOCKED, text), reset=True)
+            self.end_all(
+                transport_outcome(CallEnd.LOST_UNSENT, text),
+                transport_outcome(CallEnd.CLOSED_AFTER_PARTIAL_WRITE, text),
+                reset=True,
+            )
             return True
         for frame in self.queue:
             if part in frame.parts:
@@ -165,15 +174,15 @@
         concerned = self.link.live.get(spoilt.part) or (handed[0] if handed else None)
         if isinstance(concerned, Leaving):
             self.link.give_up(concerned.id)
-            self.owner.end(concerned, of_transport(End.PROTOCOL, spoilt.text))
+            self.owner.end(concerned, transport_outcome(CallEnd.PROTOCOL, spoilt.text))
         self.owner.on_event("spoilt connection", self.node, spoilt.text)
-        unsent = of_transport(End.LOST_UNSENT, spoilt.text)
-        self.end_all(unsent, of_transport(End.SPOILT, spoilt.text))
+        unsent = transport_outcome(CallEnd.LOST_UNSENT, spoilt.text)
+        self.end_all(unsent, transport_outcome(CallEnd.CLOSED_AFTER_BAD_ANSWER, spoilt.text))
 
     def _lost(self, text: str) -> None:
-        self.end_all(of_transport(End.LOST_UNSENT, text), of_transport(End.LOST, text))
+        self.end_all(transport_outcome(CallEnd.LOST_UNSENT, text), transport_outcome(CallEnd.LOST, text))
 
-    def end_all(self, unsent: Meaning, sent: Meaning, reset: bool = False) -> None:
+    def end_all(self, unsent: CallOutcome, sent: CallOutcome, reset: bool = False) -> None:
         """The connection is over; each attempt on it ends by whether its frame had left."""
         parts = [part for part in self.link.live.values() if isinstance(part, Leaving)]
         self.close(reset)
--- a/quincepath/platform/discovery.py
+++ b/quincepath/platform/discovery.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable
 
-from quincepath.net.dial import Dial, why
+from quincepath.net.dial import Dial, describe_connect_error
 from quincepath.net.http1 import HttpError, Limits, Response, ResponseReader, request_bytes
 from quincepath.net.loop import Loop, Timer
 from quincepath.net.stream import Stream
@@ -98,7 +98,7 @@
         return wait_of(self.wait, self.failures if self._heard else 1)
 
     def _not_opened(self, code: int) -> None:
-        self._fail(why(code))
+        self._fail(describe_connect_error(code))
 
     def _opened(self, sock: socket.socket) -> None:
         self._dial = None
--- a/quincepath/platform/nodes.py
+++ b/quincepath/platform/nodes.py
@@ -10,14 +10,14 @@
 from quincepath.platform.frames import Reply, Spoilt, read_report
 from quincepath.platform.leaving import Frame, Key, Leaving
 from quincepath.platform.link import LinkTimes
-from quincepath.upstream.outcomes import End, Meaning, of_transport
+from quincepath.upstream.outcomes import CallEnd, CallOutcome, transport_outcome
 
 MS = 1_000_000
 SWEEP = 100 * MS
 ENDS = {
-    b"good": Meaning(Result.OK, ""),
-    b"bad": Meaning(Result.ERROR, "the node said bad"),
-    b"later": Meaning(Result.FULL, "the node turned it away"),
+    b"good": CallOutcome(Result.OK, ""),
+    b"bad": CallOutcome(Result.ERROR, "the node said bad"),
+    b"later": CallOutcome(Result.FULL, "the node turned it away"),
 }
 
 
@@ -60,11 +60,11 @@
             outs.append(out)
         address = self._where(order.node)
         if address is None:
-            self._end_each(outs, of_transport(End.UNLISTED))
+            self._end_each(outs, transport_outcome(CallEnd.UNLISTED))
             return
         connection = self._connection(order.node, address, outs)
         if connection is None:
-            self._end_each(outs, of_transport(End.NO_PLACE))
+            self._end_each(outs, transport_outcome(CallEnd.NO_FREE_CONNECTION))
             return
         for out in outs:
             out.carrier = connection
@@ -115,7 +115,7 @@
         if out is not None:
             if out.carrier is not None:
                 out.carrier.give_up(out)
-            self.end(out, of_transport(End.STOPPED))
+            self.end(out, transport_outcome(CallEnd.STOPPED))
 
     def withdraw(self, part: int, attempt: int) -> None:
         """What of one attempt has not left must not leave any more; one that has left goes on."""
@@ -145,7 +145,7 @@
             return
         never_ran = out.carrier.give_up(out)
         self.counts["not_left"] += never_ran
-        self.end(out, of_transport(End.NOT_LEFT if never_ran else End.TIMEOUT))
+        self.end(out, transport_outcome(CallEnd.NOT_SENT if never_ran else CallEnd.TIMEOUT))
 
     def replied(self, out: Leaving, reply: Reply) -> None:
         """A whole reply to an attempt has come."""
@@ -153,7 +153,7 @@
         self.end(out, ENDS[reply.end], body, read_report(reply.report, self._fields))
 
     def end(
-        self, out: Leaving, meaning: Meaning, body: str | None = None, report: tuple[float, ...] = ()
+        self, out: Leaving, meaning: CallOutcome, body: str | None = None, report: tuple[float, ...] = ()
     ) -> None:
         """An attempt has ended; told once."""
         if self.outs.pop(out.key, None) is None:
@@ -163,7 +163,7 @@
         self.counts[meaning.result.name.lower()] += 1
         self._ended(Ended(out.key[0], out.key[1], meaning.result, body, meaning.cause, report))
 
-    def _end_each(self, outs: list[Leaving], meaning: Meaning) -> None:
+    def _end_each(self, outs: list[Leaving], meaning: CallOutcome) -> None:
         for out in outs:
             self.end(out, meaning)
 
--- a/quincepath/platform/service.py
+++ b/quincepath/platform/service.py
@@ -15,7 +15,7 @@
 from quincepath.limits.door import Bounds, Door
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop, Timer
-from quincepath.net.server import Exchange, HttpServer, Peer, Times
+from quincepath.net.server import ClientConnection, Exchange, HttpServer, Timeouts
 from quincepath.orders import (
     Arrived,
     Breach,
@@ -72,7 +72,9 @@
         self.open: dict[int, Exchange] = {}
         self.names: dict[str, int] = {}  # of open queries
         self._name_of: dict[int, str] = {}
-        self._bringers: dict[Peer, None] = {}  # connections that brought queries, the longest unused first
+        self._bringers: dict[
+            ClientConnection, None
+        ] = {}  # connections that brought queries, the longest unused first
         self._inputs: list[Input] = []
         self._handles = 0
         self._due: Timer | None = None
@@ -109,11 +111,11 @@
         self.server = HttpServer(
             loop, config.listen[0], config.listen[1], self._request,
             Limits(descriptors.HEAD_MOST, descriptors.BODY_MOST),
-            Times(
+            Timeouts(
                 descriptors.IDLE, descriptors.REQUEST, descriptors.WRITE,
                 descriptors.FIRST, descriptors.LINGER,
             ),
-            room.clients + 8, self._accepting_paused, make_room=self._make_room,
+            room.clients + 8, self._accepting_paused, enforce_limit=self._make_room,
         )  # fmt: skip
         loop.turn_hooks.append(self._turn)
         loop.call_in(REPORT, self._report)
@@ -154,11 +156,11 @@
             exchange.respond(*refusal(away.cause, self._advice(away.retry_in)))
             return
         self.counts["taken"] += 1
-        self._keep(exchange.peer)
+        self._keep(exchange.connection)
         self.open[handle] = exchange
         self.names[ask.name] = handle
         self._name_of[handle] = ask.name
-        exchange.on_left = lambda: self._left(handle)
+        exchange.on_disconnect = lambda: self._left(handle)
         self._inputs.append(Arrived(ask))
 
     def _arriving(self) -> int:
@@ -191,7 +193,7 @@
             self.counts["left"] += 1
             self._inputs.append(ClientLeft(handle))
 
-    def _keep(self, peer: Peer) -> None:
+    def _keep(self, peer: ClientConnection) -> None:
         """A connection brings a query: it is worth keeping, and of those the one unused for longest is not.
 
         Guards against clients that ask once and hold on: they may hold so many connections, and who comes
@@ -208,10 +210,10 @@
                 if oldest.waits():
                     oldest.end("cut, unused for longest")
 
-    def _make_room(self, server: HttpServer, newest: Peer) -> None:
-        if len(server.peers) - len(server.lingering) <= self.room.clients:
+    def _make_room(self, server: HttpServer, newest: ClientConnection) -> None:
+        if len(server.connections) - len(server.lingering) <= self.room.clients:
             return
-        found = descriptors.evict(self.loop.now, (peer for peer in server.peers if peer is not newest))
+        found = descriptors.evict(self.loop.now, (peer for peer in server.connections if peer is not newest))
         if found is None:
             newest.end("cut as it came")
         else:
@@ -316,7 +318,7 @@
         exchange = self._forget(finish.handle)
         if exchange is None:
             return
-        exchange.on_left = None
+        exchange.on_disconnect = None
         answered = finish.verdict is Verdict.ANSWERED
         self.counts["whole" if answered and finish.whole else finish.verdict.value] += 1
         if not answered:
@@ -346,8 +348,9 @@
         log.info(
             "counts=%s attempts=%s server=%s peers=%d nodes=%d parts=%d "
             "turn_ms=%.1f late_ms=%.1f cpu_s=%.2f rss_kb=%d",
-            dict(self.counts), dict(self.nodes.counts), dict(self.server.counts), len(self.server.peers),
-            self.nodes.open_count(), len(self.driver.parts), self.slowest_turn / MS, self.latest / MS,
+            dict(self.counts), dict(self.nodes.counts), dict(self.server.counts),
+            len(self.server.connections), self.nodes.open_count(), len(self.driver.parts),
+            self.slowest_turn / MS, self.latest / MS,
             time.process_time(), pages * os.sysconf("SC_PAGE_SIZE") // 1024,
         )  # fmt: skip
         self.slowest_turn = self.latest = 0
@@ -372,13 +375,13 @@
     def _drain_clients(self) -> None:
         self.server.drain()
         assert self.ending.end is not None
-        self.loop.call_at(self.ending.end, self.server.break_off)
+        self.loop.call_at(self.ending.end, self.server.reject_incomplete_requests)
         self._end_when_done()
 
     def _end_when_done(self) -> None:
         # Lingering connections are waited for, but not up to the kill; who has asked is owed an answer.
         last = self.ending.leaves_at()
-        if self.open or self.server.peers and self.loop.now < last:
+        if self.open or self.server.connections and self.loop.now < last:
             again = self.loop.now + ENDING
             self.loop.call_at(min(again, last) if self.loop.now < last else again, self._end_when_done)
         elif self.on_ended is not None:
--- a/quincepath/platform/status.py
+++ b/quincepath/platform/status.py
@@ -42,7 +42,7 @@
     }  # fmt: skip
     return {
         "counts": dict(broker.counts), "attempts": dict(broker.nodes.counts),
-        "clients": len(broker.server.peers),
+        "clients": len(broker.server.connections),
         "server": dict(broker.server.counts), "open": len(broker.open), "held": broker.driver.held(),
         "lingering": broker.driver.lingering(), "out": dict(believed), "connections": open_now,
         "list": {
--- a/quincepath/standins/leaf.py
+++ b/quincepath/standins/leaf.py
@@ -16,7 +16,7 @@
 from quincepath.fronts.remote_read.remote_pb2 import Query, ReadRequest
 from quincepath.net.http1 import Limits, Request, response_head
 from quincepath.net.loop import Loop, Timer
-from quincepath.net.server import Exchange, HttpServer, Peer, Times
+from quincepath.net.server import ClientConnection, Exchange, HttpServer, Timeouts
 from quincepath.standins.chance import Source
 from quincepath.standins.data import Store
 from quincepath.standins.model import Job, Kind, Server, State
@@ -26,7 +26,7 @@
 SECOND = 1000 * MS
 PATH = "/api/v1/read"
 FAR = 1 << 62  # ns: a holder of remote read is not told when its client gives up
-TIMES = Times(idle=120 * SECOND, request=30 * SECOND, write=30 * SECOND)
+TIMES = Timeouts(idle=120 * SECOND, request=30 * SECOND, write=30 * SECOND)
 INCIDENT = "incident"  # a matcher on this label that all series pass: what a query is meant to do to a holder
 POISON = "poison"
 HEAVY = "heavy-"  # and how many times the work
@@ -117,7 +117,7 @@
         self._look: Timer | None = None
         self.server = HttpServer(
             loop, "127.0.0.1", port, self._request, Limits(body=8 << 20), TIMES, most_connections,
-            on_peer=self._greet,
+            on_connection=self._greet,
         )  # fmt: skip
         self.port = self.server.port
         self.url = f"http://127.0.0.1:{self.port}{PATH}"
@@ -141,7 +141,7 @@
 
     def close(self, reset: bool = False) -> None:
         """Stop; ``reset`` as if the process had been killed."""
-        for peer in list(self.server.peers):
+        for peer in list(self.server.connections):
             peer.stream.close(reset)
         self.server.close()
         self.model.stop(self.loop.now, State.DOWN)
@@ -188,7 +188,7 @@
         call = _Call(exchange, request, parts, broker)
         poison = any(value == POISON for _, value in map(_meant, request.queries))
         job = Job(sum(works), FAR, frozenset(), call, poison)
-        exchange.on_left = lambda: self.model.cancel(self.loop.now, job)
+        exchange.on_disconnect = lambda: self.model.cancel(self.loop.now, job)
         if self._faulty(call):
             return
         self._catch_up()
@@ -220,7 +220,7 @@
             found.append(mean)
         return found
 
-    def _greet(self, peer: Peer) -> None:
+    def _greet(self, peer: ClientConnection) -> None:
         """A new connection; with slow handshakes nothing that it sends is read for a time."""
         if self.faults.handshake_ms:
             peer.stream.pause()
@@ -241,16 +241,16 @@
             case "hang":
                 pass
             case "silence":
-                job.exchange.peer.stream.pause()
+                job.exchange.connection.stream.pause()
             case "errors":
                 self._say(job, 500, {}, b"failing\n", False)
             case "full":
                 self._say(job, 429, {"Retry-After": "1"}, b"full\n", False)
             case "reset":
-                job.exchange.peer.stream.close(reset=True)
+                job.exchange.connection.stream.close(reset=True)
             case "cut":
                 self._raw(job, response_head(200, HEADERS, 100_000, True) + b"x" * 100)
-                job.exchange.peer.stream.close()
+                job.exchange.connection.stream.close()
             case "trickle":
                 self._raw(job, response_head(200, HEADERS, 1000, True))
                 self._trickle(job)
@@ -269,10 +269,10 @@
     @staticmethod
     def _raw(job: _Call, data: bytes) -> None:
         job.exchange.answered = True
-        job.exchange.peer.stream.write(data)
+        job.exchange.connection.stream.write(data)
 
     def _trickle(self, job: _Call) -> None:
-        stream = job.exchange.peer.stream
+        stream = job.exchange.connection.stream
         if not stream.closed:
             stream.write(b"x")
             self.loop.call_in(SECOND, lambda: self._trickle(job))
@@ -302,7 +302,7 @@
         self._arm()
 
     def _answer(self, job: _Call) -> None:
-        if job.exchange.peer.stream.closed:
+        if job.exchange.connection.stream.closed:
             return
         try:
             body = encode(self.store.read(job.request))
@@ -318,7 +318,7 @@
                 self.record.write(Said(now, self.name, query, shard, step, attempt, status, good))
         if job.broker in self.faults.deaf_to:
             return  # it went out and got lost
-        job.exchange.on_left = None
+        job.exchange.on_disconnect = None
         job.exchange.respond(status, headers, body)
 
 
--- a/quincepath/store/check.py
+++ b/quincepath/store/check.py
@@ -9,7 +9,7 @@
 import lmdb
 
 from quincepath.fleet.agreement.storing import StoreError
-from quincepath.store.keeper import META, load, trouble_of
+from quincepath.store.consensus import META, load, to_store_error
 
 
 def main() -> int:
@@ -26,7 +26,7 @@
         print(error)
         return 1
     except (OSError, lmdb.Error) as error:
-        print(trouble_of(error, path))
+        print(to_store_error(error, path))
         return 1
     return 0
 
--- a/quincepath/store/keeper.py
+++ b/quincepath/store/consensus.py
@@ -46,13 +46,13 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def seal(value: msgspec.Struct) -> bytes:
+def encode_record(value: msgspec.Struct) -> bytes:
     """A value as it is stored: checksum, then msgpack."""
     data = _encoder.encode(value)
     return zlib.crc32(data).to_bytes(SUM) + data
 
 
-def unseal(data: bytes | None, kind: type[T], what: str) -> T:
+def decode_record(data: bytes | None, kind: type[T], what: str) -> T:
     """Back again. Raises ``StoreError`` where the checksum or the shape is wrong."""
     if data is None:
         raise StoreError(Trouble.DAMAGED, f"{what} is missing")
@@ -69,7 +69,7 @@
     return ENTRY + index.to_bytes(8)
 
 
-def trouble_of(error: Exception, path: Path) -> StoreError:
+def to_store_error(error: Exception, path: Path) -> StoreError:
     """What an error of LMDB or of the system means."""
     text = f"{path}: {error}"
     if isinstance(error, lmdb.MapFullError) or "No space left" in str(error):
@@ -81,7 +81,7 @@
     return StoreError(Trouble.UNREACHABLE, text)
 
 
-def look_through(path: Path) -> None:
+def verify_in_subprocess(path: Path) -> None:
     """Read all of a store in a child process. Raises ``StoreError`` with what it found, or how it died."""
     if not (path / "data.mdb").exists():
         return
@@ -101,18 +101,18 @@
 def load(env: lmdb.Environment) -> tuple[Owner, Stable]:
     """All that a store holds. Raises ``StoreError`` where it does not hold together."""
     with env.begin() as txn:
-        owner = unseal(txn.get(META), Owner, "owner")
+        owner = decode_record(txn.get(META), Owner, "owner")
         if owner.schema > SCHEMA:
             raise StoreError(Trouble.NEWER, f"schema {owner.schema}, this program reads up to {SCHEMA}")
-        hard = unseal(txn.get(HARD), Hard, "term and vote")
-        snapshot = unseal(txn.get(SNAPSHOT), Snapshot, "snapshot")
+        hard = decode_record(txn.get(HARD), Hard, "term and vote")
+        snapshot = decode_record(txn.get(SNAPSHOT), Snapshot, "snapshot")
         entries: list[Entry] = []
         cursor = txn.cursor()
         if cursor.set_range(ENTRY):
             for key, value in cursor:
                 if not key.startswith(ENTRY):
                     break
-                entry = unseal(bytes(value), Entry, f"entry {int.from_bytes(key[len(ENTRY) :])}")
+                entry = decode_record(bytes(value), Entry, f"entry {int.from_bytes(key[len(ENTRY) :])}")
                 wanted = snapshot.index + len(entries) + 1
                 if entry.index != wanted or key != entry_key(wanted):
                     raise StoreError(Trouble.DAMAGED, f"entry {wanted} is missing")
@@ -120,7 +120,7 @@
     return owner, Stable(Log(snapshot, entries), hard.term, hard.vote, hard.epoch)
 
 
-class KeeperStore:
+class ConsensusStore:
     """One broker's store. ``stable`` is what a keeper begins with; each opening is a start of its own."""
 
     def __init__(
@@ -128,12 +128,12 @@
     ) -> None:
         self.path = path
         if check:
-            look_through(path)
+            verify_in_subprocess(path)
         try:
             path.mkdir(parents=True, exist_ok=True)
             self.env = lmdb.open(str(path), map_size=size, subdir=True, max_dbs=0)
         except (OSError, lmdb.Error) as error:
-            raise trouble_of(error, path) from None
+            raise to_store_error(error, path) from None
         try:
             self.stable = self._begin(Owner(SCHEMA, fleet, member), first)
         except BaseException:
@@ -154,30 +154,30 @@
             stable.epoch += 1
         try:
             with self.env.begin(write=True) as txn:
-                txn.put(META, seal(owner))
-                txn.put(HARD, seal(Hard(stable.term, stable.vote, stable.epoch)))
+                txn.put(META, encode_record(owner))
+                txn.put(HARD, encode_record(Hard(stable.term, stable.vote, stable.epoch)))
                 if new:
-                    txn.put(SNAPSHOT, seal(stable.log.snapshot))
+                    txn.put(SNAPSHOT, encode_record(stable.log.snapshot))
         except lmdb.Error as error:
-            raise trouble_of(error, self.path) from None
+            raise to_store_error(error, self.path) from None
         return stable
 
     def write(self, order: Persist) -> None:
         """Carry out one ``Persist``; on disk when this returns. Raises ``StoreError``: nothing changed."""
         try:
             with self.env.begin(write=True) as txn:
-                txn.put(HARD, seal(Hard(order.term, order.vote, self.stable.epoch)))
+                txn.put(HARD, encode_record(Hard(order.term, order.vote, self.stable.epoch)))
                 if order.snapshot is not None:
                     self._cut(txn, 0)
-                    txn.put(SNAPSHOT, seal(order.snapshot))
+                    txn.put(SNAPSHOT, encode_record(order.snapshot))
                 elif order.cut:
                     self._cut(txn, order.cut)
                 if order.entries:
                     self._cut(txn, order.entries[0].index)
                 for entry in order.entries:
-                    txn.put(entry_key(entry.index), seal(entry))
+                    txn.put(entry_key(entry.index), encode_record(entry))
         except lmdb.Error as error:
-            raise trouble_of(error, self.path) from None
+            raise to_store_error(error, self.path) from None
 
     @staticmethod
     def _cut(txn: lmdb.Transaction, first: int) -> None:
--- a/quincepath/upstream/pool.py
+++ b/quincepath/upstream/pool.py
@@ -16,11 +16,11 @@
 from quincepath.net.loop import WRITE, Loop, Timer
 from quincepath.net.stream import Stream
 from quincepath.orders import AttemptOrder, Ended, StartCall
-from quincepath.upstream.outcomes import End, Meaning, of_status, of_transport
-from quincepath.upstream.remote_read import BadAnswer
+from quincepath.upstream.outcomes import CallEnd, CallOutcome, status_outcome, transport_outcome
+from quincepath.upstream.remote_read import BadResponse
 
 
-class Calls(Protocol):
+class CallCodec(Protocol):
     """The protocol spoken to holders."""
 
     def encode(self, attempts: Sequence[AttemptOrder]) -> tuple[dict[str, str], bytes]:
@@ -28,7 +28,7 @@
         ...
 
     def decode(self, attempts: Sequence[AttemptOrder], response: Response) -> Sequence[Any]:
-        """Bodies by attempt; raises ``BadAnswer``."""
+        """Bodies by attempt; raises ``BadResponse``."""
         ...
 
 
@@ -91,7 +91,7 @@
         try:
             sock = owner.loop.system.stream_socket()
         except OSError as error:  # out of descriptors: this call ends, the broker goes on
-            self._drop(of_transport(End.UNREACHABLE, error.strerror or str(error)))
+            self._drop(transport_outcome(CallEnd.UNREACHABLE, error.strerror or str(error)))
             return
         sock.setblocking(False)
         self.dialling = sock
@@ -118,11 +118,11 @@
         self._begin()
 
     def _dial_failed(self, code: int) -> None:
-        end = End.REFUSED if code == errno.ECONNREFUSED else End.UNREACHABLE
-        self._drop(of_transport(end, os.strerror(code)))
+        end = CallEnd.REFUSED if code == errno.ECONNREFUSED else CallEnd.UNREACHABLE
+        self._drop(transport_outcome(end, os.strerror(code)))
 
     def _dial_late(self) -> None:
-        self._drop(of_transport(End.DIAL_TIMEOUT))
+        self._drop(transport_outcome(CallEnd.DIAL_TIMEOUT))
 
     def take(self, call: _Call) -> None:
         """Carry this call, now or as soon as connected."""
@@ -140,7 +140,7 @@
         try:
             response = self.reader.feed(data)
         except HttpError as error:
-            self._drop(of_transport(End.PROTOCOL, error.text))
+            self._drop(transport_outcome(CallEnd.PROTOCOL, error.text))
             return
         if call is None:
             self._drop(None)  # an idle connection has nothing to say: it cannot be trusted with a call
@@ -155,9 +155,9 @@
     def _lost(self, why: str) -> None:
         stream, call = self.stream, self.call
         unsent = call is not None and stream is not None and stream.unsent >= len(call.request)
-        self._drop(of_transport(End.LOST_UNSENT if unsent else End.LOST, why))
+        self._drop(transport_outcome(CallEnd.LOST_UNSENT if unsent else CallEnd.LOST, why))
 
-    def _drop(self, meaning: Meaning | None) -> None:
+    def _drop(self, meaning: CallOutcome | None) -> None:
         call, self.call = self.call, None
         self.close()
         if call is not None and meaning is not None:
@@ -191,7 +191,7 @@
     def __init__(
         self,
         loop: Loop,
-        calls: Calls,
+        calls: CallCodec,
         limits: PoolLimits,
         path: Callable[[NodeId], str | None],
         ended: Callable[[Ended], None],
@@ -211,7 +211,7 @@
             self.attempts[key] = call
         path = self._path(order.node)
         if path is None:
-            self.lost(call, of_transport(End.UNLISTED))
+            self.lost(call, transport_outcome(CallEnd.UNLISTED))
             return
         pool = self.pools.setdefault(order.node, _Pool())
         connection = pool.idle.pop() if pool.idle else None
@@ -219,7 +219,7 @@
             self.counts.idle -= 1
             self.counts.reused += 1
         elif pool.open >= self.limits.connections:
-            self.lost(call, of_transport(End.NO_PLACE))
+            self.lost(call, transport_outcome(CallEnd.NO_FREE_CONNECTION))
             return
         headers, body = self.calls.encode(order.attempts)
         host = ".".join(str(b) for b in order.node[:4]) + f":{int.from_bytes(order.node[4:])}"
@@ -236,7 +236,7 @@
         """Stop waiting for one attempt; others of its call go on."""
         call = self.attempts.get((part, attempt))
         if call is not None:
-            self._end(call, (part, attempt), of_transport(End.STOPPED))
+            self._end(call, (part, attempt), transport_outcome(CallEnd.STOPPED))
             self._abandon(call)
 
     def close_node(self, node: NodeId) -> None:
@@ -264,26 +264,26 @@
 
     def answered(self, call: _Call, response: Response) -> None:
         """A whole response has come."""
-        meaning = of_status(response.status, response.headers)
+        meaning = status_outcome(response.status, response.headers)
         bodies: Sequence[Any] = ()
         if meaning.result is Result.OK:
             try:
                 bodies = self.calls.decode(call.orders, response)
-            except BadAnswer as error:
-                meaning = Meaning(Result.ERROR, f"unusable answer: {error}")
+            except BadResponse as error:
+                meaning = CallOutcome(Result.ERROR, f"unusable answer: {error}")
         call.connection = None
         for at, order in enumerate(call.orders):
             key = (order.part, order.attempt)
             if key in call.waiting:
                 self._end(call, key, meaning, bodies[at] if bodies else None)
 
-    def lost(self, call: _Call, meaning: Meaning) -> None:
+    def lost(self, call: _Call, meaning: CallOutcome) -> None:
         """The call ended without a response: for all its parts alike."""
         call.connection = None
         for key in list(call.waiting):
             self._end(call, key, meaning)
 
-    def _end(self, call: _Call, key: tuple[int, int], meaning: Meaning, body: Any = None) -> None:
+    def _end(self, call: _Call, key: tuple[int, int], meaning: CallOutcome, body: Any = None) -> None:
         del call.waiting[key]
         del self.attempts[key]
         if not call.waiting and call.timer:
@@ -304,7 +304,7 @@
     def _expire(self, call: _Call) -> None:
         # Not sent yet: the truth is that no connection came in time, so that it certainly did not run.
         dialling = call.connection is not None and call.connection.dialling is not None
-        meaning = of_transport(End.DIAL_TIMEOUT if dialling else End.TIMEOUT)
+        meaning = transport_outcome(CallEnd.DIAL_TIMEOUT if dialling else CallEnd.TIMEOUT)
         for key, order in list(call.waiting.items()):
             if order.deadline <= self.loop.now:
                 self._end(call, key, meaning)
--- a/quincepath/upstream/remote_read.py
+++ b/quincepath/upstream/remote_read.py
@@ -12,11 +12,11 @@
 BROKER_HEADER = "X-Quincepath-Broker"  # the number of the broker that calls
 
 
-class BadAnswer(ValueError):
+class BadResponse(ValueError):
     """A 2xx answer that is not one: it may have run, and cannot be used."""
 
 
-class RemoteReadCalls:
+class RemoteReadCodec:
     """Encodes calls and decodes their answers; ``most`` bytes of an answer, decompressed."""
 
     def __init__(self, most: int, broker: int = 0) -> None:
@@ -37,14 +37,14 @@
         return headers, encode(request)
 
     def decode(self, attempts: Sequence[AttemptOrder], response: Response) -> list[PartBody]:
-        """The parts' bodies, in the order of the attempts. Raises ``BadAnswer``."""
+        """The parts' bodies, in the order of the attempts. Raises ``BadResponse``."""
         try:
             answer = decode_response(response.body, self.most)
         except CodecError as error:
-            raise BadAnswer(str(error)) from None
+            raise BadResponse(str(error)) from None
         wanted = sum(len(order.payload.queries) for order in attempts)
         if len(answer.results) != wanted:
-            raise BadAnswer(f"{len(answer.results)} results for {wanted} queries")
+            raise BadResponse(f"{len(answer.results)} results for {wanted} queries")
         bodies: list[PartBody] = []
         at = 0
         for order in attempts:
--- a/tests/capacity_scale/test_faults.py
+++ b/tests/capacity_scale/test_faults.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.scale.plan import Mechanism, Plan
 from quincepath.lab.fleet.links import Ways
 from quincepath.lab.fleet.script import Links
-from quincepath.net.dial import LATE, Dial
+from quincepath.net.dial import CONNECT_TIMED_OUT, Dial
 from quincepath.net.loop import Loop
 from tests.capacity_scale.runs import known_by_all, played
 
@@ -140,7 +140,7 @@
     assert loop.run_until(lambda: bool(ends), 30)
     hole.close()
     loop.close()
-    assert ends == [LATE]
+    assert ends == [CONNECT_TIMED_OUT]
 
 
 def test_a_cut_region_is_believed_dead_and_comes_back(
--- a/tests/limits/fair/test_broker.py
+++ b/tests/limits/fair/test_broker.py
@@ -83,7 +83,7 @@
     world.run(lambda: world.room.waiting() >= 1)
     with socket.create_connection(("127.0.0.1", world.broker.metrics_server.port)) as operator:
         operator.sendall(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-        gauge = world.broker.metrics.waiting._value
+        gauge = world.broker.metrics.fair_waiting._value
         world.run(lambda: gauge.get() >= 1)
     world.client.close()
     world.run(lambda: not world.room._held)
--- a/tests/platform/test_closing.py
+++ b/tests/platform/test_closing.py
@@ -11,7 +11,7 @@
 
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.net.http1 import Limits
-from quincepath.net.server import Exchange, HttpServer, Peer, Times
+from quincepath.net.server import ClientConnection, Exchange, HttpServer, Timeouts
 from quincepath.net.stream import Listener
 from quincepath.platform import descriptors
 from tests.standins.platform import MS, SECOND, World
@@ -82,14 +82,14 @@
     client = connect(world)
     client.sendall(b"nonsense\r\n\r\n")
     world.run(0.05)
-    peer, expire = peer_of(world, client), Peer.expire
+    peer, expire = peer_of(world, client), ClientConnection.expire
 
-    def late(self: Peer, now: int, times: Times) -> None:
+    def late(self: ClientConnection, now: int, times: Timeouts) -> None:
         if self is peer and now > self.since + times.linger:
             client.sendall(HEALTH)
         expire(self, now, times)
 
-    monkeypatch.setattr(Peer, "expire", late)
+    monkeypatch.setattr(ClientConnection, "expire", late)
     world.run(2)
     assert peer.stream.closed
     got, how = read_all(client)
@@ -105,7 +105,7 @@
         exchange.request.keep_alive = False
         exchange.respond(200, {}, body)
 
-    times = Times(60 * SECOND, 60 * SECOND, 60 * SECOND, linger=SECOND)
+    times = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND, linger=SECOND)
     server = HttpServer(loop, "127.0.0.1", 0, answer, Limits(), times, 10)
     client = socket.create_connection(("127.0.0.1", server.port))
     client.sendall(HEALTH)
@@ -118,12 +118,12 @@
 
     for _ in range(200):
         run(0.05)
-        (peer,) = server.peers
+        (peer,) = server.connections
         if not peer.stream.pending:
             break
         client.settimeout(5)
         got += client.recv(64 * 1024)
-    assert peer.stream.state_at > peer.since + times.linger, "the reader was not slow: this proves nothing"
+    assert peer.stream.state_since > peer.since + times.linger, "the reader was not slow: this proves nothing"
     run(0.6)  # the sweep comes by twice
     client.sendall(HEALTH)
     rest, how = read_all(client)
@@ -144,7 +144,7 @@
     for _ in range(150):
         held.append(connect(world))
         world.run(0.001)
-        most = max(most, len(world.broker.server.peers))
+        most = max(most, len(world.broker.server.connections))
     assert most <= world.broker.room.clients + 8 and not world.broker.counts["accepting paused"]
     assert world.ask("all", (0, 1)).status == 200
     ready = connect(world)
@@ -162,7 +162,7 @@
         exchange.request.keep_alive = False
         exchange.respond(200, {}, body if exchange.request.path == "/big" else b"small")
 
-    server = HttpServer(loop, "127.0.0.1", 0, answer, Limits(), Times(*[60 * SECOND] * 5), 3)
+    server = HttpServer(loop, "127.0.0.1", 0, answer, Limits(), Timeouts(*[60 * SECOND] * 5), 3)
     clients = []
     for path in (b"/big", b"/small", b"/small", b"/small"):
         clients.append(socket.create_connection(("127.0.0.1", server.port)))
@@ -170,7 +170,7 @@
         for _ in range(10):
             loop.turn(0.001)
     assert server.counts["lingered_out"] == 2 and not server.counts["accepting_paused"]
-    assert [peer.stream.state.name for peer in server.peers] == ["DRAINING", "HALF_CLOSED"]
+    assert [peer.stream.state.name for peer in server.connections] == ["DRAINING", "HALF_CLOSED"]
     assert [read_all(client)[1] for client in clients[1:]] == ["end"] * 3
     got, how = b"", "open"
     while how == "open":
@@ -206,7 +206,7 @@
     assert world.until(lambda: bool(done), 5)
     assert done[0] > closes, "the process ends before its clients were told and drained"
     assert done[0] < began + KILL - 25 * MS, "the kill comes before the process has ended"
-    states = {peer.stream.state.name for peer in world.broker.server.peers}
+    states = {peer.stream.state.name for peer in world.broker.server.connections}
     assert states <= {"HALF_CLOSED", "DRAINING"}
     world.broker.close()
     got, how = read_all(client)
@@ -280,7 +280,7 @@
 def test_at_the_end_who_waits_is_let_in_although_all_places_are_taken() -> None:
     loop = VirtualLoop()
     open_now: list[Exchange] = []
-    times = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
+    times = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND)
     server = HttpServer(loop, "127.0.0.1", 0, open_now.append, Limits(), times, 3)
     clients = []
     for _ in range(8):
--- a/tests/platform/test_floods.py
+++ b/tests/platform/test_floods.py
@@ -157,4 +157,4 @@
     began = world.loop.at
     assert world.ask("all", (0, 1)).status == 200 and world.loop.at - began < 100 * MS
     world.run(1)
-    assert not world.broker.open and len(world.broker.server.peers) == 1 and not world.errors
+    assert not world.broker.open and len(world.broker.server.connections) == 1 and not world.errors
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from quincepath.net.http1 import AHEAD
-from quincepath.net.server import DROP_MOST
-from quincepath.net.stream import CHUNK
+from quincepath.net.http1 import MAX_PIPELINED_REQUESTS
+from quincepath.net.server import MAX_DISCARDED_BYTES
+from quincepath.net.stream import READ_CHUNK_BYTES
 from tests.standins.platform import MS, World
 from tests.standins.sockets import connect, peer_of, read_all
 
@@ -51,7 +51,7 @@
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
     world.run(1)
-    assert world.broker.server.counts["accepted"] == 1 and not world.broker.server.peers
+    assert world.broker.server.counts["accepted"] == 1 and not world.broker.server.connections
     assert not sent_on(world) and not world.broker.open and not world.errors
 
 
@@ -61,10 +61,10 @@
     client = connect(world)
     client.setblocking(False)
     much = world.request("all", (0, 1), Req_Id="gone") + HEALTH * 12_000
-    assert CHUNK < client.send(much) < DROP_MOST
+    assert READ_CHUNK_BYTES < client.send(much) < MAX_DISCARDED_BYTES
     client.close()
     world.run(1)
-    assert world.broker.server.counts["accepted"] == 1 and not world.broker.server.peers
+    assert world.broker.server.counts["accepted"] == 1 and not world.broker.server.connections
     assert not sent_on(world) and not world.broker.open and not world.errors
 
 
@@ -115,7 +115,7 @@
 
 BEHIND: dict[str, list[bytes]] = {
     "nothing": [],
-    "more than is held": [HEALTH * (AHEAD + 4), HEALTH * 4],
+    "more than is held": [HEALTH * (MAX_PIPELINED_REQUESTS + 4), HEALTH * 4],
     "what is no request": [b"nonsense\r\n\r\n", b"and more of it"],
     "half a request": [HEALTH[:20]],
     "a body too big": [b"POST /all HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", bytes(70_000)],
@@ -137,7 +137,7 @@
         world.run(0.01)
     client.close()
     world.run(0.05)
-    assert not world.broker.open and not world.broker.server.peers
+    assert not world.broker.open and not world.broker.server.connections
     world.run(2)
     assert len(sent_on(world)) == 2 and not world.errors
 
@@ -154,7 +154,7 @@
     got, how = read_all(client)
     assert got.startswith(b"HTTP/1.1 200 ")
     # What is beyond the bound is dropped, and how much that is depends on how the pieces came together.
-    least = {"nothing": 1, "more than is held": 1 + AHEAD}.get(behind, 2)
+    least = {"nothing": 1, "more than is held": 1 + MAX_PIPELINED_REQUESTS}.get(behind, 2)
     assert least <= got.count(b"HTTP/1.1 ") <= (least + 8 if behind == "more than is held" else least)
     assert how in (("open", "end") if behind == "more than is held" else (CLEAN.get(behind, "end"),))
 
@@ -173,13 +173,13 @@
     world = World()
     world.acts("silent")
     client = connect(world)
-    client.sendall(world.request("all", (0, 1)) + HEALTH * AHEAD)
+    client.sendall(world.request("all", (0, 1)) + HEALTH * MAX_PIPELINED_REQUESTS)
     world.run(0.02)
     peer = peer_of(world, client)
     held = len(peer.reader.done)
     client.setblocking(False)
     sent = 0
-    while not peer.stream.closed and sent < 4 * DROP_MOST:
+    while not peer.stream.closed and sent < 4 * MAX_DISCARDED_BYTES:
         try:
             sent += client.send(bytes(64 * 1024))
         except BlockingIOError:
--- a/tests/platform/test_list_answers.py
+++ b/tests/platform/test_list_answers.py
@@ -287,7 +287,7 @@
     world.broker.move_discovery(("127.0.0.1", 1))
     idle = [socket.create_connection(("127.0.0.1", world.port)) for _ in range(100)]
     world.run(1)
-    assert len(world.broker.server.peers) <= room.clients + 8
+    assert len(world.broker.server.connections) <= room.clients + 8
     agent.version = 9
     agent.entries = {entry["id"]: entry for entry in (world.entry(0, "DRAINING"), world.entry(1))}
     began = world.loop.at
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -25,7 +25,7 @@
 
 def reset(world: World) -> None:
     world.discovery.waiting.clear()
-    for peer in list(world.discovery.server.peers):
+    for peer in list(world.discovery.server.connections):
         peer.stream.close(reset=True)
 
 
--- a/tests/standins/list_service.py
+++ b/tests/standins/list_service.py
@@ -41,7 +41,7 @@
             self._answer_watch(connection)
 
     def _request(self, exchange: Exchange) -> None:
-        now, connection = self.loop.clock(), id(exchange.peer)
+        now, connection = self.loop.clock(), id(exchange.connection)
         target = exchange.request.target
         since = int(target.partition("since=")[2].partition("&")[0] or -1)
         if since >= 0 and now <= self._renewable.pop(connection, -1):
@@ -61,7 +61,7 @@
         exchange.respond(200, {}, self._body(True))
 
     def _watch(self, exchange: Exchange, since: int) -> None:
-        connection = id(exchange.peer)
+        connection = id(exchange.connection)
         self.watching[connection] = exchange, since
         if since < self.version:
             self._answer_watch(connection)
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -17,7 +17,7 @@
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop
-from quincepath.net.server import Exchange, HttpServer, Times
+from quincepath.net.server import Exchange, HttpServer, Timeouts
 from quincepath.net.stream import Listener, Stream
 from quincepath.platform.config import Configuration, read_configuration
 from quincepath.platform.service import Broker
@@ -27,7 +27,7 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 WORK = 5 * MS
-TIMES = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
+TIMES = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND)
 ID = "s-%08x"
 PORTS = random.SystemRandom()  # not the same for tests that run side by side
 
@@ -150,7 +150,7 @@
         self.asked.append(target)
         self.on_ask()
         if self.half:
-            exchange.peer.stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{")
+            exchange.connection.stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{")
         if self.silent or self.half:
             return
         since = int(target.partition("since=")[2].partition("&")[0] or -1)
--- a/tests/standins/sockets.py
+++ b/tests/standins/sockets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quincepath.net.server import Peer
+from quincepath.net.server import ClientConnection
 from tests.standins.platform import World
 
 
@@ -18,10 +18,10 @@
     return sock
 
 
-def peer_of(world: World, sock: socket.socket) -> Peer:
+def peer_of(world: World, sock: socket.socket) -> ClientConnection:
     """The broker's side of it."""
     port = sock.getsockname()[1]
-    return next(peer for peer in world.broker.server.peers if peer.stream.sock.getpeername()[1] == port)
+    return next(peer for peer in world.broker.server.connections if peer.stream.sock.getpeername()[1] == port)
 
 
 def read_all(sock: socket.socket) -> tuple[bytes, str]:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -170,7 +170,7 @@
     assert statuses["loud"].count(503) > 40
     turned = world.broker.reception.desk.admission.refused
     assert turned["its client holds more than its share"] > 0
-    assert "its client holds more than its share" in world.broker.metrics.page().decode()
+    assert "its client holds more than its share" in world.broker.metrics.render().decode()
     # What was refused of the quiet client's was refused by the module, for want of time; none at the door.
     assert sum(turned.values()) <= statuses["loud"].count(503)
     admission_ = world.broker.reception.desk.admission
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -198,7 +198,7 @@
     raw = Raw(world)
     raw.stream.write(post(encode(ask())) * 40)
     world.until(lambda: sum(leaf.requests for leaf in world.leaves.values()) == 3)
-    peer = next(iter(world.broker.server.peers))
+    peer = next(iter(world.broker.server.connections))
     assert len(peer.reader.done) == 39  # one chunk at most
     raw.stream.write(post(encode(ask())) * 40)
     world.run(0.05)
@@ -224,9 +224,9 @@
     raw = Raw(world)
     raw.stream.pause()
     raw.stream.write(post(encode(ask())))
-    world.until(lambda: not world.broker.clients.open and world.broker.server.peers != {}, longest=5)
+    world.until(lambda: not world.broker.clients.open and world.broker.server.connections != {}, longest=5)
     world.until(lambda: world.broker.server.counts["slow_readers"] == 1)
-    assert not world.broker.server.peers
+    assert not world.broker.server.connections
     raw.stream.close()
 
 
@@ -310,13 +310,13 @@
     try:
         world = make()
         idle = [socket.create_connection(("127.0.0.1", world.broker.server.port)) for _ in range(1000)]
-        world.until(lambda: len(world.broker.server.peers) >= 1000)
+        world.until(lambda: len(world.broker.server.connections) >= 1000)
         turns = world.loop.turns
         world.run(10)
         assert world.loop.turns - turns < 1000  # no busy waiting: sweeps and polls of ten seconds only
         assert mark(world.ask(world.plan())[0])[0] == "whole"
         world.run(60)
-        assert len(world.broker.server.peers) <= 1  # idle ones are closed in their time
+        assert len(world.broker.server.connections) <= 1  # idle ones are closed in their time
         for sock in idle:
             sock.close()
     finally:
@@ -341,7 +341,7 @@
         for number in fillers:
             os.close(number)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    world.until(lambda: len(world.broker.server.peers) == 3)
+    world.until(lambda: len(world.broker.server.connections) == 3)
     for sock in clients:
         sock.close()
 
@@ -383,8 +383,8 @@
     world.until(lambda: world.leaves["a0"].requests + world.leaves["a1"].requests >= 3)
     query = next(iter(world.broker.driver.queries.values()))
     leaf = next(leaf for leaf in world.leaves.values() if leaf.name[0] == "a" and any(
-        peer.current for peer in leaf.server.peers))  # fmt: skip
-    peer = next(peer for peer in leaf.server.peers if peer.current)
+        peer.current for peer in leaf.server.connections))  # fmt: skip
+    peer = next(peer for peer in leaf.server.connections if peer.current)
     exchange = peer.current
     body = encode(leaf.store.read(_request_of(exchange.request.body)))
     exchange.respond(200, HEADERS, body)  # the bytes are in the broker's socket now ...
@@ -525,7 +525,7 @@
     if not upstream.pools.get(node) or not upstream.pools[node].idle:
         node = _node(world.leaves["a1"].port)
     for name in ("a0", "a1"):
-        for peer in list(world.leaves[name].server.peers):
+        for peer in list(world.leaves[name].server.connections):
             peer.stream.close(reset=True)
     # Before the broker's loop has seen that the idle connection is gone:
     fetch = PartFetch(((0, ask().queries[0]),))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -146,7 +146,7 @@
     held = [Client(world) for _ in range(100)]
     world.run(0.1)
     assert world.ask().status == 200
-    assert len(world.broker.server.peers) <= world.broker.room.clients < 64
+    assert len(world.broker.server.connections) <= world.broker.room.clients < 64
     assert sum(bool(client.ended) for client in held) >= 100 - world.broker.room.clients
 
 
@@ -335,7 +335,7 @@
     world = World()
     world.run(5.5)
     assert len(world.discovery.asked) == 2 + 5 and world.broker.counts["discovery failed"] == 0
-    assert len(world.discovery.server.peers) == 1
+    assert len(world.discovery.server.connections) == 1
 
 
 def test_a_silent_agent_is_given_up_and_a_new_address_is_asked_at_once() -> None:
@@ -408,7 +408,7 @@
     world = World()
     broken = Client(world)
     world.run(0.05)
-    peer = next(iter(world.broker.server.peers))
+    peer = next(iter(world.broker.server.connections))
     peer.reader.feed = None  # type: ignore[assignment, method-assign]
     broken.stream.write(world.request())
     world.run(0.05)
@@ -463,13 +463,15 @@
         for _ in range(3):
             client = Client(world)
             client.stream.write(b"nonsense\r\n\r\n" if end == "error" else world.request())
-            world.until(lambda: bool(broker.server.peers and (end == "error" or broker.nodes.connections)))
-            freed += [weakref.ref(peer) for peer in broker.server.peers]
+            world.until(
+                lambda: bool(broker.server.connections and (end == "error" or broker.nodes.connections))
+            )
+            freed += [weakref.ref(peer) for peer in broker.server.connections]
             freed += [weakref.ref(one) for held in broker.nodes.connections.values() for one in held]
             if end != "broken off":
                 world.until(lambda client=client: client.status > 0)  # type: ignore[misc]
             if end == "held and cut":
-                for peer in list(broker.server.peers):
+                for peer in list(broker.server.connections):
                     peer.end("cut")
                     del peer
             client.stream.close()
--- a/tests/test_rings.py
+++ b/tests/test_rings.py
@@ -26,7 +26,7 @@
     ("edge", "broker/reception.py", "from quincepath.net import loop"),
     ("edge", "limits/fair/turns.py", "from quincepath.observe.logs import *"),
     ("rooms", "shards/versions.py", "from quincepath.net.loop import Loop"),
-    ("store", "fleet/budget.py", "from quincepath.store.keeper import KeeperStore"),
+    ("store", "fleet/budget.py", "from quincepath.store.consensus import ConsensusStore"),
     ("tools", "upstream/outcomes.py", "from quincepath.lab import audit"),
     ("tools", "observe/logs.py", "import quincepath.cli.main"),
     ("order", "standins/leaf.py", "from quincepath.lab.record import Got"),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,13 +13,13 @@
 from quincepath.fleet.agreement.core import Persist
 from quincepath.fleet.agreement.entries import Entry, Snapshot, Stable, first
 from quincepath.fleet.agreement.storing import StoreError, Trouble
-from quincepath.store.keeper import META, KeeperStore, Owner, seal
+from quincepath.store.consensus import META, ConsensusStore, Owner, encode_record
 
 KEEPERS = ("k0", "k1", "k2")
 
 
-def store(path: Path, member: str = "k0", fleet: str = "lab", size: int = 1 << 24) -> KeeperStore:
-    return KeeperStore(path, fleet, member, first(KEEPERS, b"begin"), size)
+def store(path: Path, member: str = "k0", fleet: str = "lab", size: int = 1 << 24) -> ConsensusStore:
+    return ConsensusStore(path, fleet, member, first(KEEPERS, b"begin"), size)
 
 
 def again(path: Path) -> Stable:
@@ -64,8 +64,8 @@
 from pathlib import Path
 from quincepath.fleet.agreement.core import Persist
 from quincepath.fleet.agreement.entries import Entry, Snapshot, first
-from quincepath.store.keeper import KeeperStore
-one = KeeperStore(Path(sys.argv[1]), "lab", "k0", first(("k0",)), check=False)
+from quincepath.store.consensus import ConsensusStore
+one = ConsensusStore(Path(sys.argv[1]), "lab", "k0", first(("k0",)), check=False)
 index = one.stable.log.last
 while True:
     index += 1
@@ -91,7 +91,7 @@
         rest = writer.stdout.read().split("\n")
         writer.stdout.close()
         last = max([last, *(int(line) for line in rest[:-1])])
-        one = KeeperStore(tmp_path / "s", "lab", "k0", first(("k0",)))
+        one = ConsensusStore(tmp_path / "s", "lab", "k0", first(("k0",)))
         one.close()
         # The one that was being written may be there or not; a snapshot of it, too.
         assert last <= one.stable.log.last <= last + 1
@@ -109,7 +109,7 @@
 def test_a_store_of_a_later_program_is_refused(tmp_path: Path) -> None:
     one = store(tmp_path / "s")
     with one.env.begin(write=True) as txn:
-        txn.put(META, seal(Owner(9, "lab", "k0")))
+        txn.put(META, encode_record(Owner(9, "lab", "k0")))
     one.close()
     with pytest.raises(StoreError) as error:
         store(tmp_path / "s")
