--- a/benchmarks/capacity/sockets.py
+++ b/benchmarks/capacity/sockets.py
@@ -17,10 +17,10 @@
 from benchmarks.capacity.site import MS, REPLICAS, SECOND, configuration, list_body, node_entry
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import READ, Loop
-from quincepath.net.server import Exchange, HttpServer, Times
+from quincepath.net.server import Exchange, HttpServer, Timeouts
 from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
-from quincepath.platform.link import LinkTimes
-from quincepath.platform.nodes import Nodes
+from quincepath.platform.connection_state import ConnectionTimeouts
+from quincepath.platform.nodes import NodePool
 from quincepath.platform.service import Broker
 
 PARTS = (13, 26, 52, 130, 260)
@@ -31,7 +31,7 @@
 DATAGRAM_SIZES = (100, 200, 400, 1100)
 TARGET = 4 * SECOND  # of answers here: on a busy machine none is refused for its time, only priced
 LONGEST = 60.0  # seconds that anything here may take
-WAIT = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
+WAIT = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND)
 
 
 class Edge:
@@ -40,10 +40,10 @@
     def __init__(self, loop: Loop, ports: list[int]) -> None:
         self.loop, self.ports = loop, ports
         self.ended = 0
-        self.nodes = Nodes(
+        self.nodes = NodePool(
             loop,
             100,
-            LinkTimes(SECOND, 60 * SECOND),
+            ConnectionTimeouts(SECOND, 60 * SECOND),
             4,
             4 * len(ports),
             self._where,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -172,7 +172,7 @@
     assert statuses["busy"].count(503) > 40
     refused = world.broker.reception.intake.admission.refused
     assert refused["its client holds more than its share"] > 0
-    assert "its client holds more than its share" in world.broker.metrics.page().decode()
+    assert "its client holds more than its share" in world.broker.metrics.render().decode()
     # Asks of the quiet client were refused only by the decision module, for lack of time, not by admission.
     assert sum(refused.values()) <= statuses["busy"].count(503)
     admission = world.broker.reception.intake.admission
