--- a/quincepath/limits/fair/queues.py
+++ b/quincepath/limits/fair/queues.py
@@ -22,7 +22,7 @@
 
 
 class Lane(IntEnum):
-    """Which limit delays a waiting query: QUICK its tenant's share of the quick slots; SMALL; LARGE."""
+    """Kind of a waiting query. QUICK: beyond its tenant's share of the quick slots; SMALL, LARGE: by cost."""
 
     QUICK = 0
     SMALL = 1
