--- a/quincepath/platform/__init__.py
+++ b/quincepath/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' platform: its client protocol, its frames to nodes, its discovery, and the lean program."""
+"""The broker for the operators' platform: client protocol, node frames, discovery, and a lean entry point."""
--- a/quincepath/platform/client_protocol.py
+++ b/quincepath/platform/client_protocol.py
@@ -1,7 +1,7 @@
 """The platform's client protocol, sans I/O: a whole request to an ``Ask``, a ``Finish`` to a response. Pure.
 
-Everything that a client says is checked here before anything else sees it; an id ends up in a line of text
-that nodes read, so only plain characters pass.
+All client input is validated here before it is used elsewhere. An id becomes part of a text line in frames to
+nodes, so only a safe set of characters is allowed in it.
 """
 
 import math
@@ -15,19 +15,19 @@
 from quincepath.orders import Ask, Finish, PartAsk, Verdict
 from quincepath.platform.config import HEADER_BLANKS, SiteSettings
 
-ID = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
-DIGITS = re.compile(r"[0-9]{1,9}")
+ID_PATTERN = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
+DIGITS_PATTERN = re.compile(r"[0-9]{1,9}")
 ID_HEADER, CLASS_HEADER, TENANT_HEADER = "req-id", "req-kind", "req-owner"
 DEADLINE_HEADER, RETRY_HEADER = "req-deadline-ms", "req-retry"
-WEIGHT_SLACK = 1e-3  # sums of portions are rounded by whoever writes them
-TEXT_MOST = 16 * 1024  # bytes of a query's text
+PORTION_TOLERANCE = 1e-3  # clients round the portions that they send
+MAX_PREDICATE_BYTES = 16 * 1024
 MS = 1_000_000
-JSON = {"Content-Type": "application/json"}
-TEXT = {"Content-Type": "text/plain; charset=utf-8"}
+JSON_HEADERS = {"Content-Type": "application/json"}
+TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
 
 
 class RequestError(ValueError):
-    """The request is none that a client may make; ``status`` is what it is told."""
+    """The request is invalid; ``status`` is the HTTP status of the response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -69,23 +69,23 @@
     return value
 
 
-def _position(names: tuple[str, ...], name: str, what: str, status: int) -> int:
-    """Where a name stands that came as bytes: in UTF-8, as the settings are, or else in Latin-1."""
-    if name.isascii() and name in names:  # commonly so
+def _index_of(names: tuple[str, ...], name: str, what: str, status: int) -> int:
+    """The index of a name from a header: its bytes are UTF-8, as in the settings, or else Latin-1."""
+    if name.isascii() and name in names:  # the common case
         return names.index(name)
     with suppress(UnicodeError):
         utf8 = name.encode("latin-1").decode()
-        for at, one in enumerate(names):
-            if one.strip(HEADER_BLANKS) == utf8:
-                return at
-    for at, one in enumerate(names):
-        if one.strip(HEADER_BLANKS) == name:
-            return at
+        for index, candidate in enumerate(names):
+            if candidate.strip(HEADER_BLANKS) == utf8:
+                return index
+    for index, candidate in enumerate(names):
+        if candidate.strip(HEADER_BLANKS) == name:
+            return index
     raise RequestError(status, f"{what} {name[:60]!r} is unknown")
 
 
 def _unquoted(path: str) -> str:
-    """A path without its percent escapes, byte for byte."""
+    """Decode the percent escapes of a path, byte for byte."""
     head, *pieces = path.split("%")
     try:
         return head + "".join(chr(int(piece[:2], 16)) + piece[2:] for piece in pieces)
@@ -93,13 +93,13 @@
         return path
 
 
-def _begins(path: str, name: str) -> bool:
-    """Whether a name is the first part of a path, as it is or with percent escapes."""
+def _has_first_segment(path: str, name: str) -> bool:
+    """Whether a name is the first segment of a path, with or without percent escapes."""
     first = f"/{name}/"
     return f"{path}/".startswith(first) or "%" in path and f"{_unquoted(path)}/".startswith(first)
 
 
-def _parts(body: bytes, site: SiteSettings) -> tuple[PartAsk, ...]:
+def _parse_parts(body: bytes, site: SiteSettings) -> tuple[PartAsk, ...]:
     try:
         query = _decoder.decode(body)
         text = query.predicate.encode()
@@ -107,40 +107,42 @@
         raise RequestError(400, f"body: {error}") from None
     if not query.ranges:
         raise RequestError(400, "body: ranges is empty")
-    if len(text) > TEXT_MOST:
-        raise RequestError(413, f"body: predicate of {len(text)} bytes, {TEXT_MOST} are allowed")
+    if len(text) > MAX_PREDICATE_BYTES:
+        raise RequestError(413, f"body: predicate of {len(text)} bytes, {MAX_PREDICATE_BYTES} are allowed")
     seen: set[int] = set()
     total = 0.0
-    for at, item in enumerate(query.ranges):
+    for index, item in enumerate(query.ranges):
         if not 0 <= item.range < site.shards:
             raise RequestError(
-                400, f"body: ranges[{at}].range {item.range}, 0 to {site.shards - 1} are served"
+                400, f"body: ranges[{index}].range {item.range}, 0 to {site.shards - 1} are served"
             )
         if item.range in seen:
-            raise RequestError(400, f"body: ranges[{at}].range {item.range} appears twice")
-        if not math.isfinite(item.portion) or not 0 < item.portion <= 1 + WEIGHT_SLACK:
-            raise RequestError(400, f"body: ranges[{at}].portion {item.portion}, over 0 up to 1 was expected")
+            raise RequestError(400, f"body: ranges[{index}].range {item.range} appears twice")
+        if not math.isfinite(item.portion) or not 0 < item.portion <= 1 + PORTION_TOLERANCE:
+            raise RequestError(
+                400, f"body: ranges[{index}].portion {item.portion}, over 0 up to 1 was expected"
+            )
         seen.add(item.range)
         total += item.portion
-    if abs(total - 1) > WEIGHT_SLACK:
+    if abs(total - 1) > PORTION_TOLERANCE:
         raise RequestError(400, f"body: portions add up to {total:.6f}, not 1")
     return tuple(PartAsk(item.range, item.portion, text) for item in query.ranges)
 
 
 def read_query(request: Request, handle: int, site: SiteSettings, open_names: Container[str]) -> Ask:
-    """A request as the driver takes it; raises ``RequestError``."""
+    """Convert a request to the driver's ``Ask``; raises ``RequestError``."""
     if request.method != "POST":
         raise RequestError(405, f"method {request.method[:20]!r}, POST was expected")
-    name = _header(request, ID_HEADER, ID)
+    name = _header(request, ID_HEADER, ID_PATTERN)
     kind_name = _header(request, CLASS_HEADER)
-    kind = _position(site.classes, kind_name, "class", 404)
-    if not _begins(request.path, kind_name):
+    kind = _index_of(site.classes, kind_name, "class", 404)
+    if not _has_first_segment(request.path, kind_name):
         raise RequestError(404, f"path {request.path[:60]!r} does not begin with the class {kind_name!r}")
     tenant = 0
     if site.tenants:
-        tenant = _position(site.tenants, _header(request, TENANT_HEADER), "tenant", 400)
-    time_left = int(_header(request, DEADLINE_HEADER, DIGITS)) * MS
-    parts = _parts(request.body, site)
+        tenant = _index_of(site.tenants, _header(request, TENANT_HEADER), "tenant", 400)
+    time_left = int(_header(request, DEADLINE_HEADER, DIGITS_PATTERN)) * MS
+    parts = _parse_parts(request.body, site)
     if name in open_names:
         raise RequestError(409, f"header {ID_HEADER}: {name!r} is the id of a request that is open")
     repeat = request.headers.get(RETRY_HEADER) == "1"
@@ -148,16 +150,16 @@
 
 
 def encode_response(finish: Finish) -> tuple[int, dict[str, str], bytes]:
-    """Status, headers and body of a final answer. ``retry_in`` 0 gives no advice."""
+    """Status, headers and body of a final answer; no ``Retry-After`` where ``retry_in`` is 0."""
     if finish.verdict is Verdict.ANSWERED:
         values = [_Value(shard, body) for _, shard, body in finish.bodies]
-        return 200, JSON, _encoder.encode(_Answer(finish.whole, values))
+        return 200, JSON_HEADERS, _encoder.encode(_Answer(finish.whole, values))
     if finish.verdict is Verdict.REFUSED:
         return refusal(finish.cause, finish.retry_in)
-    return 504 if finish.cause == "time is up" else 502, TEXT, f"failed: {finish.cause}\n".encode()
+    return 504 if finish.cause == "time is up" else 502, TEXT_HEADERS, f"failed: {finish.cause}\n".encode()
 
 
 def refusal(cause: str, retry_in: int) -> tuple[int, dict[str, str], bytes]:
-    """A refusal: asking again is harmless."""
-    advice = {"Retry-After": f"{retry_in / 1e9:.3f}"} if retry_in else {}
-    return 503, TEXT | advice, f"refused: {cause}; asking again is harmless\n".encode()
+    """Status, headers and body of a refusal: nothing ran, so a retry is safe."""
+    retry_after = {"Retry-After": f"{retry_in / 1e9:.3f}"} if retry_in else {}
+    return 503, TEXT_HEADERS | retry_after, f"refused: {cause}; asking again is harmless\n".encode()
--- a/quincepath/platform/config.py
+++ b/quincepath/platform/config.py
@@ -1,7 +1,8 @@
-"""What the platform tells a broker at its start: environment and JSON file in, plain values out. Pure.
+"""The configuration of a broker at its start: environment and JSON file in, plain values out. Pure.
 
-The nested settings are turned into the paths that ``read_settings`` knows, so that the module is told the
-same here as on the simulator's wire. Every error names the variable or key, the value, and what was expected.
+The nested settings are flattened to the paths that ``read_settings`` parses, so that the module gets the same
+settings here as over the simulator's protocol. Every error names the variable or key, the value, and what was
+expected.
 """
 
 from collections.abc import Iterator, Mapping
@@ -18,15 +19,15 @@
 CONFIG_VARIABLE = "BALANCER_CONFIG"
 FALLBACK_VARIABLES = {"listen": "BALANCER_LISTEN", "discovery": "BALANCER_DISCOVERY", "name": "BALANCER_NAME"}
 
-HEADER_BLANKS = " \t"  # around a header's value these say nothing
+HEADER_BLANKS = " \t"  # not significant around a header's value
 
 
 class ConfigError(ValueError):
-    """A variable or key is missing or unreadable; the text is one line."""
+    """A variable or key is missing or unreadable; the message is one line."""
 
 
 class ProcessLimits(msgspec.Struct, frozen=True):
-    """What the process may use: share of a core, megabytes, descriptors."""
+    """What the process may use: processor cores (or a share of one), megabytes, descriptors."""
 
     cores: float = 1.0
     memory_mb: float = 1024.0
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SiteSettings:
-    """Names and figures of the settings that the broker needs and the module does not; times in ns."""
+    """The settings that the broker needs and the module does not; times are in ns."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """All that a broker is told at its start."""
+    """The whole configuration of a broker; ``known`` is the node list that it held before a restart."""
 
     name: str
     listen: Address
@@ -73,8 +74,8 @@
     site: SiteSettings
 
 
-def plain(text: str) -> str:
-    """A value as the paths spell it: without commas, spaces and whatever else could end a line."""
+def normalized(text: str) -> str:
+    """A value as written in flattened settings: without commas, spaces or any line separator."""
     return "_".join(text.replace(",", " ").split())
 
 
@@ -82,12 +83,12 @@
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float) and value.is_integer():
-        return str(int(value))  # JSON writes 5e6 for a whole number, too
-    return plain(str(value))
+        return str(int(value))  # JSON may write a whole number as 5e6
+    return normalized(str(value))
 
 
 def flatten(value: Any, path: str = "") -> Iterator[str]:
-    """``path=value`` lines of nested settings, as the simulator writes them."""
+    """Flatten nested settings to ``path=value`` lines, as the simulator sends them."""
     if isinstance(value, Mapping):
         for key, item in value.items():
             yield from flatten(item, f"{path}.{key}" if path else str(key))
@@ -103,21 +104,21 @@
 
 
 def read_address(text: str, where: str) -> Address:
-    """``host:port``; ``where`` names the variable or key."""
+    """Parse ``host:port``; ``where`` names the variable or key in errors."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ConfigError(f"{where}: {text!r} is not an address, host:port was expected")
     return host, int(port)
 
 
-def _text(value: Any, where: str) -> str:
+def _checked_name(value: Any, where: str) -> str:
     if not isinstance(value, str):
         raise SettingsError(f"setting {where}: {value!r}, a name in quotes was expected")
     return value
 
 
 def _names(settings: Mapping[str, Any], path: str) -> tuple[str, ...]:
-    """A list of names, as given: positions count, an empty one too. Taken as the simulator spells it, too."""
+    """A list of names as given, or comma-separated from the simulator; empty names keep their position."""
     value: Any = settings
     for key in path.split("."):
         value = value.get(key) if isinstance(value, Mapping) else None
@@ -125,40 +126,40 @@
         value = value.split(",") if value else []
     elif not isinstance(value, list):
         value = []
-    return tuple(_text(item, f"{path}.{at}") for at, item in enumerate(value))
+    return tuple(_checked_name(item, f"{path}.{at}") for at, item in enumerate(value))
 
 
-def _named(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    """The names of a list of objects, as given: ``a b`` and ``a_b`` are two."""
+def _object_names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
+    """The names of a list of objects, not normalized: ``a b`` and ``a_b`` are two names."""
     value = settings.get(key)
     items = [item for item in value if isinstance(item, Mapping)] if isinstance(value, list) else []
     names: dict[str, str] = {}
     for at, item in enumerate(items):
         where = f"{key}.{at}.name"
-        name = _text(item.get("name"), where)
+        name = _checked_name(item.get("name"), where)
         other = names.setdefault(name.strip(HEADER_BLANKS), where)
         if other != where:
             raise SettingsError(f"setting {where}: {name!r}, another name than {other} has was expected")
     return tuple(item["name"] for item in items)
 
 
-def _site(text: str, settings: Mapping[str, Any]) -> SiteSettings:
-    r = Reader(text)
+def _site_settings(text: str, settings: Mapping[str, Any]) -> SiteSettings:
+    reader = Reader(text)
     return SiteSettings(
-        classes=_named(settings, "classes"),
-        tenants=_named(settings, "tenants"),
+        classes=_object_names(settings, "classes"),
+        tenants=_object_names(settings, "tenants"),
         zones=_names(settings, "zones"),
         kinds=_names(settings, "kinds"),
-        shards=r.get("specifics.shards", int),
-        max_open=r.get("limits.maxOpen", int),
-        max_streams=r.get("limits.maxStreams", int),
-        drain_grace=r.get("rules.drainGrace", int),
-        pull_discovery=r.get("discovery", str, "push") == "ask",
+        shards=reader.get("specifics.shards", int),
+        max_open=reader.get("limits.maxOpen", int),
+        max_streams=reader.get("limits.maxStreams", int),
+        drain_grace=reader.get("rules.drainGrace", int),
+        pull_discovery=reader.get("discovery", str, "push") == "ask",
         report_fields=_names(settings, "report.fields"),
     )
 
 
-def _file(data: bytes, where: str) -> _File:
+def _parse_file(data: bytes, where: str) -> _File:
     try:
         return msgspec.json.decode(data, type=_File)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -166,9 +167,9 @@
 
 
 def read_configuration(data: bytes, environment: Mapping[str, str]) -> Configuration:
-    """The whole configuration; raises ``ConfigError``. What the file leaves out is taken from variables."""
+    """Read the whole configuration; raises ``ConfigError``. Keys missing in the file come from variables."""
     where = f"{CONFIG_VARIABLE} ({environment.get(CONFIG_VARIABLE, '-')})"
-    file = _file(data, where)
+    file = _parse_file(data, where)
 
     def text(key: str) -> str:
         found: str = getattr(file, key) or environment.get(FALLBACK_VARIABLES[key], "")
@@ -180,9 +181,9 @@
         seed = file.seed if isinstance(file.seed, int) else int(file.seed or "0", 16)
     except ValueError:
         raise ConfigError(f"{where}: seed {file.seed!r} is not a number in hex digits") from None
-    facts = "\n".join(flatten(file.settings))
+    lines = "\n".join(flatten(file.settings))
     try:
-        settings, site = read_settings(facts), _site(facts, file.settings)
+        settings, site = read_settings(lines), _site_settings(lines, file.settings)
     except SettingsError as error:
         raise ConfigError(f"{where}: settings: {error}") from None
     return Configuration(
@@ -193,6 +194,6 @@
 
 
 def read_discovery(data: bytes) -> Address:
-    """The address of discovery in a replaced file; raises ``ConfigError``."""
-    file = _file(data, CONFIG_VARIABLE)
+    """Read the address of discovery from a replaced file; raises ``ConfigError``."""
+    file = _parse_file(data, CONFIG_VARIABLE)
     return read_address(file.discovery, f"{CONFIG_VARIABLE}: discovery")
--- a/quincepath/platform/connection.py
+++ b/quincepath/platform/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a node: frames wait here until they may leave, and are taken back until then."""
+"""One connection to a node: holds frames until they may be sent, and takes them back until then."""
 
 import errno
 import socket
@@ -12,186 +12,187 @@
 from quincepath.net.stream import Stream
 from quincepath.platform.connection_state import ConnectionState, ConnectionTimeouts
 from quincepath.platform.frames import MAX_FRAME_BYTES, CallPart, FrameError, Reply, call_frame, cancel_frame
-from quincepath.platform.outgoing import Frame, OutgoingAttempt
+from quincepath.platform.outgoing import OutgoingAttempt, OutgoingFrame
 from quincepath.upstream.outcomes import End, Meaning, of_transport
 
 MS = 1_000_000
 
 
 class Owner(Protocol):
-    """What a connection needs of ``NodePool``."""
+    """What a connection needs from ``NodePool``."""
 
     loop: Loop
     streams: int
-    times: ConnectionTimeouts
+    timeouts: ConnectionTimeouts
     counts: Counter[str]
     on_event: Callable[[str, NodeId, str], None]
 
-    def replied(self, part: OutgoingAttempt, reply: Reply) -> None:
-        """A whole reply to an attempt has come."""
+    def on_reply(self, attempt: OutgoingAttempt, reply: Reply) -> None:
+        """Called with the whole reply to an attempt."""
         ...
 
-    def end(self, part: OutgoingAttempt, meaning: Meaning) -> None:
-        """An attempt has ended."""
+    def end_attempt(self, attempt: OutgoingAttempt, meaning: Meaning) -> None:
+        """Called when an attempt has ended."""
         ...
 
-    def forget(self, connection: "Connection") -> None:
-        """A connection takes part in nothing any more; its socket may still be ending."""
+    def detach(self, connection: "Connection") -> None:
+        """Called when a connection takes no more work; its socket may still be closing."""
         ...
 
-    def released(self, connection: "Connection") -> None:
-        """A connection's socket is closed."""
+    def on_closed(self, connection: "Connection") -> None:
+        """Called when a connection's socket is closed."""
         ...
 
 
 class Connection:
-    """One socket to a node, dialling or open. Frames wait here, not in the stream, to be taken back."""
+    """One socket to a node, dialling or open. Frames queue here, not in the stream, so as to be withdrawn."""
 
     def __init__(self, owner: Owner, node: NodeId, address: tuple[str, int]) -> None:
         self.owner, self.node, self.address = owner, node, address
-        self.state = ConnectionState(owner.streams, owner.times, owner.loop.now)
-        self.queue: deque[Frame] = deque()
-        self.leaving: Frame | None = None  # begun, not wholly with the system
+        self.state = ConnectionState(owner.streams, owner.timeouts, owner.loop.now)
+        self.queue: deque[OutgoingFrame] = deque()
+        self.sending: OutgoingFrame | None = None  # partly accepted by the operating system
         self.stream: Stream | None = None
         self.closed = False
         self._pumping = False
-        self.dial: Dial | None = Dial(owner.loop, address, owner.times.dial, self._opened, self._not_opened)
+        self.dial: Dial | None = Dial(
+            owner.loop, address, owner.timeouts.dial, self._on_open, self._on_dial_failed
+        )
 
-    def _opened(self, sock: socket.socket) -> None:
+    def _on_open(self, sock: socket.socket) -> None:
         self.dial = None
         self.state.opened(self.owner.loop.now)
-        self.stream = Stream(self.owner.loop, sock, self._data, self._lost, self._pump)
+        self.stream = Stream(self.owner.loop, sock, self._on_data, self._on_lost, self._pump)
         self._pump()
 
-    def _not_opened(self, code: int) -> None:
+    def _on_dial_failed(self, code: int) -> None:
         self.dial = None
         end = {LATE: End.DIAL_TIMEOUT, errno.ECONNREFUSED: End.REFUSED}.get(code, End.UNREACHABLE)
         self.end_all(of_transport(end, why(code)), of_transport(end, why(code)))
 
-    def put(self, frame: Frame) -> None:
-        """A frame of a call; its ids may be carried."""
-        for part in frame.parts:
-            self.state.put(self.owner.loop.now, part.id, part)
+    def send(self, frame: OutgoingFrame) -> None:
+        """Queue the frame of a call; the connection may carry its ids."""
+        for attempt in frame.attempts:
+            self.state.add(self.owner.loop.now, attempt.id, attempt)
         self.queue.append(frame)
         self._pump()
 
     def _pump(self) -> None:
-        """Write what waits, frame by frame, as far as the system takes it."""
+        """Write queued frames, one at a time, as far as the operating system accepts them."""
         if self._pumping:
             return
         self._pumping = True
         while self.stream is not None and not self.stream.closed and not self.stream.pending:
-            if self.leaving is not None:
-                for part in self.leaving.parts:
-                    part.handed = True
-                self.leaving = None
+            if self.sending is not None:
+                for attempt in self.sending.attempts:
+                    attempt.sent = True
+                self.sending = None
             if not self.queue:
                 break
             frame = self.queue.popleft()
-            if frame.parts and not self._begin(frame):
+            if frame.attempts and not self._begin(frame):
                 continue
-            self.leaving = frame
+            self.sending = frame
             self.stream.write(frame.data)
         self._pumping = False
 
-    def _begin(self, frame: Frame) -> bool:
-        """Make a call's frame of the parts that may still leave; tells whether there are any.
+    def _begin(self, frame: OutgoingFrame) -> bool:
+        """Encode a call's frame from the attempts that may still be sent; returns whether there are any.
 
-        By the clock, not by the time at which this turn began: a turn may be long, and the bound is exact.
+        Uses the clock, not the time at which this turn of the loop began: a turn may be long, and the limit
+        is exact.
         """
         now = self.owner.loop.clock()
-        late = [part for part in frame.parts if not part.may_begin(now)]
-        for part in late:
-            frame.parts.remove(part)
-            self.state.take_back(part.id)
-            self.owner.end(part, of_transport(End.NOT_LEFT))
-        if not frame.parts:
+        expired = [attempt for attempt in frame.attempts if not attempt.may_begin(now)]
+        for attempt in expired:
+            frame.attempts.remove(attempt)
+            self.state.remove(attempt.id)
+            self.owner.end_attempt(attempt, of_transport(End.NOT_LEFT))
+        if not frame.attempts:
             return False
-        for part in frame.parts:
-            part.written = True
-        frame.data = call_frame([self._part(part, now) for part in frame.parts])
+        for attempt in frame.attempts:
+            attempt.written = True
+        frame.data = call_frame([self._call_part(attempt, now) for attempt in frame.attempts])
         self.state.used_at = now
         return True
 
     @staticmethod
-    def _part(part: OutgoingAttempt, now: int) -> CallPart:
-        wait = max((part.order.deadline - now) // MS, 1)
-        return CallPart(part.id, part.order.shard, wait, part.order.payload)
-
-    def begun(self, part: OutgoingAttempt) -> bool:
-        """Whether a byte of its frame may have left: a full socket may have taken none."""
-        frame, stream = self.leaving, self.stream
-        if frame is None or stream is None or part not in frame.parts:
-            return part.written
+    def _call_part(attempt: OutgoingAttempt, now: int) -> CallPart:
+        wait = max((attempt.order.deadline - now) // MS, 1)
+        return CallPart(attempt.id, attempt.order.shard, wait, attempt.order.payload)
+
+    def send_started(self, attempt: OutgoingAttempt) -> bool:
+        """Whether a byte of its frame may have been sent: a full socket may have accepted none."""
+        frame, stream = self.sending, self.stream
+        if frame is None or stream is None or attempt not in frame.attempts:
+            return attempt.written
         return stream.pending < len(frame.data)
 
-    def give_up(self, part: OutgoingAttempt) -> bool:
-        """Nobody waits for an attempt any more; tells whether it certainly never ran."""
-        if part.handed:
-            self.state.give_up(part.id)
-            self.queue.append(Frame(data=cancel_frame(part.id)))
+    def cancel(self, attempt: OutgoingAttempt) -> bool:
+        """Cancel an attempt that nobody waits for; returns whether it certainly never ran."""
+        if attempt.sent:
+            self.state.cancel(attempt.id)
+            self.queue.append(OutgoingFrame(data=cancel_frame(attempt.id)))
             self._pump()
             return False
-        self.state.take_back(part.id)
-        if part.written:
-            # Its last byte, whenever the node reads on, would make it an attempt: after its query's answer,
-            # past its window, or beside its resend. Only the end of the connection keeps it from running; by
-            # a reset, so that calls which the system still holds do not come late either.
+        self.state.remove(attempt.id)
+        if attempt.written:
+            # Once the node reads its last byte, at whatever time, the attempt would run: after its query's
+            # answer, past its window, or beside its resend. Only ending the connection prevents that; by a
+            # reset, so that calls still in the system's send buffer do not arrive late either.
             text = "it took no more bytes"
             self.owner.on_event("blocked connection", self.node, text)
             self.end_all(of_transport(End.LOST_UNSENT, text), of_transport(End.BLOCKED, text), reset=True)
             return True
         for frame in self.queue:
-            if part in frame.parts:
-                frame.parts.remove(part)
-                if not frame.parts:
+            if attempt in frame.attempts:
+                frame.attempts.remove(attempt)
+                if not frame.attempts:
                     self.queue.remove(frame)
                 break
         return True
 
-    def _data(self, data: bytes) -> None:
-        replies, spoilt = self.state.receive(self.owner.loop.now, data)
-        for part, reply in replies:
-            assert isinstance(part, OutgoingAttempt)
-            self.owner.replied(part, reply)
-        if spoilt is not None:
-            self.spoil(spoilt)
+    def _on_data(self, data: bytes) -> None:
+        replies, frame_error = self.state.receive(self.owner.loop.now, data)
+        for attempt, reply in replies:
+            assert isinstance(attempt, OutgoingAttempt)
+            self.owner.on_reply(attempt, reply)
+        if frame_error is not None:
+            self.on_frame_error(frame_error)
 
-    def spoil(self, spoilt: FrameError) -> None:
-        """The bytes cannot be used: the attempt concerned failed, the others go down with the connection."""
+    def on_frame_error(self, frame_error: FrameError) -> None:
+        """The bytes received are invalid: their attempt failed, the others end with the connection."""
         self.owner.counts["spoilt"] += 1
-        # Which attempt the bytes were for is often unreadable: the one that has waited longest stands for it.
-        handed = [
-            part for part in self.state.live.values() if isinstance(part, OutgoingAttempt) and part.handed
-        ]
-        concerned = self.state.live.get(spoilt.part) or (handed[0] if handed else None)
+        # Which attempt the bytes were for is often unreadable: then the longest waiting one is assumed.
+        sent = [a for a in self.state.in_flight.values() if isinstance(a, OutgoingAttempt) and a.sent]
+        concerned = self.state.in_flight.get(frame_error.part) or (sent[0] if sent else None)
         if isinstance(concerned, OutgoingAttempt):
-            self.state.give_up(concerned.id)
-            self.owner.end(concerned, of_transport(End.PROTOCOL, spoilt.text))
-        self.owner.on_event("spoilt connection", self.node, spoilt.text)
-        unsent = of_transport(End.LOST_UNSENT, spoilt.text)
-        self.end_all(unsent, of_transport(End.SPOILT, spoilt.text))
+            self.state.cancel(concerned.id)
+            self.owner.end_attempt(concerned, of_transport(End.PROTOCOL, frame_error.text))
+        self.owner.on_event("spoilt connection", self.node, frame_error.text)
+        unsent = of_transport(End.LOST_UNSENT, frame_error.text)
+        self.end_all(unsent, of_transport(End.SPOILT, frame_error.text))
 
-    def _lost(self, text: str) -> None:
+    def _on_lost(self, text: str) -> None:
         self.end_all(of_transport(End.LOST_UNSENT, text), of_transport(End.LOST, text))
 
     def end_all(self, unsent: Meaning, sent: Meaning, reset: bool = False) -> None:
-        """The connection is over; each attempt on it ends by whether its frame had left."""
-        parts = [part for part in self.state.live.values() if isinstance(part, OutgoingAttempt)]
+        """Close the connection; each attempt on it ends according to whether its frame was sent."""
+        attempts = [a for a in self.state.in_flight.values() if isinstance(a, OutgoingAttempt)]
         self.close(reset)
-        for part in parts:
-            self.owner.end(part, sent if part.handed else unsent)
+        for attempt in attempts:
+            self.owner.end_attempt(attempt, sent if attempt.sent else unsent)
 
     def finish(self) -> None:
-        """Close with nothing out: what was just written gets there first.
+        """Close with no attempt in flight, once what was just written has reached the node.
 
-        Guards against a reset that throws away frames ``n``: closing over an unread reply sends one.
+        Closing over an unread reply sends a reset, which would discard cancel frames still in transit.
         """
-        if self.closed or self.stream is None or self.stream.closed or self.state.live:
+        if self.closed or self.stream is None or self.stream.closed or self.state.in_flight:
             self.close()
             return
-        self._forget()
-        timer = self.owner.loop.call_in(self.owner.times.dial, self.close)
+        self._detach()
+        timer = self.owner.loop.call_in(self.owner.timeouts.dial, self.close)
 
         def done() -> None:
             timer.cancel()
@@ -200,17 +201,17 @@
         self.stream.finish(MAX_FRAME_BYTES, done)
 
     def close(self, reset: bool = False) -> None:
-        """Close at once, in whatever state; what is out is not told."""
-        self._forget()
+        """Close at once, in any state; attempts in flight are not reported."""
+        self._detach()
         if self.dial is not None:
             self.dial.close()
         if self.stream is not None:
             self.stream.close(reset)
-        self.owner.released(self)
+        self.owner.on_closed(self)
 
-    def _forget(self) -> None:
+    def _detach(self) -> None:
         if not self.closed:
             self.closed = True
-            self.state.live.clear()
+            self.state.in_flight.clear()
             self.queue.clear()
-            self.owner.forget(self)
+            self.owner.detach(self)
--- a/quincepath/platform/connection_state.py
+++ b/quincepath/platform/connection_state.py
@@ -1,10 +1,11 @@
-"""What is out on one connection to a node, sans I/O: which reply belongs to which attempt. Pure.
-
-All attempts of a part have the same id on the wire. So that a late reply is never booked to a newer attempt,
-a connection carries an id once: after an attempt was given up its id does not go there again. Ids given
-up are remembered for as long as the connection lives; their number is bounded by retiring the connection,
-which then takes nothing new. Only an id that was turned away may travel again, a while after its reply:
-nothing of it is at the node any more, and a connection for each try would cost the node what it lacks.
+"""The attempts in flight on one connection to a node, sans I/O: matches each reply to its attempt. Pure.
+
+All attempts of a part have the same id on the wire. So that a late reply is never matched to a newer attempt,
+a connection carries each id only once: the id of a cancelled attempt is not sent there again. Cancelled ids
+are remembered for the life of the connection; their number is bounded by retiring the connection, which then
+accepts no new attempts. Only an id whose attempt the node rejected as overloaded may be sent again, shortly
+after the reply: the node holds nothing of it any more, and a new connection for each retry would add load to
+a node that is already overloaded.
 """
 
 from collections.abc import Hashable
@@ -12,29 +13,21 @@
 
 from quincepath.platform.frames import FrameError, FrameReader, Reply
 
-NEVER_NS = 1 << 62  # a time, in ns, that does not come
-MAX_CANCELLED_SHARE = (
-    0.5  # of the places on a connection that parts given up may still hold until it is retired
-)
-MAX_ANSWERED_IDS = 512  # ids answered, remembered: a second copy follows its first at once
-SUSPECT_DIAL_TIMEOUTS = (
-    2  # a connection on which parts wait and nothing came for so many dial time-outs is doubted
-)
-USABLE_IDLE_SHARE = 0.7  # of the idle time: an older connection may be closed at the other end by now
-DUPLICATE_REPLY_DIAL_TIMEOUTS = (
-    0.1  # a second copy of an answer comes within so many dial time-outs after it, if one comes
-)
-STALLED_REPLY_DIAL_TIMEOUTS = (
-    0.5  # a reply that began and does not go on for so many dial time-outs is spoilt,
-)
-WHOLE_REPLY_DIAL_TIMEOUTS = (
-    2  # and so is one that is not whole in so many: drips keep the replies behind it back for ever
-)
+NEVER_NS = 1 << 62  # a time that is never reached
+MAX_CANCELLED_SHARE = 0.5  # of the capacity; with more unanswered cancelled ids the connection is retired
+MAX_ANSWERED_IDS = 512  # answered ids remembered: a duplicate reply follows the first at once
+SUSPECT_DIAL_TIMEOUTS = 2  # silence, in dial timeouts, after which a connection with attempts is suspect
+USABLE_IDLE_SHARE = 0.7  # of the idle time: after that the node may already have closed the connection
+DUPLICATE_REPLY_DIAL_TIMEOUTS = 0.1  # a duplicate reply, if any, follows within so many dial timeouts
+# A partial reply is invalid if no byte of it arrives for STALLED_REPLY_DIAL_TIMEOUTS, or if it is not whole
+# after WHOLE_REPLY_DIAL_TIMEOUTS: one that trickles would hold back the replies behind it for ever.
+STALLED_REPLY_DIAL_TIMEOUTS = 0.5
+WHOLE_REPLY_DIAL_TIMEOUTS = 2
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionTimeouts:
-    """Nanoseconds, from the settings."""
+    """Timeouts from the settings, in ns."""
 
     dial: int
     idle: int
@@ -43,93 +36,95 @@
 class ConnectionState:
     """One connection. Keys are the caller's own names of attempts."""
 
-    def __init__(self, places: int, times: ConnectionTimeouts, now: int) -> None:
-        self.places, self.times = max(places, 1), times
+    def __init__(self, capacity: int, timeouts: ConnectionTimeouts, now: int) -> None:
+        self.capacity, self.timeouts = max(capacity, 1), timeouts
         self.reader = FrameReader()
-        self.live: dict[bytes, Hashable] = {}
-        self.given_up: set[bytes] = set()
-        self.answered: dict[bytes, int] = {}  # and from when on they may travel again
+        self.in_flight: dict[bytes, Hashable] = {}
+        self.cancelled: set[bytes] = set()
+        self.answered: dict[bytes, int] = {}  # answered ids, and from when on they may be sent again
         self.retired = False
-        self.used_at = now  # when bytes last went either way
-        self.heard_at = now  # when bytes last came
-        self.reply_since = now  # since when the reply that has begun, if any, has been arriving
-        self.waiting_since = now  # since when something is out with nothing heard
+        self.used_at = now  # when bytes were last sent or received
+        self.received_at = now  # when bytes were last received
+        self.reply_since = now  # when the reply being received, if any, began to arrive
+        self.waiting_since = now  # since when attempts are in flight with nothing received
 
     def opened(self, now: int) -> None:
-        """The connection has come up; whatever waited for it may go out."""
-        self.used_at = self.heard_at = self.waiting_since = now
+        """The connection is established; queued attempts may be sent."""
+        self.used_at = self.received_at = self.waiting_since = now
 
-    def room(self, now: int, parts: int = 1) -> bool:
-        """Whether so many may go out: not full, not retired, not doubted, not near its idle end."""
-        if self.retired or len(self.live) + len(self.given_up) + parts > self.places:
+    def has_capacity(self, now: int, parts: int = 1) -> bool:
+        """Whether so many parts may be sent: not full, not retired, not suspect, not near its idle limit."""
+        if self.retired or len(self.in_flight) + len(self.cancelled) + parts > self.capacity:
             return False
-        return not self.doubted(now) and now < self.used_at + int(USABLE_IDLE_SHARE * self.times.idle)
+        return not self.suspect(now) and now < self.used_at + int(USABLE_IDLE_SHARE * self.timeouts.idle)
 
-    def doubted(self, now: int) -> bool:
-        """Parts wait and nothing comes: the machine may have vanished, and this connection would not tell.
+    def suspect(self, now: int) -> bool:
+        """Attempts wait and nothing arrives: the machine may be gone, which this connection would not show.
 
-        A new connection tells: it comes up where the machine is there, and proves otherwise that nothing ran.
+        A new connection shows it: it is established if the machine is there; if not, nothing has run.
         """
-        waits = bool(self.live or self.given_up)
-        return waits and now > self.waiting_since + SUSPECT_DIAL_TIMEOUTS * self.times.dial
+        waits = bool(self.in_flight or self.cancelled)
+        return waits and now > self.waiting_since + SUSPECT_DIAL_TIMEOUTS * self.timeouts.dial
 
     def may_carry(self, now: int, part: bytes) -> bool:
-        """Whether a reply to this id could only belong to the attempt that is about to go out."""
-        return part not in self.live and part not in self.given_up and now >= self.answered.get(part, now)
-
-    def put(self, now: int, part: bytes, key: Hashable) -> None:
-        """A part's frame was handed to this connection."""
-        if not self.live:
+        """Whether a reply to this id could only belong to the attempt that is about to be sent."""
+        return (
+            part not in self.in_flight and part not in self.cancelled and now >= self.answered.get(part, now)
+        )
+
+    def add(self, now: int, part: bytes, key: Hashable) -> None:
+        """Register an attempt whose frame is queued on this connection."""
+        if not self.in_flight:
             self.waiting_since = now
-        self.live[part] = key
+        self.in_flight[part] = key
         self.answered.pop(part, None)
         self.used_at = now
 
-    def give_up(self, part: bytes) -> None:
-        """Nobody waits for a part any more; its reply may still come."""
-        if self.live.pop(part, None) is not None:
-            self.given_up.add(part)
-            self.retired |= len(self.given_up) >= MAX_CANCELLED_SHARE * self.places
+    def cancel(self, part: bytes) -> None:
+        """Nobody waits for a part any more; its reply may still arrive."""
+        if self.in_flight.pop(part, None) is not None:
+            self.cancelled.add(part)
+            self.retired |= len(self.cancelled) >= MAX_CANCELLED_SHARE * self.capacity
 
-    def take_back(self, part: bytes) -> None:
-        """A part's frame never left: no reply can come."""
-        self.live.pop(part, None)
+    def remove(self, part: bytes) -> None:
+        """Remove an attempt whose frame was never sent: no reply can arrive."""
+        self.in_flight.pop(part, None)
 
     def stalled(self, now: int) -> bool:
-        """A reply has begun and does not go on, or not to its end: guards against a length that does not fit.
+        """Whether a partial reply stopped arriving or does not end: guards against a wrong frame length.
 
-        Counted from what came alone: what is sent here, or comes in drips, is no sign that it will be whole.
+        Only received bytes count: neither what is sent here nor a trickle shows that the reply will be whole.
         """
         if not self.reader.mid_frame:
             return False
-        still = now > self.heard_at + int(STALLED_REPLY_DIAL_TIMEOUTS * self.times.dial)
-        return still or now > self.reply_since + WHOLE_REPLY_DIAL_TIMEOUTS * self.times.dial
+        silent = now > self.received_at + int(STALLED_REPLY_DIAL_TIMEOUTS * self.timeouts.dial)
+        return silent or now > self.reply_since + WHOLE_REPLY_DIAL_TIMEOUTS * self.timeouts.dial
 
     def receive(self, now: int, data: bytes) -> tuple[list[tuple[Hashable, Reply]], FrameError | None]:
-        """Replies by attempt, and what is wrong with the bytes after them, if anything is."""
-        self.used_at = self.heard_at = self.waiting_since = now
-        began = self.reader.mid_frame
-        spoilt: FrameError | None = None
+        """Replies by attempt, and the error in the bytes after them, if there is one."""
+        self.used_at = self.received_at = self.waiting_since = now
+        was_mid_frame = self.reader.mid_frame
+        frame_error: FrameError | None = None
         try:
             self.reader.feed(data)
         except FrameError as error:
-            spoilt = error
-        found: list[tuple[Hashable, Reply]] = []
+            frame_error = error
+        matched: list[tuple[Hashable, Reply]] = []
         replies, self.reader.replies = self.reader.replies, []
-        if replies or not began:
-            self.reply_since = now  # of the one that these bytes end with
+        if replies or not was_mid_frame:
+            self.reply_since = now  # of the partial reply, if any, at the end of these bytes
         for reply in replies:
-            key = self.live.pop(reply.id, None)
+            key = self.in_flight.pop(reply.id, None)
             if key is not None:
-                found.append((key, reply))
-                turned_away = reply.status == b"later"
-                echo = int(DUPLICATE_REPLY_DIAL_TIMEOUTS * self.times.dial)
-                self.answered[reply.id] = now + echo if turned_away else NEVER_NS
+                matched.append((key, reply))
+                rejected = reply.status == b"later"
+                duplicate_window = int(DUPLICATE_REPLY_DIAL_TIMEOUTS * self.timeouts.dial)
+                self.answered[reply.id] = now + duplicate_window if rejected else NEVER_NS
                 if len(self.answered) > MAX_ANSWERED_IDS:
                     del self.answered[next(iter(self.answered))]
-            elif reply.id in self.given_up:
-                self.given_up.discard(reply.id)
+            elif reply.id in self.cancelled:
+                self.cancelled.discard(reply.id)
                 self.answered[reply.id] = NEVER_NS
-            elif reply.id not in self.answered:  # a second copy of an answer is no harm
-                return found, spoilt or FrameError("a reply to a part that was never sent here")
-        return found, spoilt
+            elif reply.id not in self.answered:  # a duplicate reply is harmless
+                return matched, frame_error or FrameError("a reply to a part that was never sent here")
+        return matched, frame_error
--- a/quincepath/platform/discovery.py
+++ b/quincepath/platform/discovery.py
@@ -11,115 +11,120 @@
 from quincepath.platform.list_timing import MS, response_timeout, retry_delay, watch_wait_ms
 
 MAX_BODY_BYTES = 1024 * 1024
-ORDERLY = "end of stream"  # how a stream names the end that its peer meant; a reset has other words
+CLEAN_END = (
+    "end of stream"  # how a stream reports that its peer closed it on purpose; a reset has other texts
+)
 
 
 class Discovery:
-    """One call at a time. ``told(body, whole)`` returns the version now held, or None if that has to be asked
-    for anew, whole; it raises ``ValueError`` if the body is unusable.
+    """One call at a time.
 
-    ``whole``: the whole list was asked for. ``failed(why)`` is told of each call that brought nothing.
-    ``wait``: ms that a watch may be held; ``shared``: by one service for all brokers; ``held``: version of
-    the list that the broker starts with, if the first call may go on from it. How long all takes at the
-    worst: ``list_clock``.
+    ``on_list(body, full)`` returns the version now held, or None if the full list has to be fetched anew; it
+    raises ``ValueError`` if the body is unusable. ``full``: the full list was requested. ``on_failure(why)``
+    is called for each call without a usable response. ``wait_ms``: how long a watch may be held open;
+    ``shared``: one service answers all brokers; ``held_version``: version of the list that the broker starts
+    with, if the first call may continue from it. How long all of it takes at worst: ``list_timing``.
     """
 
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
-        told: Callable[[bytes, bool], int | None],
-        failed: Callable[[str], None],
+        on_list: Callable[[bytes, bool], int | None],
+        on_failure: Callable[[str], None],
         seed: int,
-        wait: int,
+        wait_ms: int,
         shared: bool = False,
-        held: int | None = None,
+        held_version: int | None = None,
     ) -> None:
-        self.loop, self.address, self.wait = loop, address, wait
-        self._told, self._failed = told, failed
+        self.loop, self.address, self.wait_ms = loop, address, wait_ms
+        self._on_list, self._on_failure = on_list, on_failure
         self._random = random.Random(seed)
-        self.version = held  # None: the whole list is asked for
-        self._heard = False  # a call was answered since the start
-        self.failures = 0  # calls in a row that brought nothing
-        self.shared = shared  # by all brokers, that is: no agent of this machine's own
-        self.refusals = 0  # of these, the last in a row that a shared service answered, saying that it cannot
+        self.version = held_version  # None: the full list is requested
+        self._answered_once = False  # a call was answered since the start
+        self.failures = 0  # consecutive failed calls
+        self.shared = shared  # one service for all brokers, rather than an agent on this machine
+        self.refusals = (
+            0  # of these, the latest consecutive ones in which a shared service said that it cannot
+        )
         self._dial: Dial | None = None
         self._stream: Stream | None = None
         self._reader = ResponseReader(Limits(body=MAX_BODY_BYTES))
-        self._timer: Timer | None = None  # of the call that is out, from its dial to its last byte
-        self._pause: Timer | None = None
-        self._whole = True  # the call that is out asks for the whole list
-        self._held_until = 0  # it may be answered with nothing new from then on
+        self._call_timer: Timer | None = None  # of the current call, from its dial to its last byte
+        self._retry_timer: Timer | None = None
+        self._full = True  # the current call requests the full list
+        self._watch_until = 0  # from then on the current call may be answered without changes
         self.calls = 0
         self._call()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere now: the call that is out is dropped, the whole list is asked for there."""
+        """Discovery has a new address: drop the current call and request the full list there."""
         self.address = address
         self.failures = self.refusals = 0
         self.version = None
         self._drop()
         self._call()
 
-    def ask_again(self) -> None:
-        """Ask for what is new. Where a version is held, the call or the pause that is under way sees to it.
+    def refresh(self) -> None:
+        """Fetch what is new. Where a version is held, the current call or retry delay takes care of it.
 
-        Guards a shared service against whole lists: each ends the watch, and opening it is one more call.
+        Guards a shared service against requests for the full list: each would end the watch, and reopening
+        it is one more call.
         """
         if self.version is None:
-            self.ask_all()
+            self.refetch()
 
-    def ask_all(self) -> None:
-        """Ask for the whole list now.
+    def refetch(self) -> None:
+        """Request the full list now.
 
-        A call that is out and may not wait goes on, as does a pause: who asks again and again must not start
-        the time of the answer anew each time, else none would ever come.
+        A current call that may not wait goes on, as does a retry delay: repeated requests must not restart
+        the time limit of the response each time, else none would ever arrive.
         """
         self.version = None
-        if self._pause is None and (self._timer is None or not (self._whole or self.failures)):
+        if self._retry_timer is None and (self._call_timer is None or not (self._full or self.failures)):
             self._drop()
             self._call()
 
     def _call(self) -> None:
-        self._pause = None
+        self._retry_timer = None
         self.calls += 1
-        self._whole = self.version is None
-        wait = 0 if self._whole else self._wait() * MS
-        answer = response_timeout(self.failures)
-        self._held_until = self.loop.clock() + wait
-        self._timer = self.loop.call_in(wait + answer, self._late)
+        self._full = self.version is None
+        wait = 0 if self._full else self._watch_ms() * MS
+        timeout = response_timeout(self.failures)
+        self._watch_until = self.loop.clock() + wait
+        self._call_timer = self.loop.call_in(wait + timeout, self._on_timeout)
         if self._stream is None or self._stream.closed:
-            self._dial = Dial(self.loop, self.address, answer, self._opened, self._not_opened)
+            self._dial = Dial(self.loop, self.address, timeout, self._on_open, self._on_dial_failed)
         else:
             self._send()
 
-    def _wait(self) -> int:
-        """For how many ms the call for changes that is out may be held: the first one tells at once."""
-        return watch_wait_ms(self.wait, self.failures if self._heard else 1)
+    def _watch_ms(self) -> int:
+        """How long the current watch may be held open: the first one is answered at once."""
+        return watch_wait_ms(self.wait_ms, self.failures if self._answered_once else 1)
 
-    def _not_opened(self, code: int) -> None:
+    def _on_dial_failed(self, code: int) -> None:
         self._fail(why(code))
 
-    def _opened(self, sock: socket.socket) -> None:
+    def _on_open(self, sock: socket.socket) -> None:
         self._dial = None
         self._reader = ResponseReader(Limits(body=MAX_BODY_BYTES))
-        self._stream = Stream(self.loop, sock, self._data, self._ended)
+        self._stream = Stream(self.loop, sock, self._on_data, self._on_end)
         self._send()
 
     def _send(self) -> None:
         assert self._stream is not None
         target = "/api/targets"
-        if not self._whole:
-            target += f"?since={self.version}&timeout_ms={self._wait()}"
+        if not self._full:
+            target += f"?since={self.version}&timeout_ms={self._watch_ms()}"
         host = f"{self.address[0]}:{self.address[1]}"
         self._stream.write(request_bytes("GET", target, host, {}, b""))
 
-    def _late(self) -> None:
-        self._fail("no answer in time")
+    def _on_timeout(self) -> None:
+        self._fail("no response in time")
 
-    def _data(self, data: bytes) -> None:
-        if self._timer is None:
-            self._fail("an answer to no call")
+    def _on_data(self, data: bytes) -> None:
+        if self._call_timer is None:
+            self._fail("unsolicited response")
             return
         try:
             response = self._reader.feed(data)
@@ -127,39 +132,39 @@
             self._fail(error.text)
             return
         if response is not None:
-            self._answered(response)
+            self._on_response(response)
 
-    def _ended(self, text: str) -> None:
-        """The connection is over. What says no length ends with it, if the other side meant it: no reset."""
-        response = self._reader.end() if text == ORDERLY and self._timer is not None else None
+    def _on_end(self, text: str) -> None:
+        """The connection is closed; a response without a length ends with it, unless it was reset."""
+        response = self._reader.end() if text == CLEAN_END and self._call_timer is not None else None
         if response is not None:
-            self._answered(response)
-        elif self._timer is not None:
+            self._on_response(response)
+        elif self._call_timer is not None:
             self._fail(text)
         else:
             self._stream = None  # between two calls: nothing is lost
 
-    def _answered(self, response: Response) -> None:
-        assert self._timer is not None
+    def _on_response(self, response: Response) -> None:
+        assert self._call_timer is not None
         if response.status != 200:
             refusals = self.refusals + 1 if self.shared else 0
             self._fail(f"status {response.status}", refusals)
             return
         before = self.version
         try:
-            self.version = self._told(response.body, self._whole)
+            self.version = self._on_list(response.body, self._full)
         except ValueError as error:
             self._fail(str(error))
             return
-        self._timer.cancel()
-        self._timer = None
-        self._heard = True
+        self._call_timer.cancel()
+        self._call_timer = None
+        self._answered_once = True
         self.failures = self.refusals = 0
         if not response.keep_alive:
             self._drop()
-        if self.version is None or (self.version == before and self.loop.clock() < self._held_until):
-            # Nothing new, and at once: guards against calling as fast as such answers come.
-            self._rest()
+        if self.version is None or (self.version == before and self.loop.clock() < self._watch_until):
+            # Answered at once without changes: without a delay, calls would follow as fast as such responses.
+            self._delay_call()
         else:
             self._call()
 
@@ -167,23 +172,23 @@
         self._drop()
         self.failures += 1
         self.refusals = refusals
-        self._failed(text)
-        self._rest()
+        self._on_failure(text)
+        self._delay_call()
 
-    def _rest(self) -> None:
-        self._pause = self.loop.call_in(retry_delay(self._random.random(), self.refusals), self._call)
+    def _delay_call(self) -> None:
+        self._retry_timer = self.loop.call_in(retry_delay(self._random.random(), self.refusals), self._call)
 
     def fail(self, text: str) -> None:
-        """After an error of this program: the call ends, the next one follows."""
+        """Called by the loop after an internal error: the current call ends, the next one follows."""
         self._fail(text)
 
     def _drop(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        if self._pause is not None:
-            self._pause.cancel()
-            self._pause = None
+        if self._call_timer is not None:
+            self._call_timer.cancel()
+            self._call_timer = None
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
         if self._dial is not None:
             self._dial.close()
             self._dial = None
@@ -192,5 +197,5 @@
             self._stream = None
 
     def close(self) -> None:
-        """Ask no more."""
+        """End the current call and make no further one."""
         self._drop()
--- a/quincepath/platform/frames.py
+++ b/quincepath/platform/frames.py
@@ -1,7 +1,7 @@
-"""Frames between broker and node, sans I/O: bytes to replies, calls and give-ups to bytes. Pure.
+"""Frames between broker and node, sans I/O: bytes to replies, calls and cancellations to bytes. Pure.
 
-A frame is a length of four bytes, least significant first, that covers a letter and what follows it. Sizes
-are checked before anything is stored: a reply that is declared too long is spoilt at its first five bytes.
+A frame is a little-endian length of four bytes, which covers a type letter and what follows it. Sizes are
+checked before anything is buffered: a reply declared too long is rejected at its first five bytes.
 """
 
 import re
@@ -10,14 +10,14 @@
 from struct import Struct
 
 LENGTH = Struct("<I")
-HEADER_BYTES = 5  # length and letter
-MAX_FRAME_BYTES = 64 * 1024  # bytes after the length that a node may send in one frame
-MAX_LINE_BYTES = 1024  # bytes of a reply's line
+HEADER_BYTES = 5  # length and type letter
+MAX_FRAME_BYTES = 64 * 1024  # after the length, in one frame from a node
+MAX_LINE_BYTES = 1024  # of a reply's header line
 _LINE = re.compile(rb"([!-~]{1,256}) (good|bad|later) (-?[0-9]{1,24}) ([^\n]+)")
 
 
 class FrameError(Exception):
-    """The bytes of a node are no frame: the connection is of no further use. ``id`` where it was readable."""
+    """The bytes from a node are not a frame, so the connection is unusable. ``part``: its id, if readable."""
 
     def __init__(self, text: str, part: bytes = b"") -> None:
         super().__init__(text)
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallPart:
-    """One part of a call; ``wait`` in milliseconds."""
+    """One part of a call; ``wait`` is in milliseconds."""
 
     id: bytes
     shard: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """How one part ended at the node: ``good``, ``bad`` or ``later``; ``value`` is text."""
+    """The node's reply to one part: ``status`` is ``good``, ``bad`` or ``later``; ``value`` is text."""
 
     id: bytes
     status: bytes
@@ -44,12 +44,12 @@
     value: str
 
 
-def _frame(letter: bytes, rest: bytes) -> bytes:
-    return LENGTH.pack(1 + len(rest)) + letter + rest
+def _frame(letter: bytes, payload: bytes) -> bytes:
+    return LENGTH.pack(1 + len(payload)) + letter + payload
 
 
 def call_frame(parts: Sequence[CallPart]) -> bytes:
-    """One call."""
+    """Encode one call."""
     pieces = []
     for part in parts:
         pieces.append(b"%s %d d=%d %d\n" % (part.id, part.shard, part.wait, len(part.text)))
@@ -58,7 +58,7 @@
 
 
 def cancel_frame(part: bytes) -> bytes:
-    """A part that nobody waits for any more."""
+    """Encode the cancellation of a part."""
     return _frame(b"n", part)
 
 
@@ -73,7 +73,7 @@
 
 
 class FrameReader:
-    """``feed`` puts whole replies into ``done``; what is there before bytes that are spoilt stays good."""
+    """``feed`` appends whole replies to ``replies``; those before invalid bytes stay valid."""
 
     def __init__(self) -> None:
         self.replies: list[Reply] = []
@@ -85,7 +85,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; raises ``FrameError``."""
+        """Parse more bytes; raises ``FrameError``."""
         buffer = self._buffer
         buffer += data
         at = 0
@@ -120,11 +120,11 @@
 
     @staticmethod
     def _reply(match: re.Match[bytes], value: bytes) -> Reply:
-        part, end, _, report = match.groups()
+        part, status, _, report = match.groups()
         try:
             text = value.decode()
         except UnicodeDecodeError:
             raise FrameError("a value is not UTF-8", part) from None
-        if not text.isprintable() or end == b"good" and not text:
+        if not text.isprintable() or status == b"good" and not text:
             raise FrameError("a value is empty or holds control characters", part)
-        return Reply(part, end, report, text)
+        return Reply(part, status, report, text)
--- a/quincepath/platform/nodes.py
+++ b/quincepath/platform/nodes.py
@@ -1,4 +1,4 @@
-"""All connections to nodes: which one a call goes on, and how each attempt ended, told once, as a fact."""
+"""All connections to nodes: picks the connection for each call and reports how each attempt ended, once."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 from quincepath.platform.connection import Connection
 from quincepath.platform.connection_state import ConnectionTimeouts
 from quincepath.platform.frames import FrameError, Reply, read_report
-from quincepath.platform.outgoing import Frame, Key, OutgoingAttempt
+from quincepath.platform.outgoing import Key, OutgoingAttempt, OutgoingFrame
 from quincepath.upstream.outcomes import End, Meaning, of_transport
 
 MS = 1_000_000
-SWEEP = 100 * MS
+SWEEP_INTERVAL_NS = 100 * MS
 REPLY_MEANINGS = {
     b"good": Meaning(Result.OK, ""),
     b"bad": Meaning(Result.ERROR, "the node said bad"),
@@ -22,193 +22,202 @@
 
 
 class NodePool:
-    """All connections. ``ended`` is called once for each attempt started.
+    """All connections. ``on_ended`` is called once for each attempt started.
 
-    ``where(node)`` gives the address, None where no list names the node any more; ``streams`` is the number
-    of parts a connection carries, ``most`` the connections to one node and ``most_open`` to all together.
+    ``address_of(node)`` gives the address, None where the node is on no list any more; ``streams`` is the
+    number of parts that a connection carries at once, ``max_per_node`` the most connections to one node and
+    ``max_open`` to all nodes together.
     """
 
     def __init__(
         self,
         loop: Loop,
         streams: int,
-        times: ConnectionTimeouts,
-        most: int,
-        most_open: int,
-        where: Callable[[NodeId], tuple[str, int] | None],
-        ended: Callable[[Ended], None],
+        timeouts: ConnectionTimeouts,
+        max_per_node: int,
+        max_open: int,
+        address_of: Callable[[NodeId], tuple[str, int] | None],
+        on_ended: Callable[[Ended], None],
         report_fields: tuple[str, ...] = (),
         on_event: Callable[[str, NodeId, str], None] = lambda what, node, why: None,
     ) -> None:
-        self.loop, self.streams, self.times, self.most = loop, streams, times, most
-        self.most_open = most_open
-        self._where, self._ended, self._fields, self.on_event = where, ended, report_fields, on_event
+        self.loop, self.streams, self.timeouts, self.max_per_node = loop, streams, timeouts, max_per_node
+        self.max_open = max_open
+        self._address_of, self._on_ended, self._fields, self.on_event = (
+            address_of, on_ended, report_fields, on_event
+        )  # fmt: skip
         self.connections: dict[NodeId, list[Connection]] = {}
-        self.ending: set[Connection] = set()  # closed to everything new, their last bytes on the way
-        self.outs: dict[Key, OutgoingAttempt] = {}
+        self.closing: set[Connection] = set()  # accept no more work, their last bytes are in transit
+        self.in_flight: dict[Key, OutgoingAttempt] = {}
         self.counts: Counter[str] = Counter()
         self._sweep()
 
     def start(self, order: StartCall) -> None:
-        """Send the attempts of one call on a connection that has room, or on a new one."""
-        outs = []
+        """Send the attempts of one call on a connection with free capacity, or on a new one."""
+        started = []
         for attempt in order.attempts:
             key = (attempt.part, attempt.attempt)
             id = f"{attempt.query_name}.{attempt.shard}".encode()
-            out = OutgoingAttempt(key, attempt, id, attempt.leave_by)
-            self.outs[key] = out
-            outs.append(out)
-        address = self._where(order.node)
+            outgoing = OutgoingAttempt(key, attempt, id, attempt.leave_by)
+            self.in_flight[key] = outgoing
+            started.append(outgoing)
+        address = self._address_of(order.node)
         if address is None:
-            self._end_each(outs, of_transport(End.UNLISTED))
+            self._end_each(started, of_transport(End.UNLISTED))
             return
-        connection = self._connection(order.node, address, outs)
+        connection = self._connection(order.node, address, started)
         if connection is None:
-            self._end_each(outs, of_transport(End.NO_PLACE))
+            self._end_each(started, of_transport(End.NO_PLACE))
             return
-        for out in outs:
-            out.carrier = connection
-            self._arm(out)
-        connection.put(Frame(outs))
+        for outgoing in started:
+            outgoing.carrier = connection
+            self._set_timer(outgoing)
+        connection.send(OutgoingFrame(started))
 
     def _connection(
-        self, node: NodeId, address: tuple[str, int], outs: list[OutgoingAttempt]
+        self, node: NodeId, address: tuple[str, int], attempts: list[OutgoingAttempt]
     ) -> Connection | None:
         now = self.loop.now
         held = self.connections.setdefault(node, [])
         for connection in held:
-            link = connection.state
+            state = connection.state
             if connection.address != address:
-                link.retired = True
+                state.retired = True
             elif (
                 connection.dial is not None
-                and not link.retired
-                and len(link.live) + len(outs) <= self.streams
+                and not state.retired
+                and len(state.in_flight) + len(attempts) <= self.streams
             ):
-                if all(link.may_carry(now, out.id) for out in outs):
+                if all(state.may_carry(now, attempt.id) for attempt in attempts):
                     return connection
-            elif link.room(now, len(outs)) and all(link.may_carry(now, out.id) for out in outs):
+            elif state.has_capacity(now, len(attempts)) and all(
+                state.may_carry(now, attempt.id) for attempt in attempts
+            ):
                 return connection
-        if len(held) >= self.most:
-            self._make_room(held)
-        if self.open_count() >= self.most_open:
-            for ending in list(self.ending):
-                ending.close()
-        if self.open_count() >= self.most_open:
+        if len(held) >= self.max_per_node:
+            self._close_idle(held)
+        if self.open_count() >= self.max_open:
+            for closing in list(self.closing):
+                closing.close()
+        if self.open_count() >= self.max_open:
             for others in list(self.connections.values()):
-                self._make_room(others)
-        if len(held) >= self.most or self.open_count() >= self.most_open:
+                self._close_idle(others)
+        if len(held) >= self.max_per_node or self.open_count() >= self.max_open:
             return None
         self.counts["opened"] += 1
         connection = Connection(self, node, address)
         self.connections.setdefault(node, []).append(connection)
         return connection
 
-    def _make_room(self, held: list[Connection]) -> None:
-        """Close one that nobody waits on."""
+    def _close_idle(self, held: list[Connection]) -> None:
+        """Close one connection with no attempt in flight."""
         for connection in held:
-            if not connection.state.live and connection.dial is None:
+            if not connection.state.in_flight and connection.dial is None:
                 connection.close()
                 return
 
     def stop(self, part: int, attempt: int) -> None:
         """Stop waiting for one attempt; others of its call go on."""
-        out = self.outs.get((part, attempt))
-        if out is not None:
-            if out.carrier is not None:
-                out.carrier.give_up(out)
-            self.end(out, of_transport(End.STOPPED))
+        outgoing = self.in_flight.get((part, attempt))
+        if outgoing is not None:
+            if outgoing.carrier is not None:
+                outgoing.carrier.cancel(outgoing)
+            self.end_attempt(outgoing, of_transport(End.STOPPED))
 
     def withdraw(self, part: int, attempt: int) -> None:
-        """What of one attempt has not left must not leave any more; one that has left goes on."""
-        out = self.outs.get((part, attempt))
-        if out is not None and not out.handed:
+        """Stop an attempt that is not wholly sent; one that is goes on."""
+        outgoing = self.in_flight.get((part, attempt))
+        if outgoing is not None and not outgoing.sent:
             self.stop(part, attempt)
 
     def leave_by(self, node: NodeId, at: int) -> None:
-        """Nothing that waits for a node begins to leave after ``at``."""
+        """No attempt queued for a node may start to be sent after ``at``."""
         for connection in self.connections.get(node, ()):
-            for out in connection.state.live.values():
-                if isinstance(out, OutgoingAttempt) and not out.handed and at < out.leave_by:
-                    out.leave_by = at
-                    self._arm(out)
-
-    def _arm(self, out: OutgoingAttempt) -> None:
-        if out.timer is not None:
-            out.timer.cancel()
-        out.timer = self.loop.call_at(out.due(), lambda: self._due(out))
-
-    def _due(self, out: OutgoingAttempt) -> None:
-        """Its time to leave, or to be answered, is over, if it has not got further meanwhile."""
-        if out.key not in self.outs or out.carrier is None:
+            for outgoing in connection.state.in_flight.values():
+                if isinstance(outgoing, OutgoingAttempt) and not outgoing.sent and at < outgoing.leave_by:
+                    outgoing.leave_by = at
+                    self._set_timer(outgoing)
+
+    def _set_timer(self, outgoing: OutgoingAttempt) -> None:
+        if outgoing.timer is not None:
+            outgoing.timer.cancel()
+        outgoing.timer = self.loop.call_at(outgoing.expires_at(), lambda: self._on_timer(outgoing))
+
+    def _on_timer(self, outgoing: OutgoingAttempt) -> None:
+        """End an attempt whose time to be sent or answered is over, unless it made progress meanwhile."""
+        if outgoing.key not in self.in_flight or outgoing.carrier is None:
             return
-        if self.loop.now < out.due():
-            self._arm(out)
+        if self.loop.now < outgoing.expires_at():
+            self._set_timer(outgoing)
             return
-        never_ran = out.carrier.give_up(out)
+        never_ran = outgoing.carrier.cancel(outgoing)
         self.counts["not_left"] += never_ran
-        self.end(out, of_transport(End.NOT_LEFT if never_ran else End.TIMEOUT))
+        self.end_attempt(outgoing, of_transport(End.NOT_LEFT if never_ran else End.TIMEOUT))
 
-    def replied(self, out: OutgoingAttempt, reply: Reply) -> None:
-        """A whole reply to an attempt has come."""
+    def on_reply(self, attempt: OutgoingAttempt, reply: Reply) -> None:
+        """Handle the whole reply to an attempt."""
         body = reply.value if reply.status == b"good" else None
-        self.end(out, REPLY_MEANINGS[reply.status], body, read_report(reply.report, self._fields))
+        self.end_attempt(attempt, REPLY_MEANINGS[reply.status], body, read_report(reply.report, self._fields))
 
-    def end(
-        self, out: OutgoingAttempt, meaning: Meaning, body: str | None = None, report: tuple[float, ...] = ()
+    def end_attempt(
+        self,
+        attempt: OutgoingAttempt,
+        meaning: Meaning,
+        body: str | None = None,
+        report: tuple[float, ...] = (),
     ) -> None:
-        """An attempt has ended; told once."""
-        if self.outs.pop(out.key, None) is None:
+        """Report the end of an attempt, once."""
+        if self.in_flight.pop(attempt.key, None) is None:
             return
-        if out.timer is not None:
-            out.timer.cancel()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
         self.counts[meaning.result.name.lower()] += 1
-        self._ended(Ended(out.key[0], out.key[1], meaning.result, body, meaning.cause, report))
+        self._on_ended(Ended(attempt.key[0], attempt.key[1], meaning.result, body, meaning.cause, report))
 
-    def _end_each(self, outs: list[OutgoingAttempt], meaning: Meaning) -> None:
-        for out in outs:
-            self.end(out, meaning)
+    def _end_each(self, attempts: list[OutgoingAttempt], meaning: Meaning) -> None:
+        for attempt in attempts:
+            self.end_attempt(attempt, meaning)
 
-    def forget(self, connection: Connection) -> None:
-        """A connection takes part in nothing any more; its socket may still be ending."""
-        self.ending.add(connection)
+    def detach(self, connection: Connection) -> None:
+        """Stop using a connection; its socket may still be closing."""
+        self.closing.add(connection)
         held = self.connections.get(connection.node, [])
         if connection in held:
             held.remove(connection)
         if not held:
             self.connections.pop(connection.node, None)
 
-    def released(self, connection: Connection) -> None:
+    def on_closed(self, connection: Connection) -> None:
         """A connection's socket is closed."""
-        self.ending.discard(connection)
+        self.closing.discard(connection)
 
     def close_node(self, node: NodeId) -> None:
-        """A node is gone or drains: what nobody waits on is closed, the rest takes nothing new."""
+        """A node is gone or draining: close its idle connections and retire the others."""
         for connection in list(self.connections.get(node, ())):
             connection.state.retired = True
-            if not connection.state.live:
+            if not connection.state.in_flight:
                 connection.finish()
 
     def open_count(self) -> int:
-        """Sockets now held."""
-        return len(self.ending) + sum(len(held) for held in self.connections.values())
+        """The number of open sockets."""
+        return len(self.closing) + sum(len(held) for held in self.connections.values())
 
     def close(self) -> None:
-        """Close everything; what was out is not told any more."""
+        """Close everything; attempts in flight are not reported."""
         for held in list(self.connections.values()):
             for connection in list(held):
                 connection.close()
-        for connection in list(self.ending):
+        for connection in list(self.closing):
             connection.close()
 
     def _sweep(self) -> None:
-        """Give up connections whose reply has stalled, close those that take nothing new or idle for long."""
+        """Fail connections whose reply has stalled; close those that are retired, suspect or long idle."""
         now = self.loop.now
         for held in list(self.connections.values()):
             for connection in list(held):
-                link = connection.state
-                if link.stalled(now):
-                    connection.spoil(FrameError("a reply that began does not go on"))
-                elif connection.dial is None and not link.live and not link.room(now):
-                    connection.finish()  # which gives up whatever frames ``n`` still wait
-        self.loop.call_in(SWEEP, self._sweep)
+                state = connection.state
+                if state.stalled(now):
+                    connection.on_frame_error(FrameError("a reply that began does not go on"))
+                elif connection.dial is None and not state.in_flight and not state.has_capacity(now):
+                    connection.finish()  # which still sends queued cancel frames
+        self.loop.call_in(SWEEP_INTERVAL_NS, self._sweep)
--- a/quincepath/platform/outgoing.py
+++ b/quincepath/platform/outgoing.py
@@ -1,7 +1,7 @@
-"""Attempts on their way to a node, and whether they may still leave. Pure.
+"""Attempts waiting to be sent to a node, and until when they may still be sent. Pure.
 
-The driver says until when an attempt may begin to leave and until when it must have left; news may bring the
-first forward. Here that is kept at the moments that count: of the first byte, and of the last.
+The driver says by when an attempt's first and last byte must be sent; a list update may bring the first
+limit forward. Both limits are checked here at the moments that count: at the first byte and at the last.
 """
 
 from dataclasses import dataclass, field
@@ -12,54 +12,54 @@
 Key = tuple[int, int]
 
 
-class Pending(Protocol):
-    """A call at a later time."""
+class ScheduledCall(Protocol):
+    """A timer that has been set."""
 
     def cancel(self) -> None:
-        """Never make it."""
+        """Cancel the timer."""
         ...
 
 
 class Carrier(Protocol):
-    """The connection that an attempt waits for, or has left on."""
+    """The connection on which an attempt is queued or was sent."""
 
-    def begun(self, part: "OutgoingAttempt") -> bool:
-        """Whether a byte of its frame may have left."""
+    def send_started(self, attempt: "OutgoingAttempt") -> bool:
+        """Whether a byte of its frame may have been sent."""
         ...
 
-    def give_up(self, part: "OutgoingAttempt") -> bool:
-        """Nobody waits for an attempt any more; tells whether it certainly never ran."""
+    def cancel(self, attempt: "OutgoingAttempt") -> bool:
+        """Cancel an attempt that nobody waits for; returns whether it certainly never ran."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class OutgoingAttempt:
-    """One attempt that is out at the edge."""
+    """One attempt that was started and has not ended."""
 
     key: Key
     order: AttemptOrder
     id: bytes
-    leave_by: int  # the order's, or earlier since then
+    leave_by: int  # the order's limit, or an earlier one set since
     carrier: Carrier | None = None
-    written: bool = False  # its frame is with the stream: only the connection's end keeps it from leaving
-    handed: bool = False  # its last byte is with the system
-    timer: Pending | None = None
+    written: bool = False  # its frame is in the stream: only closing the connection keeps it from being sent
+    sent: bool = False  # its last byte was accepted by the operating system
+    timer: ScheduledCall | None = None
 
     def may_begin(self, now: int) -> bool:
-        """Whether its first byte may go out now."""
+        """Whether its first byte may be sent now."""
         return now <= self.leave_by
 
-    def due(self) -> int:
-        """When it is over unless something happens."""
-        if self.handed:
+    def expires_at(self) -> int:
+        """When the attempt ends if nothing else happens."""
+        if self.sent:
             return self.order.deadline
-        begun = self.written and self.carrier is not None and self.carrier.begun(self)
+        begun = self.written and self.carrier is not None and self.carrier.send_started(self)
         return self.order.whole_by if begun else self.leave_by
 
 
 @dataclass(slots=True, eq=False)
-class Frame:
-    """Parts of one call whose frame has not begun to leave, or bytes that tell of a part given up."""
+class OutgoingFrame:
+    """Attempts of one call whose frame is not being sent yet, or the bytes of a cancel frame."""
 
-    parts: list[OutgoingAttempt] = field(default_factory=list)
+    attempts: list[OutgoingAttempt] = field(default_factory=list)
     data: bytes = b""
--- a/quincepath/platform/service.py
+++ b/quincepath/platform/service.py
@@ -1,4 +1,4 @@
-"""The broker on the platform: clients, driver, nodes and discovery on one loop. Wires; decides nothing."""
+"""The broker on the platform: connects clients, driver, nodes and discovery on one loop; decides nothing."""
 
 import logging
 import os
@@ -45,15 +45,15 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-REPORT = 10 * SECOND  # between two lines of counts
-ENDING = 50 * MS  # how often it is looked whether all is answered
-FIRST_NEWS = 0.25  # seconds that discovery gets to speak before clients are let in
-ROUNDS = 1000  # of the driver in one turn: a module that asks for ever must not keep the loop from waiting
+REPORT_INTERVAL_NS = 10 * SECOND  # between two log lines of counters
+SHUTDOWN_POLL_NS = 50 * MS  # between checks whether all queries are answered
+FIRST_LIST_TIMEOUT_S = 0.25  # for a first response of discovery, before clients are accepted
+MAX_ROUNDS_PER_TURN = 1000  # of the driver: a module that always wants to go on must not block the loop
 log = logging.getLogger("quincepath")
 
 
 class Broker:
-    """One broker. ``on_ended`` is called once after ``stop`` when nothing is owed any more."""
+    """One broker. ``on_stopped`` is called once after ``stop``, when all queries are answered."""
 
     def __init__(
         self,
@@ -67,110 +67,114 @@
         self.driver = Driver(
             make_module(config.settings, config.seed), config.settings, config.site.drain_grace
         )
-        self.door = Door(
+        self.admission = Door(
             Bounds(config.site.max_open, config.settings.limits.max_retry_after), config.seed + 1
         )
         self.targets = TargetTable(config.site.zones, config.site.kinds)
-        self.open: dict[int, Exchange] = {}
-        self.names: dict[str, int] = {}  # of open queries
-        self._name_of: dict[int, str] = {}
-        self._bringers: dict[Peer, None] = {}  # connections that brought queries, the longest unused first
+        self.exchanges: dict[int, Exchange] = {}
+        self.open_ids: dict[str, int] = {}  # handles of the open queries, by the clients' ids
+        self._id_by_handle: dict[int, str] = {}
+        self._query_peers: dict[Peer, None] = {}  # that brought queries, least recently used first
         self._inputs: list[Input] = []
-        self._handles = 0
-        self._due: Timer | None = None
-        self._due_at = 0
+        self._last_handle = 0
+        self._wakeup: Timer | None = None
+        self._wakeup_at = 0
         classes = config.settings.classes
-        self.ending = ShutdownSchedule([c.deadline for c in classes], [c.target for c in classes])
+        self.shutdown = ShutdownSchedule([c.deadline for c in classes], [c.target for c in classes])
         self.stopping = False
-        self._watched = False  # the last call to discovery brought something usable
-        self._failure_told = False  # to the module, since then or since it asked
-        self.on_ended: Callable[[], None] | None = None
-        self.slowest_turn = self.latest = 0
-        room = descriptors.allocate(config.limits.sockets)
+        self._discovery_ok = False  # the last call to discovery returned a usable list
+        self._failure_reported = False  # to the module, since that call or since it asked for the list
+        self.on_stopped: Callable[[], None] | None = None
+        self.slowest_turn = self.max_lateness = 0
+        connection_limits = descriptors.allocate(config.limits.sockets)
         limits = config.settings.limits
         self.nodes = NodePool(
             loop, config.site.max_streams, ConnectionTimeouts(limits.connect_timeout, limits.idle_close),
-            descriptors.MAX_CONNECTIONS_PER_NODE, room.nodes, self._where, self._ended,
-            config.site.report_fields, self._node_event,
+            descriptors.MAX_CONNECTIONS_PER_NODE, connection_limits.nodes, self._address_of,
+            self._on_attempt_ended, config.site.report_fields, self._on_node_event,
         )  # fmt: skip
-        self.room = room
+        self.connection_limits = connection_limits
         if config.known is not None:
             try:
-                self._listed(config.known, cached=True)
-            except TargetListError as error:  # one that is brought along is no reason not to start
-                log.error("the list of the configuration is unusable: %s", error)
+                self._apply_list(config.known, cached=True)
+            except TargetListError as error:  # the broker starts without it
+                log.error("cached node list in the configuration is unusable: %s", error)
         pull_discovery = config.site.pull_discovery
         self.discovery = Discovery(
-            loop, config.discovery, self._discovered, self._discovery_failed, config.seed + 2,
+            loop, config.discovery, self._on_list, self._on_discovery_failed, config.seed + 2,
             PULL_WATCH_MS if pull_discovery else PUSH_WATCH_MS, shared=pull_discovery,
-            held=self._held_version(config) if pull_discovery else None,
+            held_version=self._held_version(config) if pull_discovery else None,
         )  # fmt: skip
-        # What the agent has counts as told from the first moment, and ``known`` may be older: no client is
-        # let in before it has spoken, or had the time: a call that breaks off is made again within that.
-        loop.run_until(lambda: self._watched, FIRST_NEWS)
+        # The agent's list is in force from the start, and ``known`` may be older: no client is accepted until
+        # discovery has answered or this time is over. It is long enough to retry a call that breaks off.
+        loop.run_until(lambda: self._discovery_ok, FIRST_LIST_TIMEOUT_S)
         self.server = HttpServer(
-            loop, config.listen[0], config.listen[1], self._request,
-            Limits(descriptors.HEAD_MOST, descriptors.BODY_MOST),
+            loop, config.listen[0], config.listen[1], self._on_request,
+            Limits(descriptors.MAX_HEADER_BYTES, descriptors.MAX_BODY_BYTES),
             Times(
-                descriptors.IDLE, descriptors.REQUEST, descriptors.WRITE,
-                descriptors.FIRST, descriptors.LINGER,
+                descriptors.IDLE_NS, descriptors.REQUEST_NS, descriptors.WRITE_NS,
+                descriptors.FIRST_REQUEST_NS, descriptors.LINGER_NS,
             ),
-            room.clients + 8, self._accepting_paused, make_room=self._make_room,
+            connection_limits.clients + 8, self._on_accepting_paused, make_room=self._make_room,
         )  # fmt: skip
-        loop.turn_hooks.append(self._turn)
-        loop.call_in(REPORT, self._report)
+        loop.turn_hooks.append(self._on_turn)
+        loop.call_in(REPORT_INTERVAL_NS, self._report)
 
     def _held_version(self, config: Configuration) -> int | None:
-        """Of the whole list that the configuration brought along; None where it brought no usable one."""
+        """The version of the full list in the configuration; None where there is no usable one."""
         known = config.known
         usable = known is not None and known.full and self.targets.version == known.version
         return self.targets.version if usable else None
 
     # --- clients ---
 
-    def _request(self, exchange: Exchange) -> None:
+    def _on_request(self, exchange: Exchange) -> None:
         request = exchange.request
         if request.method == "GET" and request.path.startswith("/-/"):
-            self._asked_about(exchange, request.path)
+            self._answer_status_request(exchange, request.path)
             return
-        self._handles += 1
-        handle = self._handles
+        self._last_handle += 1
+        handle = self._last_handle
         try:
-            ask = read_query(request, handle, self.site, self.names)
+            ask = read_query(request, handle, self.site, self.open_ids)
         except RequestError as error:
             self.counts["bad"] += 1
-            exchange.request.keep_alive = False  # what else such a client sends is not worth reading
+            exchange.request.keep_alive = False  # nothing more is read from such a client
             exchange.text(error.status, str(error))
             return
-        left = self.ending.time_left(self.loop.now, ask.kind, ask.time_left)
+        left = self.shutdown.time_left(self.loop.now, ask.kind, ask.time_left)
         if left is None:
             self.counts["turned away at the end"] += 1
             exchange.request.keep_alive = False
-            exchange.respond(*refusal("stopping", self._advice(self.door.turn_away("stopping").retry_in)))
+            exchange.respond(
+                *refusal("stopping", self._retry_after(self.admission.turn_away("stopping").retry_in))
+            )
             return
         if left < ask.time_left:
             ask = replace(ask, time_left=left)
-        away = self.door.admit(self.loop.now, self.driver.held() + self._arriving(), 1 + len(ask.parts))
-        if away is not None:
+        rejection = self.admission.admit(
+            self.loop.now, self.driver.held() + self._arriving(), 1 + len(ask.parts)
+        )
+        if rejection is not None:
             self.counts["turned away"] += 1
-            exchange.respond(*refusal(away.cause, self._advice(away.retry_in)))
+            exchange.respond(*refusal(rejection.cause, self._retry_after(rejection.retry_in)))
             return
         self.counts["taken"] += 1
-        self._keep(exchange.peer)
-        self.open[handle] = exchange
-        self.names[ask.name] = handle
-        self._name_of[handle] = ask.name
-        exchange.on_left = lambda: self._left(handle)
+        self._mark_as_kept(exchange.peer)
+        self.exchanges[handle] = exchange
+        self.open_ids[ask.name] = handle
+        self._id_by_handle[handle] = ask.name
+        exchange.on_left = lambda: self._on_client_left(handle)
         self._inputs.append(Arrived(ask))
 
     def _arriving(self) -> int:
-        """Queries and parts taken in this turn, which the driver does not know yet."""
+        """Queries and parts accepted in this turn, which the driver does not know yet."""
         return sum(1 + len(item.ask.parts) for item in self._inputs if isinstance(item, Arrived))
 
-    def _advice(self, retry_in: int) -> int:
+    def _retry_after(self, retry_in: int) -> int:
         return retry_in if self.config.settings.limits.retry_after else 0
 
-    def _asked_about(self, exchange: Exchange, path: str) -> None:
+    def _answer_status_request(self, exchange: Exchange, path: str) -> None:
         if path == "/-/healthy":
             exchange.text(200, "up")
         elif path == "/-/ready":
@@ -181,37 +185,37 @@
         else:
             exchange.text(404, "not found")
 
-    def _forget(self, handle: int) -> Exchange | None:
-        exchange = self.open.pop(handle, None)
-        name = self._name_of.pop(handle, "")
-        if self.names.get(name) == handle:
-            del self.names[name]
+    def _remove_exchange(self, handle: int) -> Exchange | None:
+        exchange = self.exchanges.pop(handle, None)
+        name = self._id_by_handle.pop(handle, "")
+        if self.open_ids.get(name) == handle:
+            del self.open_ids[name]
         return exchange
 
-    def _left(self, handle: int) -> None:
-        if self._forget(handle) is not None:
+    def _on_client_left(self, handle: int) -> None:
+        if self._remove_exchange(handle) is not None:
             self.counts["left"] += 1
             self._inputs.append(ClientLeft(handle))
 
-    def _keep(self, peer: Peer) -> None:
-        """A connection brings a query: it is worth keeping, and of those the one unused for longest is not.
+    def _mark_as_kept(self, peer: Peer) -> None:
+        """Mark a connection that brought a query as kept; above the limit close the least recently used one.
 
-        Guards against clients that ask once and hold on: they may hold so many connections, and who comes
-        next would find no place on their side.
+        Guards against clients that ask once and keep the connection open: they may hold only a limited number
+        of connections, and a later query of theirs would find none free on their side.
         """
         peer.valued = True
-        self._bringers.pop(peer, None)
-        self._bringers[peer] = None
-        if len(self._bringers) > self.room.kept:
-            ending = next((p for p in self._bringers if p.closing), None)
-            oldest = ending or next((p for p in self._bringers if not p.busy), None)
+        self._query_peers.pop(peer, None)
+        self._query_peers[peer] = None
+        if len(self._query_peers) > self.connection_limits.kept:
+            closing = next((p for p in self._query_peers if p.closing), None)
+            oldest = closing or next((p for p in self._query_peers if not p.busy), None)
             if oldest is not None:
-                del self._bringers[oldest]
+                del self._query_peers[oldest]
                 if oldest.waits():
                     oldest.end("cut, unused for longest")
 
     def _make_room(self, server: HttpServer, newest: Peer) -> None:
-        if len(server.peers) - len(server.lingering) <= self.room.clients:
+        if len(server.peers) - len(server.lingering) <= self.connection_limits.clients:
             return
         found = descriptors.evict(self.loop.now, (peer for peer in server.peers if peer is not newest))
         if found is None:
@@ -219,80 +223,82 @@
         else:
             found.end("cut for room" if found.valued else "cut for room, brought nothing")
 
-    def _accepting_paused(self, why: str) -> None:
+    def _on_accepting_paused(self, why: str) -> None:
         self.counts["accepting paused"] += 1
 
-    # --- nodes and their list ---
+    # --- nodes and the node list ---
 
-    def _where(self, node: NodeId) -> Address | None:
-        known = self.targets.nodes.get(node)
-        return None if known is None else (known.host, known.port)
+    def _address_of(self, node: NodeId) -> Address | None:
+        listed = self.targets.nodes.get(node)
+        return None if listed is None else (listed.host, listed.port)
 
-    def _ended(self, ended: Ended) -> None:
+    def _on_attempt_ended(self, ended: Ended) -> None:
         self._inputs.append(ended)
 
-    def _node_event(self, what: str, node: NodeId, why: str) -> None:
+    def _on_node_event(self, what: str, node: NodeId, why: str) -> None:
         self.counts[what] += 1
         log.warning("%s node=%s cause=%s", what, node.decode("ascii", "replace"), why)
 
-    def _listed(self, told: TargetList, cached: bool = False, base: bool = False) -> None:
-        news = self.targets.apply(self.loop.now, self._wall_ms(), told, cached, base)
-        if news is None:
+    def _apply_list(self, update: TargetList, cached: bool = False, base: bool = False) -> None:
+        members = self.targets.apply(self.loop.now, self._wall_ms(), update, cached, base)
+        if members is None:
             return
-        self._inputs.append(Listed(news))
-        named = set()
-        for entry in news.entries:
-            named.add(entry.node)
+        self._inputs.append(Listed(members))
+        listed = set()
+        for entry in members.entries:
+            listed.add(entry.node)
             if entry.phase is not Phase.READY:
                 self.nodes.close_node(entry.node)
                 log.info("node=%s %s", entry.node.decode("ascii", "replace"), entry.phase.name.lower())
-        if news.scope is Scope.FULL:
-            for node in [node for node in self.nodes.connections if node not in named]:
+        if members.scope is Scope.FULL:
+            for node in [node for node in self.nodes.connections if node not in listed]:
                 self.nodes.close_node(node)
 
-    def _discovered(self, body: bytes, whole: bool) -> int | None:
-        told = read_list(body)
-        if whole and not told.full:
-            raise TargetListError("changes, where the whole list was asked for")
-        self._listed(told, base=whole)
-        self._watched, self._failure_told = True, False
-        # Older than what it was asked to go on from: discovery numbers anew, and its whole list is the base.
-        return None if told.version < self.targets.version else told.version
-
-    def _discovery_failed(self, why: str) -> None:
+    def _on_list(self, body: bytes, full: bool) -> int | None:
+        update = read_list(body)
+        if full and not update.full:
+            raise TargetListError("a delta in response to a request for the full list")
+        self._apply_list(update, base=full)
+        self._discovery_ok, self._failure_reported = True, False
+        # A version lower than the one requested from: discovery restarted its numbering, so the full list is
+        # the new base.
+        return None if update.version < self.targets.version else update.version
+
+    def _on_discovery_failed(self, why: str) -> None:
         self.counts["discovery failed"] += 1
         log.warning("discovery failed: %s", why)
-        self._watched = False
-        # Only who asks is told, and once: the module asks again for each failure told, and lists are priced.
-        if self.site.pull_discovery and not self._failure_told:
-            self._failure_told = True
+        self._discovery_ok = False
+        # Reported only in pull mode, and once: the module asks again on each report, and each request for the
+        # list has a price.
+        if self.site.pull_discovery and not self._failure_reported:
+            self._failure_reported = True
             self._inputs.append(Listed(Members(Scope.FAILED, max(self.targets.version, 0), ())))
 
-    # --- the driver ---
+    # --- driver ---
 
-    def _turn(self) -> None:
-        """The turn hook: one batch to the driver, its orders to the edge."""
+    def _on_turn(self) -> None:
+        """The turn hook: one batch of inputs to the driver, then execute its orders."""
         began = self.loop.clock()
         due = self.driver.next_due()
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ROUNDS_PER_TURN):
             if not self._inputs and (due is None or due > self.loop.now):
                 break
             inputs, self._inputs = self._inputs, []
             for order in self.driver.step(self.loop.now, inputs):
-                self._carry_out(order)
+                self._execute(order)
             due = self.driver.next_due()
         if self._inputs:
             due = self.loop.now
-        if due is not None and (self._due is None or self._due.call is None or due < self._due_at):
-            if self._due is not None:
-                self._due.cancel()
-            self._due_at = due
-            self._due = self.loop.call_at(due, lambda: None)  # ends the wait; the hook does the rest
+        if due is not None and (self._wakeup is None or self._wakeup.call is None or due < self._wakeup_at):
+            if self._wakeup is not None:
+                self._wakeup.cancel()
+            self._wakeup_at = due
+            self._wakeup = self.loop.call_at(due, lambda: None)  # ends the wait; this hook does the work
         ended = self.loop.clock()
         self.slowest_turn = max(self.slowest_turn, ended - began)
-        self.latest = max(self.latest, ended - self.loop.now)
+        self.max_lateness = max(self.max_lateness, ended - self.loop.now)
 
-    def _carry_out(self, order: Any) -> None:
+    def _execute(self, order: Any) -> None:
         match order:
             case StartCall():
                 self.nodes.start(order)
@@ -308,14 +314,14 @@
                 log.warning("module: %s", text)
             case Breach(name, detail):
                 self.counts[f"breach {name}"] += 1
-                log.error("contract broken, made harmless: %s: %s", name, detail)
+                log.error("contract violated, effect suppressed: %s: %s", name, detail)
             case ReadList():
-                self._failure_told = False
-                if not self._watched:  # else the watch is open, and brings all that is new
-                    self.discovery.ask_again()
+                self._failure_reported = False
+                if not self._discovery_ok:  # else the open watch reports all changes
+                    self.discovery.refresh()
 
     def _finish(self, finish: Finish) -> None:
-        exchange = self._forget(finish.handle)
+        exchange = self._remove_exchange(finish.handle)
         if exchange is None:
             return
         exchange.on_left = None
@@ -331,14 +337,14 @@
         status, headers, body = encode_response(finish)
         exchange.respond(status, headers, body)
 
-    # --- what is believed, and what is so ---
+    # --- status ---
 
     def state(self) -> dict[str, Any]:
-        """What is believed and what is so, for ``/-/state``."""
-        return status.of(self)
+        """The driver's view and that of the connections, for ``/-/state``."""
+        return status.status_page(self)
 
     def _report(self) -> None:
-        self.loop.call_in(REPORT, self._report)
+        self.loop.call_in(REPORT_INTERVAL_NS, self._report)
         pages = 0
         try:
             with open("/proc/self/statm") as file:
@@ -349,50 +355,50 @@
             "counts=%s attempts=%s server=%s peers=%d nodes=%d parts=%d "
             "turn_ms=%.1f late_ms=%.1f cpu_s=%.2f rss_kb=%d",
             dict(self.counts), dict(self.nodes.counts), dict(self.server.counts), len(self.server.peers),
-            self.nodes.open_count(), len(self.driver.parts), self.slowest_turn / MS, self.latest / MS,
+            self.nodes.open_count(), len(self.driver.parts), self.slowest_turn / MS, self.max_lateness / MS,
             time.process_time(), pages * os.sysconf("SC_PAGE_SIZE") // 1024,
         )  # fmt: skip
-        self.slowest_turn = self.latest = 0
+        self.slowest_turn = self.max_lateness = 0
 
-    # --- configuration and end ---
+    # --- configuration and shutdown ---
 
     def move_discovery(self, address: Address) -> None:
-        """The configuration names another address."""
+        """Switch to a new address of discovery, after a change of the configuration."""
         log.info("discovery is now at %s:%d", *address)
         self.discovery.move(address)
 
-    def stop(self, on_ended: Callable[[], None]) -> None:
-        """Serve on for as long as ``ShutdownSchedule`` says, not ready any more; then end."""
+    def stop(self, on_stopped: Callable[[], None]) -> None:
+        """Report not ready, keep serving as long as ``ShutdownSchedule`` says, then stop."""
         if self.stopping:
             return
-        log.info("stopping, %d queries open", len(self.open))
+        log.info("stopping, %d queries open", len(self.exchanges))
         self.stopping = True
-        self.on_ended = on_ended
-        self.ending.begin(self.loop.now)
-        self.loop.call_at(self.ending.accepts_until(), self._drain_clients)
+        self.on_stopped = on_stopped
+        self.shutdown.begin(self.loop.now)
+        self.loop.call_at(self.shutdown.accepts_until(), self._drain_clients)
 
     def _drain_clients(self) -> None:
         self.server.drain()
-        assert self.ending.end is not None
-        self.loop.call_at(self.ending.end, self.server.break_off)
-        self._end_when_done()
-
-    def _end_when_done(self) -> None:
-        # Lingering connections are waited for, but not up to the kill; who has asked is owed an answer.
-        last = self.ending.exits_at()
-        if self.open or self.server.peers and self.loop.now < last:
-            again = self.loop.now + ENDING
-            self.loop.call_at(min(again, last) if self.loop.now < last else again, self._end_when_done)
-        elif self.on_ended is not None:
-            done, self.on_ended = self.on_ended, None
+        assert self.shutdown.answer_by is not None
+        self.loop.call_at(self.shutdown.answer_by, self.server.break_off)
+        self._stop_when_done()
+
+    def _stop_when_done(self) -> None:
+        # Lingering connections are waited for, but not until SIGKILL; every open query must be answered.
+        last = self.shutdown.exits_at()
+        if self.exchanges or self.server.peers and self.loop.now < last:
+            again = self.loop.now + SHUTDOWN_POLL_NS
+            self.loop.call_at(min(again, last) if self.loop.now < last else again, self._stop_when_done)
+        elif self.on_stopped is not None:
+            done, self.on_stopped = self.on_stopped, None
             log.info("all is answered")
             self._report()
             done()
 
     def close(self) -> None:
-        """Give back all sockets."""
-        if self._turn in self.loop.turn_hooks:
-            self.loop.turn_hooks.remove(self._turn)
+        """Close all sockets."""
+        if self._on_turn in self.loop.turn_hooks:
+            self.loop.turn_hooks.remove(self._on_turn)
         self.server.close()
         self.nodes.close()
         self.discovery.close()
--- a/quincepath/platform/shutdown.py
+++ b/quincepath/platform/shutdown.py
@@ -1,47 +1,47 @@
-"""How long a broker that was told to end goes on serving. Pure.
+"""How long a broker that received the stop signal keeps serving. Pure.
 
-Clients keep the connections that they have, and a broker that restarts next to this one may not be back yet:
-so all is served as before for as long as it can surely be answered. A query that would run past the end has
-its time cut to it; one that has less than its class wants is refused, which is harmless.
+Clients keep their open connections, and a broker restarting beside this one may not be back yet, so
+everything is served as before for as long as it can certainly be answered. A query whose deadline lies past
+the end gets a shorter deadline; one with less time left than its class needs is refused, which is harmless.
 """
 
 from collections.abc import Sequence
 
 MS = 1_000_000
 SECOND = 1000 * MS
-LONGEST = 3 * SECOND  # a longer deadline counts as this one when the kill comes
-AFTER = 700 * MS  # from that deadline to the kill, at the least
-MARGIN = 150 * MS  # before the kill by which all is answered
-LINGERING = 75 * MS  # of that, for clients to take their answers and to see the half-close
-COMING = 500 * MS  # after the signal, at the least, new connections are taken: they come for 400 ms
+MAX_DEADLINE_NS = 3 * SECOND  # longer class deadlines count as this one when the time of the kill is computed
+KILL_DELAY_NS = 700 * MS  # from that deadline to SIGKILL, at least
+KILL_MARGIN_NS = 150 * MS  # before SIGKILL, by which all queries are answered
+LINGER_NS = 75 * MS  # of that margin, for clients to read their responses and to see the half-close
+MIN_ACCEPT_NS = 500 * MS  # new connections are accepted at least this long: they keep coming for 400 ms
 
 
 class ShutdownSchedule:
-    """One broker's end; ``deadlines`` and ``targets`` are those of its classes, in ns."""
+    """The shutdown times of one broker; ``deadlines`` and ``targets`` are those of its classes, in ns."""
 
     def __init__(self, deadlines: Sequence[int], targets: Sequence[int]) -> None:
         self.targets = tuple(targets)
-        self._length = min(max(deadlines), LONGEST) + AFTER - MARGIN
-        self.end: int | None = None  # when all must be answered
+        self._length = min(max(deadlines), MAX_DEADLINE_NS) + KILL_DELAY_NS - KILL_MARGIN_NS
+        self.answer_by: int | None = None  # when all queries must be answered; None until the stop signal
 
     def begin(self, now: int) -> None:
-        """The broker was told to end."""
-        if self.end is None:
-            self.end = now + self._length
+        """Record the stop signal."""
+        if self.answer_by is None:
+            self.answer_by = now + self._length
 
     def accepts_until(self) -> int:
-        """From then on nothing is taken any more: connections between requests are closed."""
-        assert self.end is not None
-        return self.end - min(*self.targets, self._length - COMING)
+        """When the broker stops accepting requests and closes connections between requests."""
+        assert self.answer_by is not None
+        return self.answer_by - min(*self.targets, self._length - MIN_ACCEPT_NS)
 
     def exits_at(self) -> int:
-        """When the process ends even if clients have not ended their connections: the kill is near."""
-        assert self.end is not None
-        return self.end + LINGERING
+        """When the process exits even if clients still hold connections, since SIGKILL is near."""
+        assert self.answer_by is not None
+        return self.answer_by + LINGER_NS
 
     def time_left(self, now: int, kind: int, asked: int) -> int | None:
         """The time that a query may take; None where it has to be refused."""
-        if self.end is None:
+        if self.answer_by is None:
             return asked
-        left = self.end - now
+        left = self.answer_by - now
         return None if left < min(self.targets[kind], asked) else min(left, asked)
--- a/quincepath/platform/status.py
+++ b/quincepath/platform/status.py
@@ -1,4 +1,4 @@
-"""What a broker tells of itself: its counts, what it believes is out, and what its connections hold."""
+"""The status page of a broker: its counters, the attempts it believes in flight, and its connections."""
 
 from collections import Counter
 from typing import Any, Protocol
@@ -10,8 +10,8 @@
 from quincepath.platform.targets import TargetTable
 
 
-class Reported(Protocol):
-    """What of a broker is told of."""
+class StatusSource(Protocol):
+    """What the page needs from a broker."""
 
     loop: Loop
     driver: Driver
@@ -19,21 +19,21 @@
     nodes: NodePool
     targets: TargetTable
     counts: Counter[str]
-    open: dict[int, Exchange]
+    exchanges: dict[int, Exchange]
 
 
-def of(broker: Reported) -> dict[str, Any]:
-    """Counts, and the driver's outstanding attempts beside the connections' own, by node."""
+def status_page(broker: StatusSource) -> dict[str, Any]:
+    """Counters, and by node the driver's unfinished attempts beside those on the connections."""
     believed: Counter[str] = Counter()
     for part in broker.driver.parts.values():
         for attempt in part.attempts:
             if not attempt.ended:
                 believed[attempt.node.decode("ascii", "replace")] += 1
-    open_now = {
+    connections = {
         node.decode("ascii", "replace"): [
             {
-                "address": f"{c.address[0]}:{c.address[1]}", "out": len(c.state.live),
-                "given_up": len(c.state.given_up), "dialling": c.dial is not None,
+                "address": f"{c.address[0]}:{c.address[1]}", "out": len(c.state.in_flight),
+                "given_up": len(c.state.cancelled), "dialling": c.dial is not None,
                 "retired": c.state.retired,
             }
             for c in held
@@ -43,14 +43,14 @@
     return {
         "counts": dict(broker.counts), "attempts": dict(broker.nodes.counts),
         "clients": len(broker.server.peers),
-        "server": dict(broker.server.counts), "open": len(broker.open), "held": broker.driver.held(),
-        "lingering": broker.driver.lingering(), "out": dict(believed), "connections": open_now,
+        "server": dict(broker.server.counts), "open": len(broker.exchanges), "held": broker.driver.held(),
+        "lingering": broker.driver.lingering(), "out": dict(believed), "connections": connections,
         "list": {
             (name := node.decode("ascii", "replace")): {
-                "cell": known.cell, "phase": known.phase.name, "out": believed[name],
-                "age_s": round((broker.loop.now - known.since) / 1e9, 1) if known.since else None,
+                "cell": listed.cell, "phase": listed.phase.name, "out": believed[name],
+                "age_s": round((broker.loop.now - listed.since) / 1e9, 1) if listed.since else None,
             }
-            for node, known in broker.targets.nodes.items()
+            for node, listed in broker.targets.nodes.items()
         },
         "version": broker.targets.version,
     }  # fmt: skip
--- a/tests/platform/test_closing.py
+++ b/tests/platform/test_closing.py
@@ -1,7 +1,7 @@
-"""A request that crosses the close of its connection is neither answered by a reset nor sent on after it.
+"""A request that arrives as its connection is closed is neither answered by a reset nor forwarded after it.
 
-In each of these the client's bytes arrive in the one moment that is bad for them, by a hook on the broker's
-own call to the system, and not by chance.
+In each test a hook on the broker's own system call makes the client's bytes arrive at exactly the critical
+moment, rather than by chance.
 """
 
 import socket
@@ -14,75 +14,79 @@
 from quincepath.net.server import Exchange, HttpServer, Peer, Times
 from quincepath.net.stream import Listener
 from quincepath.platform import descriptors
-from tests.standins.platform import MS, SECOND, World
-from tests.standins.sockets import Moment, connect, peer_of, read_all
+from tests.standins.platform import MS, SECOND, PlatformHarness
+from tests.standins.sockets import SyscallHook, connect, peer_of, read_all
 
-KILL = 2 * SECOND + 700 * MS  # after SIGTERM at the earliest, by the classes of the stand-in
+KILL_NS = 2 * SECOND + 700 * MS  # from SIGTERM to SIGKILL at the earliest, with the classes of the stand-in
 HEALTH = b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def crowd(world: World) -> None:
-    """As many connections as there are places."""
-    world.crowd = [connect(world) for _ in range(world.broker.room.clients)]  # type: ignore[attr-defined]
-    world.run(0.05)
+def fill_client_limit(harness: PlatformHarness) -> None:
+    """Open as many connections as the broker allows."""
+    harness.held_clients = [connect(harness) for _ in range(harness.broker.connection_limits.clients)]  # type: ignore[attr-defined]
+    harness.run(0.05)
 
 
-def others_ask(world: World) -> None:
-    """Connections that are used later than the one looked at, until that one is let go."""
-    for _ in range(world.broker.room.kept):
-        assert world.ask("all", (0,)).status == 200
+def use_other_connections(harness: PlatformHarness) -> None:
+    """Use other connections later than the one under test, until that one is closed."""
+    for _ in range(harness.broker.connection_limits.kept):
+        assert harness.ask("all", (0,)).status == 200
 
 
-def end(world: World) -> None:
-    world.broker.stop(lambda: None)
-    world.run(2)
+def stop_broker(harness: PlatformHarness) -> None:
+    harness.broker.stop(lambda: None)
+    harness.run(2)
 
 
-WAYS: dict[str, tuple[str, Callable[[World], None]]] = {
-    "idle for long": ("asked", lambda world: world.run(descriptors.IDLE / SECOND + 1)),
-    "for room": ("silent", crowd),
-    "unused for longest": ("asked", others_ask),
-    "silent since its connect": ("silent", lambda world: world.run(descriptors.FIRST / SECOND + 1)),
-    "half a request": ("half", lambda world: world.run(descriptors.REQUEST / SECOND + 1)),
-    "told to end": ("asked", end),
-    "told to end, silent": ("silent", end),
+CLOSE_CAUSES: dict[str, tuple[str, Callable[[PlatformHarness], None]]] = {
+    "idle for long": ("asked", lambda harness: harness.run(descriptors.IDLE_NS / SECOND + 1)),
+    "for room": ("silent", fill_client_limit),
+    "unused for longest": ("asked", use_other_connections),
+    "silent since its connect": (
+        "silent", lambda harness: harness.run(descriptors.FIRST_REQUEST_NS / SECOND + 1)
+    ),
+    "half a request": ("half", lambda harness: harness.run(descriptors.REQUEST_NS / SECOND + 1)),
+    "told to end": ("asked", stop_broker),
+    "told to end, silent": ("silent", stop_broker),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_request_in_the_very_moment_of_the_close_is_dropped_without_a_reset(
+@pytest.mark.parametrize("way", CLOSE_CAUSES)
+def test_a_request_arriving_at_the_close_is_dropped_without_a_reset(
     way: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before, act = WAYS[way]
-    world = World(limits={"sockets": 64})
-    client = connect(world)
+    before, act = CLOSE_CAUSES[way]
+    harness = PlatformHarness(limits={"sockets": 64})
+    client = connect(harness)
     if before == "asked":
-        client.sendall(world.request("all", (0,)))
-        world.run(0.1)
+        client.sendall(harness.request("all", (0,)))
+        harness.run(0.1)
         assert read_all(client)[0]
     elif before == "half":
-        client.sendall(world.request()[:30])
-    world.run(0.05)
-    peer, request = peer_of(world, client), world.request("all", (0,), Req_Id="crossed")
-    moment = Moment(monkeypatch, peer.stream.sock, ("shutdown", "close"), lambda: client.sendall(request))
-    act(world)
-    assert moment.came
-    world.run(0.1)
+        client.sendall(harness.request()[:30])
+    harness.run(0.05)
+    peer, request = peer_of(harness, client), harness.request("all", (0,), Req_Id="crossed")
+    hook = SyscallHook(monkeypatch, peer.stream.sock, ("shutdown", "close"), lambda: client.sendall(request))
+    act(harness)
+    assert hook.triggered
+    harness.run(0.1)
     _, how = read_all(client)
-    assert how == "end", "a reset says that the request may have run, and takes the answer with it"
-    assert not [part for part, _ in world.seen() if part.startswith("crossed")]
+    assert how == "end", "a reset means that the request may have run, and destroys the response"
+    assert not [part for part, _ in harness.received() if part.startswith("crossed")]
     client.close()
-    world.run(0.1)
-    assert peer.stream.closed and not world.errors
+    harness.run(0.1)
+    assert peer.stream.closed and not harness.errors
 
 
-def test_an_answer_is_not_destroyed_by_what_comes_before_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client says more and does not end; its bytes come right before its time is over."""
-    world = World()
-    client = connect(world)
+def test_a_response_is_not_destroyed_by_bytes_that_arrive_before_the_linger_limit(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The client sends more and does not close; its bytes arrive just before the linger time is over."""
+    harness = PlatformHarness()
+    client = connect(harness)
     client.sendall(b"nonsense\r\n\r\n")
-    world.run(0.05)
-    peer, expire = peer_of(world, client), Peer.expire
+    harness.run(0.05)
+    peer, expire = peer_of(harness, client), Peer.expire
 
     def late(self: Peer, now: int, times: Times) -> None:
         if self is peer and now > self.since + times.linger:
@@ -90,14 +94,14 @@
         expire(self, now, times)
 
     monkeypatch.setattr(Peer, "expire", late)
-    world.run(2)
+    harness.run(2)
     assert peer.stream.closed
     got, how = read_all(client)
     assert got.startswith(b"HTTP/1.1 400 ") and how == "end"
 
 
-def test_the_time_to_take_an_answer_runs_from_its_last_byte() -> None:
-    """A big answer takes its reader longer than the bound; then bytes come that would break it off."""
+def test_the_linger_time_of_a_response_runs_from_its_last_byte() -> None:
+    """Reading a large response takes longer than the linger time; bytes that arrive then must not cut it."""
     loop = VirtualLoop()
     body = bytes(8 << 20)
 
@@ -123,8 +127,10 @@
             break
         client.settimeout(5)
         got += client.recv(64 * 1024)
-    assert peer.stream.state_at > peer.since + times.linger, "the reader was not slow: this proves nothing"
-    run(0.6)  # the sweep comes by twice
+    assert peer.stream.state_at > peer.since + times.linger, (
+        "the reader was not slow: the test proves nothing"
+    )
+    run(0.6)  # the sweep runs twice
     client.sendall(HEALTH)
     rest, how = read_all(client)
     while how == "open":
@@ -137,24 +143,26 @@
     loop.close()
 
 
-def test_a_crowd_that_never_ends_its_side_keeps_nobody_out() -> None:
-    """Half-closed connections hold descriptors: the oldest go, and the listener never rests for them."""
-    world = World(limits={"sockets": 64})
+def test_clients_that_never_close_their_side_keep_no_other_client_out() -> None:
+    """Half-closed connections hold descriptors: the oldest are closed, and accepting never pauses."""
+    harness = PlatformHarness(limits={"sockets": 64})
     held, most = [], 0
     for _ in range(150):
-        held.append(connect(world))
-        world.run(0.001)
-        most = max(most, len(world.broker.server.peers))
-    assert most <= world.broker.room.clients + 8 and not world.broker.counts["accepting paused"]
-    assert world.ask("all", (0, 1)).status == 200
-    ready = connect(world)
+        held.append(connect(harness))
+        harness.run(0.001)
+        most = max(most, len(harness.broker.server.peers))
+    assert (
+        most <= harness.broker.connection_limits.clients + 8 and not harness.broker.counts["accepting paused"]
+    )
+    assert harness.ask("all", (0, 1)).status == 200
+    ready = connect(harness)
     ready.sendall(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    world.run(0.05)
+    harness.run(0.05)
     assert read_all(ready)[0].startswith(b"HTTP/1.1 200 ")
-    assert not world.broker.counts["accepting paused"] and not world.errors
+    assert not harness.broker.counts["accepting paused"] and not harness.errors
 
 
-def test_at_the_bound_the_oldest_half_closed_goes_and_no_answer_that_is_leaving() -> None:
+def test_at_the_limit_the_oldest_half_closed_connection_is_closed_but_none_still_sending() -> None:
     loop = VirtualLoop()
     body = bytes(8 << 20)
 
@@ -184,100 +192,102 @@
 
 @pytest.mark.parametrize("classes", [(2.0, 1.0), (2.0, 0.02)], ids=["usual", "short targets"])
 @pytest.mark.parametrize("kind", ["resting", "silent", "half a request", "answered last"])
-def test_a_client_that_never_ends_its_side_does_not_hold_the_process_up_to_the_kill(
+def test_a_client_that_never_closes_its_side_does_not_delay_the_exit_until_sigkill(
     kind: str, classes: tuple[float, float]
 ) -> None:
     deadline, target = (int(one * SECOND) for one in classes)
     spec = {"effect": "read_like", "deadline": deadline, "target": target, "lateWorth": 0.1}
-    world = World(classes=[{"name": name, **spec} for name in ("any", "all", "once")])
-    client = connect(world)
+    harness = PlatformHarness(classes=[{"name": name, **spec} for name in ("any", "all", "once")])
+    client = connect(harness)
     if kind in ("resting", "answered last"):
-        client.sendall(world.request("all", (0,)))
-    world.run(0.1)
+        client.sendall(harness.request("all", (0,)))
+    harness.run(0.1)
     done: list[int] = []
-    began = world.loop.at
-    world.broker.stop(lambda: done.append(world.loop.at))
-    closes = world.broker.ending.accepts_until()
-    world.run((closes - world.loop.at) / SECOND - 0.01)
+    began = harness.loop.at
+    harness.broker.stop(lambda: done.append(harness.loop.at))
+    closes = harness.broker.shutdown.accepts_until()
+    harness.run((closes - harness.loop.at) / SECOND - 0.01)
     if kind == "half a request":
-        client.sendall(world.request()[:30])
+        client.sendall(harness.request()[:30])
     elif kind == "answered last":
-        client.sendall(world.request("all", (0,)))
-    assert world.until(lambda: bool(done), 5)
-    assert done[0] > closes, "the process ends before its clients were told and drained"
-    assert done[0] < began + KILL - 25 * MS, "the kill comes before the process has ended"
-    states = {peer.stream.state.name for peer in world.broker.server.peers}
+        client.sendall(harness.request("all", (0,)))
+    assert harness.run_until(lambda: bool(done), 5)
+    assert done[0] > closes, "the process ends before its clients were drained"
+    assert done[0] < began + KILL_NS - 25 * MS, "SIGKILL comes before the process has ended"
+    states = {peer.stream.state.name for peer in harness.broker.server.peers}
     assert states <= {"HALF_CLOSED", "DRAINING"}
-    world.broker.close()
+    harness.broker.close()
     got, how = read_all(client)
     assert how == "end"
     if kind == "half a request":
         assert got.startswith(b"HTTP/1.1 408 ")
 
 
-def test_a_whole_request_behind_one_just_answered_is_not_idle_when_the_door_closes() -> None:
-    """It is read and waits for its turn in the moment in which connections between requests are closed."""
-    world = World()
-    client = connect(world)
+def test_a_pipelined_request_is_not_taken_for_idle_when_the_server_drains() -> None:
+    """It is read and queued at the moment when connections between requests are closed."""
+    harness = PlatformHarness()
+    client = connect(harness)
     client.sendall(HEALTH)
-    world.run(0.05)
-    server = world.broker.server
+    harness.run(0.05)
+    server = harness.broker.server
     client.sendall(HEALTH * 2)
-    assert world.until(lambda: server.counts["requests"] == 2)
-    assert peer_of(world, client).reader.done, "its turn has come already: this proves nothing"
+    assert harness.run_until(lambda: server.counts["requests"] == 2)
+    assert peer_of(harness, client).reader.done, "it was handled already: the test proves nothing"
     server.drain()
-    world.run(0.1)
+    harness.run(0.1)
     got, how = read_all(client)
     assert got.count(b"HTTP/1.1 200 ") == 3 and how == "end"
 
 
-def test_connections_that_are_ending_count_among_those_kept_no_more() -> None:
-    """Else good ones that brought queries go in their place while they linger."""
-    world = World(limits={"sockets": 96})
+def test_closing_connections_do_not_count_among_the_kept_ones() -> None:
+    """Otherwise good connections that brought queries are closed instead while they linger."""
+    harness = PlatformHarness(limits={"sockets": 96})
     held = []
 
     def bring() -> None:
-        held.append(connect(world))
-        held[-1].sendall(world.request("all", (0,)))
-        whole = world.broker.counts["whole"]
-        assert world.until(lambda: world.broker.counts["whole"] > whole)
+        held.append(connect(harness))
+        held[-1].sendall(harness.request("all", (0,)))
+        whole = harness.broker.counts["whole"]
+        assert harness.run_until(lambda: harness.broker.counts["whole"] > whole)
 
-    for _ in range(world.broker.room.kept):
+    for _ in range(harness.broker.connection_limits.kept):
         bring()
     good, bad = held[:8], held[8:]
     for client in bad:
         client.sendall(b"nonsense\r\n\r\n")
-    world.run(0.02)
-    assert len(world.broker.server.lingering) == len(bad)
+    harness.run(0.02)
+    assert len(harness.broker.server.lingering) == len(bad)
     for _ in range(4):
         bring()
-    world.run(0.02)
-    assert len(world.broker.server.lingering) == len(bad), "their time is over: this proves nothing"
+    harness.run(0.02)
+    assert len(harness.broker.server.lingering) == len(bad), (
+        "their linger time is over: the test proves nothing"
+    )
     assert [read_all(client)[1] for client in good] == ["open"] * 8
 
 
-def test_who_comes_while_the_listener_is_put_away_is_let_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Between the last accept and the close there was a call to the selector."""
-    world = World()
+def test_a_client_that_connects_as_the_listener_closes_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The listener is removed from the selector between the last accept and the close."""
+    harness = PlatformHarness()
     client: list[socket.socket] = []
-    listener = world.broker.server.listener
-    watch = world.loop.watch
+    listener = harness.broker.server.listener
+    watch = harness.loop.watch
 
     def watched(sock: socket.socket, mask: int, call: Callable[[int], None]) -> None:
         if sock is listener.sock and not mask and not client:
-            client.append(connect(world))
-            client[0].sendall(world.request("all", (0,)))
+            client.append(connect(harness))
+            client[0].sendall(harness.request("all", (0,)))
         watch(sock, mask, call)
 
-    monkeypatch.setattr(world.loop, "watch", watched)
-    world.broker.stop(lambda: None)
-    world.run(2)
+    monkeypatch.setattr(harness.loop, "watch", watched)
+    harness.broker.stop(lambda: None)
+    harness.run(2)
     assert listener.closed
     got, how = read_all(client[0])
     assert got.startswith(b"HTTP/1.1 ") and how == "end"
 
 
-def test_at_the_end_who_waits_is_let_in_although_all_places_are_taken() -> None:
+def test_at_shutdown_waiting_connections_are_accepted_above_the_limit() -> None:
     loop = VirtualLoop()
     open_now: list[Exchange] = []
     times = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
--- a/tests/platform/test_cold_node.py
+++ b/tests/platform/test_cold_node.py
@@ -1,59 +1,59 @@
-"""A node's start, told in wall time over discovery, to the parts that its sockets then get. Virtual time."""
+"""Warm-up of a node: from its start time in discovery to the parts sent to it. Virtual time."""
 
 import math
 from typing import Any
 
 import pytest
 
-from tests.standins.platform import MS, SECOND, WORK, Client, World, site
+from tests.standins.platform import MS, SECOND, WORK_NS, Client, PlatformHarness, platform_settings
 
-INSTANCES = 20  # brokers of the fleet; each is to keep to its share of what the node can take
-CORES = 2  # what a node of the stand-in's size is taken to have
-STEP = 100 * MS
-FACTS: dict[str, float] = site()["rules"]
+INSTANCES = 20  # brokers of the fleet; each must keep to its share of the node's capacity
+CORES = 2  # assumed for a node of the stand-in's size
+STEP_NS = 100 * MS
+FACTS: dict[str, float] = platform_settings()["rules"]
 
 
 def allowed(begin: int, since: int) -> float:
-    """Requests of mean work that all brokers may send in a window from ``begin`` on."""
+    """Requests of mean work that all brokers together may send in a window that begins at ``begin``."""
     over, share = FACTS["overloadFor"], FACTS["coldShare"]
     age = (begin + over / 2 - since) / FACTS["rampTime"]
     warmth = min(1.0, share + (1 - share) * age)
-    most = FACTS["fallMultiple"] * CORES * warmth * over / WORK
+    most = FACTS["fallMultiple"] * CORES * warmth * over / WORK_NS
     return most + 3 * math.sqrt(most) + 3
 
 
-LEAST = {"by a change": 0.3, "before it serves": 0.3, "from the first moment": 0.05}
-# of that share: a new process has not learned yet how little work a part is
+MIN_SHARE = {"by a change": 0.3, "before it serves": 0.3, "from the first moment": 0.05}
+# least fraction of that share; a new process has not yet learned how little work a part is
 
 
-@pytest.mark.parametrize("told", LEAST)
-def test_a_cold_node_gets_this_brokers_share_of_what_it_may_get_in_any_window(told: str) -> None:
-    world = World(instances=INSTANCES)
-    world.discovery.tell(world.entry(2, "DELETED"))  # one replica is left for shard 0
+@pytest.mark.parametrize("moment", MIN_SHARE)
+def test_a_warming_node_gets_at_most_this_brokers_share_in_any_window(moment: str) -> None:
+    harness = PlatformHarness(instances=INSTANCES)
+    harness.discovery.publish(harness.entry(2, "DELETED"))  # one replica is left for shard 0
     for _ in range(60):
-        world.ask("all", (0,))
-    since = world.loop.at - 500 * MS
+        harness.ask("all", (0,))
+    since = harness.loop.at - 500 * MS
     start: dict[str, Any] = {"started_ms": since // MS}
-    if told == "before it serves":
-        world.discovery.tell(world.entry(0, "DRAINING", **start))
-    world.discovery.tell(world.entry(0, **start))
-    if told == "from the first moment":
-        world.restart(world.known())
-    world.run(0.05)
-    begin, node = world.loop.at, world.nodes[0]
-    counts = [len(node.seen)]
+    if moment == "before it serves":
+        harness.discovery.publish(harness.entry(0, "DRAINING", **start))
+    harness.discovery.publish(harness.entry(0, **start))
+    if moment == "from the first moment":
+        harness.restart(harness.known())
+    harness.run(0.05)
+    begin, node = harness.loop.at, harness.nodes[0]
+    counts = [len(node.received)]
     clients: list[Client] = []
-    while world.loop.at < begin + 8 * SECOND:
-        for _ in range(8):  # a step; far more than the share
-            clients.append(Client(world))
-            clients[-1].stream.write(world.request("all", (0,), Req_Deadline_Ms="900"))
-        world.run(STEP / SECOND)
-        counts.append(len(node.seen))
+    while harness.loop.at < begin + 8 * SECOND:
+        for _ in range(8):  # per step; far more than the share
+            clients.append(Client(harness))
+            clients[-1].stream.write(harness.request("all", (0,), Req_Deadline_Ms="900"))
+        harness.run(STEP_NS / SECOND)
+        counts.append(len(node.received))
         for client in [one for one in clients if one.status or one.ended]:
             client.stream.close()
             clients.remove(client)
-    width = int(FACTS["overloadFor"] / STEP)
-    windows = [(begin + at * STEP, counts[at + width] - counts[at]) for at in range(len(counts) - width)]
+    width = int(FACTS["overloadFor"] / STEP_NS)
+    windows = [(begin + at * STEP_NS, counts[at + width] - counts[at]) for at in range(len(counts) - width)]
     shares = [sent * INSTANCES / allowed(at, since) for at, sent in windows]
-    assert max(shares) <= 1.0, "the sum of so many brokers would push it over"
-    assert max(shares) > LEAST[told], "and it is not starved"
+    assert max(shares) <= 1.0, "this many brokers together would overload it"
+    assert max(shares) > MIN_SHARE[moment], "it must not be starved either"
--- a/tests/platform/test_replies.py
+++ b/tests/platform/test_replies.py
@@ -1,4 +1,4 @@
-"""What comes from nodes at a bad moment: half, in drips, twice, too late, or unread as we close."""
+"""Replies of nodes at a bad moment: partial, trickling, duplicate, too late, or unread at the close."""
 
 import select
 import socket
@@ -9,213 +9,220 @@
 from quincepath.interface import Result
 from quincepath.net.loop import READ
 from quincepath.platform.connection_state import STALLED_REPLY_DIAL_TIMEOUTS, WHOLE_REPLY_DIAL_TIMEOUTS
-from tests.standins.edge import BIG, DIAL, NODE, Edge
+from tests.standins.node_pool import DIAL_TIMEOUT_NS, LARGE_PAYLOAD, NODE, NodePoolHarness
 from tests.standins.platform import MS, SECOND, frame
 
-STALL, WHOLE = int(STALLED_REPLY_DIAL_TIMEOUTS * DIAL), WHOLE_REPLY_DIAL_TIMEOUTS * DIAL
-SWEEP = 110 * MS
+STALL_NS, WHOLE_NS = (
+    int(STALLED_REPLY_DIAL_TIMEOUTS * DIAL_TIMEOUT_NS),
+    WHOLE_REPLY_DIAL_TIMEOUTS * DIAL_TIMEOUT_NS,
+)
+SWEEP_NS = 110 * MS
 GOOD = frame(b"q", b"q1.0 good 7 -\n" + b"v" * 4000)
 
 
-def silent(*parts: int) -> Edge:
-    """A node that has these parts and says nothing by itself."""
-    edge = Edge()
-    edge.node.always = "silent"
-    edge.start(*parts, deadline=30 * SECOND)
-    edge.run(20 * MS)
-    return edge
+def silent_node(*parts: int) -> NodePoolHarness:
+    """A harness whose node received these parts and sends nothing by itself."""
+    harness = NodePoolHarness()
+    harness.node.default_behavior = "silent"
+    harness.start(*parts, deadline=30 * SECOND)
+    harness.run(20 * MS)
+    return harness
 
 
-def test_a_reply_that_comes_in_drips_is_spoilt_before_long() -> None:
-    """Each byte says that it goes on; what lies behind it never comes."""
-    edge = silent(1, 2)
-    began = edge.loop.at
+def test_a_trickling_reply_soon_becomes_an_error() -> None:
+    """Each byte looks like progress, but the replies behind it never arrive."""
+    harness = silent_node(1, 2)
+    began = harness.loop.at
     for byte in GOOD:
-        edge.node.streams[0].write(bytes([byte]))
-        edge.run(STALL * 4 // 5)
-        if edge.ended or edge.loop.at > began + 10 * SECOND:
+        harness.node.streams[0].write(bytes([byte]))
+        harness.run(STALL_NS * 4 // 5)
+        if harness.ended or harness.loop.at > began + 10 * SECOND:
             break
-    assert edge.loop.at - began <= WHOLE + SWEEP + STALL
-    assert edge.results() == {1: Result.ERROR, 2: Result.CANCELLED} and edge.events == ["spoilt connection"]
+    assert harness.loop.at - began <= WHOLE_NS + SWEEP_NS + STALL_NS
+    assert harness.results() == {1: Result.ERROR, 2: Result.CANCELLED} and harness.events == [
+        "spoilt connection"
+    ]
 
 
-def test_a_reply_of_the_greatest_size_may_take_its_time() -> None:
-    edge = silent(1)
+def test_a_reply_of_the_largest_size_may_take_its_time() -> None:
+    harness = silent_node(1)
     value = frame(b"q", b"q1.0 good 7 -\n" + b"v" * 65_000)
     pieces = [value[at : at + 6600] for at in range(0, len(value), 6600)]
     for piece in pieces:
-        edge.node.streams[0].write(piece)
-        edge.run(WHOLE // (len(pieces) + 1))
-    assert edge.results() == {1: Result.OK}
+        harness.node.streams[0].write(piece)
+        harness.run(WHOLE_NS // (len(pieces) + 1))
+    assert harness.results() == {1: Result.OK}
 
 
-def test_replies_one_after_the_other_are_not_taken_for_one_that_does_not_end() -> None:
-    """The stream is never between two replies when it is looked at: each has its own time."""
-    edge = silent(*range(1, 31))
+def test_consecutive_replies_are_not_taken_for_one_that_does_not_end() -> None:
+    """The stream is never between two replies when it is checked: each has its own time limit."""
+    harness = silent_node(*range(1, 31))
     answers = b"".join(frame(b"q", b"q%d.0 good 7 -\nv" % part) for part in range(1, 31))
     size = len(answers) // 30
-    edge.node.streams[0].write(answers[: size // 2])
+    harness.node.streams[0].write(answers[: size // 2])
     for at in range(size // 2, len(answers), size):
-        edge.run(STALL * 4 // 5)
-        edge.node.streams[0].write(answers[at : at + size])
-    edge.run(20 * MS)
-    assert set(edge.results().values()) == {Result.OK} and len(edge.ended) == 30
+        harness.run(STALL_NS * 4 // 5)
+        harness.node.streams[0].write(answers[at : at + size])
+    harness.run(20 * MS)
+    assert set(harness.results().values()) == {Result.OK} and len(harness.ended) == 30
 
 
-def test_what_is_sent_meanwhile_does_not_keep_a_reply_alive_that_stands_still() -> None:
-    edge = silent(1)
-    edge.node.streams[0].write(GOOD[:-3])
-    began = edge.loop.at
+def test_sending_does_not_keep_a_stalled_reply_alive() -> None:
+    harness = silent_node(1)
+    harness.node.streams[0].write(GOOD[:-3])
+    began = harness.loop.at
     for part in range(2, 60):
-        edge.run(STALL // 3)
-        if edge.ended:
+        harness.run(STALL_NS // 3)
+        if harness.ended:
             break
-        edge.start(part, deadline=30 * SECOND)
-    assert edge.ended and edge.loop.at - began <= STALL + SWEEP + STALL // 3
-    assert edge.results()[1] is Result.ERROR
-    assert set(edge.results().values()) <= {Result.ERROR, Result.CANCELLED}
+        harness.start(part, deadline=30 * SECOND)
+    assert harness.ended and harness.loop.at - began <= STALL_NS + SWEEP_NS + STALL_NS // 3
+    assert harness.results()[1] is Result.ERROR
+    assert set(harness.results().values()) <= {Result.ERROR, Result.CANCELLED}
 
 
 @pytest.mark.parametrize("most", [3, 12, len(GOOD) - 1])
-def test_a_connection_that_ends_within_a_reply_may_have_run_its_parts(most: int) -> None:
-    edge = silent(1, 2)
-    edge.node.streams[0].write(GOOD[:most])
-    edge.settle()
-    edge.node.streams[0].close()
-    edge.run(20 * MS)
-    assert edge.results() == {1: Result.RESET, 2: Result.RESET}
+def test_parts_may_have_run_if_a_connection_ends_within_a_reply(most: int) -> None:
+    harness = silent_node(1, 2)
+    harness.node.streams[0].write(GOOD[:most])
+    harness.settle()
+    harness.node.streams[0].close()
+    harness.run(20 * MS)
+    assert harness.results() == {1: Result.RESET, 2: Result.RESET}
 
 
 @pytest.mark.parametrize("size", [0, 1, 65_537, 3_000_000_000, 4_294_967_295])
-def test_an_absurd_length_is_spoilt_at_once_and_nothing_is_kept(size: int) -> None:
-    edge = silent(1)
-    edge.node.streams[0].write(size.to_bytes(4, "little") + b"q" + bytes(900))
-    edge.run(20 * MS)
-    assert edge.results() == {1: Result.ERROR}
-
-
-def test_an_answer_in_the_instant_in_which_its_time_is_over_is_still_an_answer() -> None:
-    edge = Edge()
-    edge.node.always = "silent"
-    edge.start(1, deadline=100 * MS)
-    edge.run(99 * MS)
-    edge.node.streams[0].sock.send(GOOD)
-    stream = edge.connection.stream
+def test_an_invalid_length_is_an_error_at_once(size: int) -> None:
+    harness = silent_node(1)
+    harness.node.streams[0].write(size.to_bytes(4, "little") + b"q" + bytes(900))
+    harness.run(20 * MS)
+    assert harness.results() == {1: Result.ERROR}
+
+
+def test_a_reply_in_the_turn_in_which_its_deadline_passes_still_counts() -> None:
+    harness = NodePoolHarness()
+    harness.node.default_behavior = "silent"
+    harness.start(1, deadline=100 * MS)
+    harness.run(99 * MS)
+    harness.node.streams[0].sock.send(GOOD)
+    stream = harness.connection.stream
     assert stream is not None and select.select([stream.sock], [], [], 5)[0]
-    edge.loop.at += 5 * MS  # one turn finds both: bytes to read and a time that has passed
-    edge.loop.turn(0)
-    assert edge.results() == {1: Result.OK}
-    edge.run(20 * MS)
-    assert len(edge.ended) == 1 and not edge.node.dropped
+    harness.loop.at += 5 * MS  # one turn finds both bytes to read and a passed deadline
+    harness.loop.turn(0)
+    assert harness.results() == {1: Result.OK}
+    harness.run(20 * MS)
+    assert len(harness.ended) == 1 and not harness.node.cancelled
 
 
-def test_an_answer_that_crosses_its_giving_up_is_told_to_nobody_and_harms_nothing() -> None:
-    edge = silent(1, 2)
-    edge.node.streams[0].sock.send(GOOD + GOOD)
-    edge.nodes.stop(1, 0)
-    edge.run(20 * MS)
-    edge.node.streams[0].write(frame(b"q", b"q2.0 good 7 -\nv"))
-    edge.run(20 * MS)
-    assert edge.results() == {1: Result.CANCELLED, 2: Result.OK} and not edge.events
+def test_a_reply_that_crosses_its_cancellation_is_ignored() -> None:
+    harness = silent_node(1, 2)
+    harness.node.streams[0].sock.send(GOOD + GOOD)
+    harness.nodes.stop(1, 0)
+    harness.run(20 * MS)
+    harness.node.streams[0].write(frame(b"q", b"q2.0 good 7 -\nv"))
+    harness.run(20 * MS)
+    assert harness.results() == {1: Result.CANCELLED, 2: Result.OK} and not harness.events
 
 
 @pytest.mark.parametrize("why", ["drains", "swept"])
-def test_parts_given_up_are_told_to_the_node_though_a_reply_lies_unread_as_we_close(why: str) -> None:
-    """Closing over unread bytes is a reset, which drops what our system still holds back."""
-    edge = silent(1)
-    edge.deafen(200_000)
+def test_cancel_frames_reach_the_node_although_a_reply_is_unread_at_the_close(why: str) -> None:
+    """Closing over unread bytes sends a reset, which drops what is still in the send buffer."""
+    harness = silent_node(1)
+    harness.stop_reading(200_000)
     for part in range(2, 7):
-        edge.start(part, payload=b"y" * BIG, deadline=30 * SECOND)
-    stream = edge.connection.stream
-    assert stream is not None and not stream.pending, "the system has taken all"
+        harness.start(part, payload=b"y" * LARGE_PAYLOAD, deadline=30 * SECOND)
+    stream = harness.connection.stream
+    assert stream is not None and not stream.pending, "the operating system has accepted everything"
     for part in range(1, 7):
-        edge.nodes.stop(part, 0)
-    edge.node.streams[0].sock.send(GOOD)
-    assert select.select([stream.sock], [], [], 5)[0]  # a late answer lies in our socket, unread
+        harness.nodes.stop(part, 0)
+    harness.node.streams[0].sock.send(GOOD)
+    assert select.select([stream.sock], [], [], 5)[0]  # a late reply is unread in the socket
     if why == "drains":
-        edge.nodes.close_node(NODE)
+        harness.nodes.close_node(NODE)
     else:
-        edge.connection.state.retired = True
-        edge.nodes._sweep()
-    assert not edge.nodes.connections
-    edge.flow()
-    assert edge.node.dropped == [f"q{part}.0" for part in range(1, 7)]
-    edge.run(DIAL + 2 * MS)
-    assert stream.closed and edge.nodes.open_count() == 0
+        harness.connection.state.retired = True
+        harness.nodes._sweep()
+    assert not harness.nodes.connections
+    harness.resume_reading()
+    assert harness.node.cancelled == [f"q{part}.0" for part in range(1, 7)]
+    harness.run(DIAL_TIMEOUT_NS + 2 * MS)
+    assert stream.closed and harness.nodes.open_count() == 0
 
 
-def test_frames_that_give_up_do_not_hold_a_connection_on_which_nothing_goes(
+def test_queued_cancel_frames_do_not_keep_a_blocked_connection_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    edge = silent(1, 2)
-    stream = edge.connection.stream
+    harness = silent_node(1, 2)
+    stream = harness.connection.stream
     assert stream is not None
-    monkeypatch.setattr(stream, "_flush", lambda: None)  # as a system that takes nothing
-    watch = edge.loop.watch
+    monkeypatch.setattr(stream, "_flush", lambda: None)  # as an operating system that accepts nothing
+    watch = harness.loop.watch
 
     def full(sock: socket.socket, mask: int, call: Callable[[int], None]) -> None:
-        watch(sock, mask & READ if sock is stream.sock else mask, call)  # nor tells that it would
+        watch(sock, mask & READ if sock is stream.sock else mask, call)  # nor reports the socket writable
 
-    monkeypatch.setattr(edge.loop, "watch", full)
-    edge.nodes.stop(1, 0)
-    edge.nodes.stop(2, 0)
-    assert edge.connection.queue and not edge.connection.state.live
-    edge.run(WHOLE_REPLY_DIAL_TIMEOUTS * DIAL + SWEEP + DIAL + 2 * MS)
-    assert stream.closed and edge.nodes.open_count() == 0
+    monkeypatch.setattr(harness.loop, "watch", full)
+    harness.nodes.stop(1, 0)
+    harness.nodes.stop(2, 0)
+    assert harness.connection.queue and not harness.connection.state.in_flight
+    harness.run(WHOLE_REPLY_DIAL_TIMEOUTS * DIAL_TIMEOUT_NS + SWEEP_NS + DIAL_TIMEOUT_NS + 2 * MS)
+    assert stream.closed and harness.nodes.open_count() == 0
 
 
-def test_a_connection_that_is_ending_holds_its_place_for_a_dial_time_out_at_most() -> None:
-    edge = silent(1)
-    edge.nodes.stop(1, 0)
-    stream = edge.connection.stream
+def test_a_closing_connection_counts_for_one_dial_timeout_at_most() -> None:
+    harness = silent_node(1)
+    harness.nodes.stop(1, 0)
+    stream = harness.connection.stream
     assert stream is not None
-    edge.node.streams[0].pause()  # the node never closes its side
-    edge.nodes.close_node(NODE)
-    assert edge.nodes.open_count() == 1 and not stream.closed
-    edge.run(DIAL + 2 * MS)
-    assert edge.nodes.open_count() == 0 and stream.closed
+    harness.node.streams[0].pause()  # the node never closes its side
+    harness.nodes.close_node(NODE)
+    assert harness.nodes.open_count() == 1 and not stream.closed
+    harness.run(DIAL_TIMEOUT_NS + 2 * MS)
+    assert harness.nodes.open_count() == 0 and stream.closed
 
 
-def test_an_ending_connection_makes_room_at_once_for_one_that_is_needed() -> None:
-    edge = silent(1)
-    edge.nodes.stop(1, 0)
-    edge.node.streams[0].pause()
-    edge.nodes.close_node(NODE)
-    edge.nodes.most_open = 1
-    edge.node.always = "good"
-    edge.start(2)
-    edge.run(20 * MS)
-    assert edge.results()[2] is Result.OK and edge.nodes.open_count() == 1
+def test_a_closing_connection_is_closed_at_once_when_a_new_one_is_needed() -> None:
+    harness = silent_node(1)
+    harness.nodes.stop(1, 0)
+    harness.node.streams[0].pause()
+    harness.nodes.close_node(NODE)
+    harness.nodes.max_open = 1
+    harness.node.default_behavior = "good"
+    harness.start(2)
+    harness.run(20 * MS)
+    assert harness.results()[2] is Result.OK and harness.nodes.open_count() == 1
 
 
-# --- what is queued is bounded ---
+# --- bounds of queues ---
 
 
-def test_what_waits_at_a_full_socket_is_bounded_by_the_places_on_a_connection() -> None:
-    edge = Edge(streams=20)
-    edge.node.always = "silent"
-    edge.stuff()
+def test_the_queue_at_a_full_socket_is_bounded_by_the_capacity_of_a_connection() -> None:
+    harness = NodePoolHarness(streams=20)
+    harness.node.default_behavior = "silent"
+    harness.fill_socket()
     for part in range(2000, 2400):
-        edge.start(part, payload=b"z" * 6000, deadline=60 * SECOND)
-        edge.settle()
-    held = edge.nodes.connections[NODE]
+        harness.start(part, payload=b"z" * 6000, deadline=60 * SECOND)
+        harness.settle()
+    held = harness.nodes.connections[NODE]
     assert len(held) <= 4
     for one in held:
-        assert len(one.queue) + len(one.state.live) + len(one.state.given_up) <= 2 * 20
-    assert Result.CONNECT_FAILED in edge.results().values()
-    for key in list(edge.nodes.outs):
-        edge.nodes.stop(*key)
-    assert not edge.nodes.outs
-    assert all(len(one.queue) <= 20 for one in edge.nodes.connections.get(NODE, ()))
-    edge.run(SECOND)
-    assert edge.nodes.open_count() == 0, "nobody waits on them, and their node takes no more bytes"
-
-
-def test_a_call_of_several_parts_never_goes_over_the_places_of_a_connection() -> None:
-    edge = Edge(streams=4)
-    edge.node.always = "silent"
-    edge.start(1, 2, 3)
-    edge.run(20 * MS)
-    edge.start(4, 5)
-    edge.run(20 * MS)
-    assert sorted(len(one.state.live) for one in edge.nodes.connections[NODE]) == [2, 3]
+        assert len(one.queue) + len(one.state.in_flight) + len(one.state.cancelled) <= 2 * 20
+    assert Result.CONNECT_FAILED in harness.results().values()
+    for key in list(harness.nodes.in_flight):
+        harness.nodes.stop(*key)
+    assert not harness.nodes.in_flight
+    assert all(len(one.queue) <= 20 for one in harness.nodes.connections.get(NODE, ()))
+    harness.run(SECOND)
+    assert harness.nodes.open_count() == 0, (
+        "no attempt is in flight on them, and their node accepts no more bytes"
+    )
+
+
+def test_a_call_of_several_parts_never_exceeds_the_capacity_of_a_connection() -> None:
+    harness = NodePoolHarness(streams=4)
+    harness.node.default_behavior = "silent"
+    harness.start(1, 2, 3)
+    harness.run(20 * MS)
+    harness.start(4, 5)
+    harness.run(20 * MS)
+    assert sorted(len(one.state.in_flight) for one in harness.nodes.connections[NODE]) == [2, 3]
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""The first moments of a new process: what the agent has counts, early signals, ready in time."""
+"""Startup: the agent's list is in force, early signals are handled, the process is ready in time."""
 
 import socket
 import sys
@@ -8,22 +8,22 @@
 import pytest
 
 from quincepath.interface import Phase
-from tests.standins.platform import MS, Client, World
-from tests.test_deploy import MODULE, Program
+from tests.standins.platform import MS, Client, PlatformHarness
+from tests.test_deploy import MODULE, BrokerProcess
 
-READY = 30.0  # seconds from the start until the first "ready", at most
-# A new file moves discovery, and the signal says so, at the first audit event that begins with these words.
-EARLY = f"""
+READY_TIMEOUT_S = 30.0  # from the start until the first "ready"
+# At the first audit event with this prefix, writes a file that moves discovery, and sends SIGHUP.
+EARLY_SIGHUP_SCRIPT = f"""
 import json, os, runpy, signal, sys
-words, address, path = sys.argv[1], sys.argv[2], os.environ["BALANCER_CONFIG"]
+event_prefix, address, path = sys.argv[1], sys.argv[2], os.environ["BALANCER_CONFIG"]
 def hook(event, args):
-    global words
-    if words and f"{{event}} {{args and args[0]}}".startswith(words):
-        words = ""
+    global event_prefix
+    if event_prefix and f"{{event}} {{args and args[0]}}".startswith(event_prefix):
+        event_prefix = ""
         with open(path) as file:
-            told = json.load(file)
+            config = json.load(file)
         with open(path, "w") as file:
-            json.dump({{**told, "discovery": address}}, file)
+            json.dump({{**config, "discovery": address}}, file)
         os.kill(os.getpid(), signal.SIGHUP)
 sys.addaudithook(hook)
 runpy.run_module("{MODULE}", run_name="__main__", alter_sys=True)
@@ -36,71 +36,71 @@
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_no_client_is_let_in_before_the_agent_was_asked(state: str) -> None:
-    """The list held before the restart is old: what the agent has counts from the first moment."""
-    world = World()
-    world.discovery.tell(world.entry(0, state))
+def test_no_client_is_accepted_before_the_agent_was_asked(state: str) -> None:
+    """The list held before the restart is old: the agent's list is in force from the start."""
+    harness = PlatformHarness()
+    harness.discovery.publish(harness.entry(0, state))
     seen: list[bool] = []
-    world.discovery.on_ask = lambda: seen.append(refused(world.port))
-    world.restart(world.known())
-    assert seen[0], "a client could come before the list did"
-    assert world.phase(0) is (Phase.DRAINING if state == "DRAINING" else None)
-    assert [world.ask("all", (0,)).status for _ in range(6)] == [200] * 6
-    assert not world.nodes[0].seen and len(world.nodes[2].seen) == 6
+    harness.discovery.on_request = lambda: seen.append(refused(harness.port))
+    harness.restart(harness.known())
+    assert seen[0], "a client could connect before the list arrived"
+    assert harness.phase(0) is (Phase.DRAINING if state == "DRAINING" else None)
+    assert [harness.ask("all", (0,)).status for _ in range(6)] == [200] * 6
+    assert not harness.nodes[0].received and len(harness.nodes[2].received) == 6
 
 
 @pytest.mark.parametrize("silent", [True, False], ids=["silent", "refused"])
-def test_a_start_while_discovery_is_down_is_ready_soon_and_serves_from_the_list_held_before(
+def test_a_start_while_discovery_is_down_is_soon_ready_and_serves_from_the_cached_list(
     silent: bool,
 ) -> None:
-    world = World()
-    world.discovery.silent = silent
-    began = world.loop.at
-    address = world.config.discovery if silent else ("127.0.0.1", 1)
-    world.restart(world.known(), discovery=address)
-    client = Client(world)
+    harness = PlatformHarness()
+    harness.discovery.silent = silent
+    began = harness.loop.at
+    address = harness.config.discovery if silent else ("127.0.0.1", 1)
+    harness.restart(harness.known(), discovery=address)
+    client = Client(harness)
     client.stream.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert world.until(lambda: client.status == 200) and world.loop.at - began <= 500 * MS
-    assert world.ask("all", (0,)).status == 200
+    assert harness.run_until(lambda: client.status == 200) and harness.loop.at - began <= 500 * MS
+    assert harness.ask("all", (0,)).status == 200
 
 
-def test_a_start_with_no_list_at_all_is_not_ready_until_one_has_come() -> None:
-    world = World()
-    world.discovery.silent = True
-    world.restart()
-    client = Client(world)
+def test_a_start_without_any_list_is_not_ready_until_one_arrives() -> None:
+    harness = PlatformHarness()
+    harness.discovery.silent = True
+    harness.restart()
+    client = Client(harness)
     client.stream.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    world.until(lambda: client.status > 0)
-    world.discovery.silent = False
+    harness.run_until(lambda: client.status > 0)
+    harness.discovery.silent = False
     assert client.status == 503
-    world.run(2)
+    harness.run(2)
     client.stream.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert world.until(lambda: client.status == 200)
+    assert harness.run_until(lambda: client.status == 200)
 
 
 def test_a_process_is_ready_in_time(tmp_path: Path) -> None:
     began = time.monotonic()
-    program = Program(tmp_path, sys.executable, "-m", MODULE)
+    process = BrokerProcess(tmp_path, sys.executable, "-m", MODULE)
     try:
-        program.until("serves on")
-        assert program.get("/-/ready").startswith(b"HTTP/1.1 200")
-        assert time.monotonic() - began < READY
+        process.read_until("serves on")
+        assert process.get("/-/ready").startswith(b"HTTP/1.1 200")
+        assert time.monotonic() - began < READY_TIMEOUT_S
     finally:
-        program.end()
+        process.end()
 
 
 @pytest.mark.parametrize(
     "moment", ["import quincepath.policy", "import quincepath.platform.service", "socket.bind"]
 )
-def test_sighup_while_the_process_starts_does_not_end_it_and_counts(moment: str, tmp_path: Path) -> None:
+def test_sighup_during_startup_does_not_end_the_process_and_takes_effect(moment: str, tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as moved:
         moved.settimeout(30)
         address = f"127.0.0.1:{moved.getsockname()[1]}"
-        program = Program(tmp_path, sys.executable, "-c", EARLY, moment, address)
+        process = BrokerProcess(tmp_path, sys.executable, "-c", EARLY_SIGHUP_SCRIPT, moment, address)
         try:
-            program.until("serves on")
+            process.read_until("serves on")
             asked, _ = moved.accept()
             asked.close()
-            assert program.get("/-/healthy").startswith(b"HTTP/1.1 200")
+            assert process.get("/-/healthy").startswith(b"HTTP/1.1 200")
         finally:
-            program.end()
+            process.end()
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Outside systems of the tests, written from their pages."""
+"""Stand-ins for external systems, written from their specifications."""
--- a/tests/standins/edge.py
+++ b/tests/standins/node_pool.py
@@ -13,14 +13,14 @@
 from tests.standins.platform import MS, SECOND, Node
 
 NODE: NodeId = b"s-1"
-DIAL = 250 * MS
-BIG = 60_000  # bytes of a payload that a stuffed socket does not take whole
+DIAL_TIMEOUT_NS = 250 * MS
+LARGE_PAYLOAD = 60_000  # bytes of a payload that a full socket does not accept whole
 
 
-class HeldDial:
-    """Stands for ``Dial``: the socket is connected at once, and handed over when the test says so."""
+class ManualDial:
+    """Replaces ``Dial``: the socket is connected at once, and handed over when the test calls ``open``."""
 
-    held: list["HeldDial"] = []
+    created: list["ManualDial"] = []
 
     def __init__(
         self,
@@ -32,21 +32,21 @@
     ) -> None:
         self.sock, self.address, self._on_open = socket.create_connection(address), address, on_open
         self.closed = False
-        HeldDial.held.append(self)
+        ManualDial.created.append(self)
 
     def open(self) -> None:
-        """It comes up now."""
+        """Report the connection as established."""
         if not self.closed:
             self._on_open(self.sock)
 
     def close(self) -> None:
-        """As ``Dial.close``."""
+        """Same as ``Dial.close``."""
         self.closed = True
         self.sock.close()
 
 
-class Edge:
-    """One node and all that goes to it; ``ended`` holds what was told of each attempt."""
+class NodePoolHarness:
+    """One node and the connections to it; ``ended`` holds the reported end of each attempt."""
 
     def __init__(self, streams: int = 100) -> None:
         self.loop = VirtualLoop()
@@ -55,12 +55,12 @@
         self.events: list[str] = []
         host, port = self.node.address.split(":")
         self.nodes = NodePool(
-            self.loop, streams, ConnectionTimeouts(DIAL, 15 * SECOND), 4, 64, lambda node: (host, int(port)),
-            self.ended.append, (), lambda what, node, why: self.events.append(what),
+            self.loop, streams, ConnectionTimeouts(DIAL_TIMEOUT_NS, 15 * SECOND), 4, 64,
+            lambda node: (host, int(port)), self.ended.append, (), lambda what, node, why: self.events.append(what),
         )  # fmt: skip
 
     def start(self, *parts: int, payload: bytes = b"x", **times: int) -> None:
-        """One call of these parts; ``times`` in ns from now on, the wait is 2 s."""
+        """Start one call of these parts; ``times`` are in ns from now; the default deadline is 2 s."""
         now, deadline = self.loop.at, times.get("deadline", 2 * SECOND)
         whole = min(times.get("whole_by", deadline), deadline)
         leave = min(times.get("leave_by", whole), whole)
@@ -76,7 +76,7 @@
             self.loop.turn((end - self.loop.at) / 1e9)
 
     def settle(self) -> None:
-        """All that is on its way arrives; no time passes but some microseconds."""
+        """Deliver all data in transit; only some microseconds pass."""
         idle = 0
         while idle < 3:
             before = self.loop.at
@@ -87,27 +87,27 @@
     def connection(self) -> Connection:
         return self.nodes.connections[NODE][0]
 
-    def deafen(self, room: int) -> None:
-        """The node stops reading: its system takes some 100 kB, and ours holds back twice ``room`` bytes."""
+    def stop_reading(self, buffer: int) -> None:
+        """The node stops reading: its system buffers some 100 kB, and ours twice ``buffer`` bytes."""
         self.node.streams[0].pause()
         assert self.connection.stream is not None
-        self.connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, room)
+        self.connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, buffer)
 
-    def stuff(self, room: int = 8192) -> int:
-        """The node stops reading and the socket fills; returns the part that has left by half."""
+    def fill_socket(self, buffer: int = 8192) -> int:
+        """The node stops reading and the socket fills; returns the part that is only partly sent."""
         self.start(1000)
         self.settle()
-        self.deafen(room)
+        self.stop_reading(buffer)
         part = 1000
-        while self.connection.leaving is None:
+        while self.connection.sending is None:
             part += 1
-            assert part < 1500, "the system takes all"
-            self.start(part, payload=b"y" * BIG, deadline=60 * SECOND)
+            assert part < 1500, "the operating system accepts everything"
+            self.start(part, payload=b"y" * LARGE_PAYLOAD, deadline=60 * SECOND)
             self.settle()
         return part
 
-    def flow(self, done: Callable[[], bool] | None = None) -> None:
-        """The node reads on, up to the connection's end where nothing else is waited for."""
+    def resume_reading(self, done: Callable[[], bool] | None = None) -> None:
+        """The node reads again, until ``done`` or, by default, until the connection ends."""
         for stream in self.node.streams:
             stream.resume()
         done = done or (lambda: self.node.streams[0].closed)
@@ -115,10 +115,10 @@
             if done():
                 return
             self.loop.turn(1e-9)
-        raise AssertionError("it does not flow")
+        raise AssertionError("the node did not read to the end")
 
     def results(self) -> dict[int, Result]:
         return {one.part: one.result for one in self.ended}
 
-    def seen(self) -> set[str]:
-        return {name for name, _ in self.node.seen}
+    def received(self) -> set[str]:
+        return {name for name, _ in self.node.received}
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,6 +1,7 @@
-"""NodePool and discovery of the operators' platform on loopback, one broker between them, in virtual time.
+"""Nodes and discovery of the operators' platform on loopback, with one broker, in virtual time.
 
-A node does what ``acts`` says of a part, by what is first in its list: the name of an act below, or ``good``.
+A node treats each part by the next entry of its ``behaviors``, or by its ``default_behavior``; the names are
+in ``_reply_callback``.
 """
 
 import json
@@ -26,10 +27,10 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-WORK = 5 * MS
+WORK_NS = 5 * MS
 TIMES = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
 ID = "s-%08x"
-PORTS = random.SystemRandom()  # not the same for tests that run side by side
+PORTS = random.SystemRandom()  # differs between tests that run in parallel
 
 
 def frame(letter: bytes, rest: bytes) -> bytes:
@@ -41,15 +42,15 @@
 
 
 class Node:
-    """One node. ``seen`` holds (part id, shard) of each attempt, ``dropped`` the ids given up."""
+    """One node. ``received`` holds (part id, shard) of each attempt, ``cancelled`` the cancelled ids."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop, self.name = loop, name
         self.listener = Listener(loop, "127.0.0.1", 0, self._accept, lambda: 0, 1000)
-        self.acts: list[str] = []
-        self.always = "good"
-        self.seen: list[tuple[str, int]] = []
-        self.dropped: list[str] = []
+        self.behaviors: list[str] = []
+        self.default_behavior = "good"
+        self.received: list[tuple[str, int]] = []
+        self.cancelled: list[str] = []
         self.streams: list[Stream] = []
 
     @property
@@ -67,26 +68,26 @@
             letter, rest = held[4:5], bytes(held[5 : 4 + size])
             del held[: 4 + size]
             if letter == b"n":
-                self.dropped.append(rest.decode())
+                self.cancelled.append(rest.decode())
                 continue
             while rest:
                 line, _, rest = rest.partition(b"\n")
                 part, shard, wait, length = line.decode().split(" ")
                 text, rest = rest[: int(length)], rest[int(length) :]
                 assert wait.startswith("d=") and int(length) == len(text)
-                self.seen.append((part, int(shard)))
-                act = self.acts.pop(0) if self.acts else self.always
-                self.loop.call_in(WORK, self._later(stream, act, part, text.decode()))
+                self.received.append((part, int(shard)))
+                behavior = self.behaviors.pop(0) if self.behaviors else self.default_behavior
+                self.loop.call_in(WORK_NS, self._reply_callback(stream, behavior, part, text.decode()))
 
-    def _later(self, stream: Stream, act: str, part: str, text: str) -> Callable[[], None]:
+    def _reply_callback(self, stream: Stream, behavior: str, part: str, text: str) -> Callable[[], None]:
         def reply() -> None:
             value = value_of(part, text).encode()
             good = frame(b"q", part.encode() + b" good 7 inflight=3\n" + value)
-            match act:
+            match behavior:
                 case "good":
                     stream.write(good)
                 case "bad" | "later":
-                    stream.write(frame(b"q", f"{part} {act} 0 -\n".encode()))
+                    stream.write(frame(b"q", f"{part} {behavior} 0 -\n".encode()))
                 case "reset":
                     stream.close(reset=True)
                 case "noise":
@@ -112,72 +113,72 @@
                 case "silent":
                     pass
                 case _:
-                    raise AssertionError(act)
+                    raise AssertionError(behavior)
 
         return reply
 
 
 class Discovery:
-    """The agent on the broker's machine: whole lists and watches."""
+    """The agent on the broker's machine: full lists and watches."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: dict[int, list[dict[str, Any]]] = defaultdict(list)
-        self.waiting: list[tuple[Exchange, int]] = []
+        self.watches: list[tuple[Exchange, int]] = []
         self.silent = False
-        self.half = False  # answers begin, and never go on
+        self.half = False  # responses begin and then stall
         self.raw: bytes | None = None
-        self.on_ask: Callable[[], None] = lambda: None
-        self.asked: list[str] = []
+        self.on_request: Callable[[], None] = lambda: None
+        self.requests: list[str] = []
         self.server = HttpServer(loop, "127.0.0.1", 0, self._request, Limits(), TIMES, 100)
 
-    def tell(self, *entries: dict[str, Any]) -> None:
-        """Changes, told to whoever watches."""
+    def publish(self, *entries: dict[str, Any]) -> None:
+        """Publish changes to all open watches."""
         self.version += 1
         for entry in entries:
             self.entries[entry["id"]] = entry
             self.changes[self.version].append(entry)
             if entry["state"] == "DELETED":
                 del self.entries[entry["id"]]
-        waiting, self.waiting = self.waiting, []
+        waiting, self.watches = self.watches, []
         for exchange, since in waiting:
             self._answer(exchange, since)
 
     def _request(self, exchange: Exchange) -> None:
         target = exchange.request.target
-        self.asked.append(target)
-        self.on_ask()
+        self.requests.append(target)
+        self.on_request()
         if self.half:
             exchange.peer.stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{")
         if self.silent or self.half:
             return
         since = int(target.partition("since=")[2].partition("&")[0] or -1)
         if since == self.version and self.raw is None:
-            self.waiting.append(waits := (exchange, since))
+            self.watches.append(watch := (exchange, since))
             wait = int(target.partition("timeout_ms=")[2]) * MS
-            self.loop.call_in(wait, lambda: self._over(waits))
+            self.loop.call_in(wait, lambda: self._over(watch))
         else:
             self._answer(exchange, since)
 
-    def _over(self, waits: tuple[Exchange, int]) -> None:
-        """A watch's wait is over: it is told that nothing has changed."""
-        if waits in self.waiting:
-            self.waiting.remove(waits)
-            self._answer(*waits)
+    def _over(self, watch: tuple[Exchange, int]) -> None:
+        """The time of a watch is over: answer it without changes."""
+        if watch in self.watches:
+            self.watches.remove(watch)
+            self._answer(*watch)
 
     def _answer(self, exchange: Exchange, since: int) -> None:
         full = since < 0
-        told = list(self.entries.values())
+        servers = list(self.entries.values())
         if not full:
-            told = [entry for v in range(since + 1, self.version + 1) for entry in self.changes[v]]
-        body = {"version": self.version, "full": full, "servers": told}
+            servers = [entry for v in range(since + 1, self.version + 1) for entry in self.changes[v]]
+        body = {"version": self.version, "full": full, "servers": servers}
         exchange.respond(200, {}, self.raw if self.raw is not None else json.dumps(body).encode())
 
 
-def site(**changes: Any) -> dict[str, Any]:
-    """Settings as the platform nests them: 'any' needs 60%, 'all' everything, 'once' must not run twice."""
+def platform_settings(**changes: Any) -> dict[str, Any]:
+    """Settings as the platform nests them: 'any' needs 60% of its parts, 'once' is non-idempotent."""
     base = {"deadline": 2 * SECOND, "target": SECOND, "lateWorth": 0.1}
     return {
         "instances": 2, "me": 0, "az": 0, "tick": 5 * MS, "discovery": "push", "zones": ["a b", "c"],
@@ -203,18 +204,18 @@
 
 
 def configuration(discovery: str, listen: str, known: Any = None, /, **more: Any) -> Configuration:
-    """As a broker reads it at its start."""
-    told = {
+    """A configuration as a broker reads it at its start."""
+    document = {
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964", "known": known,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, **more.pop("limits", {})},
-        "settings": site(**more),
+        "settings": platform_settings(**more),
     }  # fmt: skip
-    return read_configuration(json.dumps(told).encode(), {"BALANCER_CONFIG": "config.json"})
+    return read_configuration(json.dumps(document).encode(), {"BALANCER_CONFIG": "config.json"})
 
 
 def free_port() -> int:
-    """Below the range from which the system picks ports of outgoing connections: else one of those, of a test
-    beside this, may hold it by the time the broker listens."""
+    """A port below the range of ephemeral ports: one of those could be used by an outgoing connection of a
+    parallel test by the time the broker listens."""
     while True:
         try:
             with socket.create_server(("127.0.0.1", PORTS.randrange(20_000, 32_000))) as probe:
@@ -224,31 +225,31 @@
 
 
 class Client:
-    """One connection to the broker; ``got`` is all that came back, ``ended`` whether the broker closed."""
+    """One connection to the broker; ``data`` is all that was received, ``ended`` why it closed, if it did."""
 
-    def __init__(self, world: "World") -> None:
-        self.world, self.got, self.ended = world, b"", ""
-        sock = socket.create_connection(("127.0.0.1", world.port))
-        self.stream = Stream(world.loop, sock, self._data, self._end)
+    def __init__(self, harness: "PlatformHarness") -> None:
+        self.harness, self.data, self.ended = harness, b"", ""
+        sock = socket.create_connection(("127.0.0.1", harness.port))
+        self.stream = Stream(harness.loop, sock, self._data, self._end)
 
     def _data(self, data: bytes) -> None:
-        self.got += data
+        self.data += data
 
     def _end(self, why: str) -> None:
         self.ended = why
 
     @property
     def status(self) -> int:
-        """Of the last answer; 0 where there is none."""
-        head = self.got.rfind(b"HTTP/1.1 ")
-        return int(self.got[head + 9 : head + 12]) if head >= 0 else 0
+        """Status of the last response; 0 where there is none."""
+        head = self.data.rfind(b"HTTP/1.1 ")
+        return int(self.data[head + 9 : head + 12]) if head >= 0 else 0
 
     @property
     def answer(self) -> Any:
-        return json.loads(self.got.rpartition(b"\r\n\r\n")[2])
+        return json.loads(self.data.rpartition(b"\r\n\r\n")[2])
 
 
-class World:
+class PlatformHarness:
     """Two sets of two nodes (set = shard modulo 2), discovery, one broker, all on one loop."""
 
     def __init__(self, make_module: Callable[[Settings, int], Module] = Aggregator, **more: Any) -> None:
@@ -269,19 +270,19 @@
         self.run(0.05)
 
     def restart(self, known: Any = None, **changes: Any) -> None:
-        """The broker is killed and started anew; ``changes`` replace fields of its configuration."""
+        """Kill the broker and start a new one; ``changes`` replace fields of its configuration."""
         self.broker.close()
         config = replace(self.config, known=known, **changes)
         self.broker = Broker(config, self.loop, self.make_module, wall_ms=lambda: self.loop.now / MS)
 
     def known(self) -> TargetList:
-        """The list as a broker that starts is told that it last held it: all nodes serve."""
+        """The list that a restarted broker held before: all nodes serve."""
         return TargetList(1, True, [Target(**self.entry(number)) for number in range(4)])
 
     def phase(self, number: int) -> Phase | None:
-        """What the broker holds of a node; None where it is gone."""
-        known = self.broker.targets.nodes.get(self.nodes[number].name.encode())
-        return None if known is None else known.phase
+        """The phase of a node in the broker's list; None where it is not listed."""
+        listed = self.broker.targets.nodes.get(self.nodes[number].name.encode())
+        return None if listed is None else listed.phase
 
     def entry(self, number: int, state: str = "SERVING", **more: Any) -> dict[str, Any]:
         node = self.nodes[number]
@@ -307,23 +308,23 @@
         lines = [f"{name}: {value}" for name, value in headers.items() if value is not None]
         return "\r\n".join([f"POST {path} HTTP/1.1", *lines, "", ""]).encode("latin-1") + body
 
-    def ask(self, *words: Any, seconds: float = 3.0, **change: Any) -> Client:
+    def ask(self, *args: Any, seconds: float = 3.0, **change: Any) -> Client:
         """One request over a connection of its own, until it is answered."""
         client = Client(self)
-        client.stream.write(self.request(*words, **change))
-        self.until(lambda: client.status > 0 or bool(client.ended), seconds)
+        client.stream.write(self.request(*args, **change))
+        self.run_until(lambda: client.status > 0 or bool(client.ended), seconds)
         return client
 
-    def until(self, done: Callable[[], bool], seconds: float = 3.0) -> bool:
+    def run_until(self, done: Callable[[], bool], seconds: float = 3.0) -> bool:
         end = self.loop.at + int(seconds * SECOND)
         while not done() and self.loop.at < end:
             self.loop.turn((end - self.loop.at) / 1e9)
         return done()
 
-    def acts(self, act: str, numbers: tuple[int, ...] = (0, 1, 2, 3)) -> None:
-        """What nodes do from now on."""
+    def set_behavior(self, behavior: str, numbers: tuple[int, ...] = (0, 1, 2, 3)) -> None:
+        """Set the default behavior of nodes."""
         for number in numbers:
-            self.nodes[number].always = act
+            self.nodes[number].default_behavior = behavior
 
-    def seen(self) -> list[tuple[str, int]]:
-        return [one for node in self.nodes for one in node.seen]
+    def received(self) -> list[tuple[str, int]]:
+        return [one for node in self.nodes for one in node.received]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file's ``run`` as the platform starts it: one real process, its signals, and what it touches."""
+"""The ``run`` command of the deploy file as the platform starts it: a real process and its signals."""
 
 import json
 import os
@@ -13,69 +13,73 @@
 
 import pytest
 
-from tests.standins.platform import free_port, site
+from tests.standins.platform import free_port, platform_settings
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 MODULE = "quincepath.platform"
-# Tells of each thing that the platform refuses, as the interpreter does it; reading is no matter.
-WATCHED = f"""
+# Reports each operation that the platform rejects, by audit events; reading files is allowed.
+AUDIT_SCRIPT = f"""
 import os, runpy, socket, sys
 def hook(event, args):
-    told = None
+    violation = None
     if event in ("subprocess.Popen", "os.fork", "os.forkpty", "os.posix_spawn", "os.exec", "os.system"):
-        told = event
+        violation = event
     elif event == "socket.__new__" and (args[1], args[2] & 0xf) not in {{(2, 1), (2, 2)}}:
-        told = f"socket family {{args[1]}}"
+        violation = f"socket family {{args[1]}}"
     elif event == "open" and isinstance(args[2], int) and args[2] & (os.O_WRONLY | os.O_RDWR):
-        told = f"writes {{args[0]}}"
-    if told:
-        os.write(2, f"REFUSED {{told}}\\n".encode())
+        violation = f"writes {{args[0]}}"
+    if violation:
+        os.write(2, f"REFUSED {{violation}}\\n".encode())
 sys.addaudithook(hook)
 runpy.run_module("{MODULE}", run_name="__main__", alter_sys=True)
 """
-LONGEST = 60.0  # seconds that a process of a test may live
-FAMILY_UNIX = "REFUSED socket family 1"  # the pair by which signals wake the loop; nobody comes to it
+MAX_LIFETIME_S = 60.0  # of a process in a test
+FAMILY_UNIX = (
+    "REFUSED socket family 1"  # the socket pair by which signals wake the loop; it accepts no connections
+)
 
 
-class Program:
-    """One process as ``run`` starts it, with its file in a folder of its own."""
+class BrokerProcess:
+    """One process as ``run`` starts it, with its configuration file in a folder of its own."""
 
     def __init__(self, folder: Path, *command: str) -> None:
         self.port = free_port()
         self.discovery = socket.create_server(("127.0.0.1", 0))
         self.file = folder / "config.json"
         self.write(f"127.0.0.1:{self.discovery.getsockname()[1]}")
-        self.process = subprocess.Popen(
+        self.popen = subprocess.Popen(
             command,
             cwd=ROOT,
             env={**os.environ, "BALANCER_CONFIG": str(self.file), "PYTHONDONTWRITEBYTECODE": "1"},
-            stdin=subprocess.PIPE,  # a wrapper of a test may wait for a word
+            stdin=subprocess.PIPE,  # a test's wrapper script may wait for input
             stderr=subprocess.PIPE,
             text=True,
         )
-        self.watchdog = threading.Timer(LONGEST, self.process.kill)  # a wait for a line ends with the process
+        self.watchdog = threading.Timer(
+            MAX_LIFETIME_S, self.popen.kill
+        )  # reading a line ends with the process
         self.watchdog.start()
 
     def write(self, discovery: str) -> None:
-        """A whole configuration naming a discovery."""
+        """Write a whole configuration with this address of discovery."""
         node = {"id": "s-1", "addr": "127.0.0.1:9", "zone": "c", "kind": "m2", "cell": 0, "state": "SERVING"}
-        told: dict[str, Any] = {
+        document: dict[str, Any] = {
             "name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": discovery,
             "seed": "8c1f30d27a5be964", "known": {"version": 1, "full": True, "servers": [node]},
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": site(),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": platform_settings(),
         }  # fmt: skip
-        self.file.write_text(json.dumps(told))
+        self.file.write_text(json.dumps(document))
 
-    def until(self, words: str) -> list[str]:
-        """The log up to a line with these words; ends with the process, at the latest by the watchdog."""
-        assert self.process.stderr is not None
+    def read_until(self, text: str) -> list[str]:
+        """The log up to a line with this text; ends with the process, at the latest by the watchdog."""
+        assert self.popen.stderr is not None
         lines = []
-        for line in self.process.stderr:
+        for line in self.popen.stderr:
             lines.append(line)
-            if words in line:
+            if text in line:
                 return lines
-        raise AssertionError(f"no {words!r} in {lines}")
+        raise AssertionError(f"no {text!r} in {lines}")
 
     def get(self, path: str) -> bytes:
         with socket.create_connection(("127.0.0.1", self.port), 10) as client:
@@ -84,51 +88,53 @@
 
     def end(self) -> None:
         self.watchdog.cancel()
-        self.process.kill()
-        self.process.wait()
+        self.popen.kill()
+        self.popen.wait()
         self.discovery.close()
-        assert self.process.stderr is not None and self.process.stdin is not None
-        self.process.stderr.close()
-        self.process.stdin.close()
+        assert self.popen.stderr is not None and self.popen.stdin is not None
+        self.popen.stderr.close()
+        self.popen.stdin.close()
 
 
-def test_run_is_one_process_by_exec_and_build_mends_an_environment_left_behind() -> None:
-    words = DEPLOY["run"].split()
-    assert words[0] == "exec" and words[-2:] == ["-m", MODULE] and not set(DEPLOY["run"]) & set("|&;<>")
+def test_run_is_one_process_by_exec_and_build_replaces_a_leftover_environment() -> None:
+    command = DEPLOY["run"].split()
+    assert command[0] == "exec" and command[-2:] == ["-m", MODULE] and not set(DEPLOY["run"]) & set("|&;<>")
     assert "venv --clear" in DEPLOY["build"] and "bin/pip" not in DEPLOY["build"]
 
 
-def test_the_program_starts_no_other_opens_only_inet_sockets_and_writes_no_file(tmp_path: Path) -> None:
-    program = Program(tmp_path, sys.executable, "-c", WATCHED)
+def test_the_process_starts_no_other_opens_only_inet_sockets_and_writes_no_file(tmp_path: Path) -> None:
+    process = BrokerProcess(tmp_path, sys.executable, "-c", AUDIT_SCRIPT)
     try:
-        seen = program.until("serves on")
-        assert b"200" in program.get("/-/ready").partition(b"\r\n")[0]
-        program.process.send_signal(signal.SIGTERM)
-        seen += program.until("all is answered")
-        assert program.process.wait(20) == 0
-        assert program.process.stderr is not None
-        seen += list(program.process.stderr)
+        seen = process.read_until("serves on")
+        assert b"200" in process.get("/-/ready").partition(b"\r\n")[0]
+        process.popen.send_signal(signal.SIGTERM)
+        seen += process.read_until("all is answered")
+        assert process.popen.wait(20) == 0
+        assert process.popen.stderr is not None
+        seen += list(process.popen.stderr)
         refused = {line.strip() for line in seen if line.startswith("REFUSED")}
         assert refused <= {FAMILY_UNIX}
     finally:
-        program.end()
+        process.end()
 
 
 @pytest.mark.parametrize("bad", ["{", '{"discovery": 7}', ""])
-def test_a_broken_file_at_sighup_is_told_and_the_next_good_one_counts(tmp_path: Path, bad: str) -> None:
-    program = Program(tmp_path, sys.executable, "-m", MODULE)
+def test_an_invalid_file_at_sighup_is_reported_and_the_next_valid_one_takes_effect(
+    tmp_path: Path, bad: str
+) -> None:
+    process = BrokerProcess(tmp_path, sys.executable, "-m", MODULE)
     try:
-        program.until("serves on")
-        program.file.write_text(bad)
-        program.process.send_signal(signal.SIGHUP)
-        program.until("stays in force")
+        process.read_until("serves on")
+        process.file.write_text(bad)
+        process.popen.send_signal(signal.SIGHUP)
+        process.read_until("stays in force")
         with socket.create_server(("127.0.0.1", 0)) as moved:
-            program.write(f"127.0.0.1:{moved.getsockname()[1]}")
-            program.process.send_signal(signal.SIGHUP)
-            program.until("discovery is now at")
+            process.write(f"127.0.0.1:{moved.getsockname()[1]}")
+            process.popen.send_signal(signal.SIGHUP)
+            process.read_until("discovery is now at")
             moved.settimeout(20)
             asked, _ = moved.accept()
             asked.close()
-        assert b"200" in program.get("/-/healthy").partition(b"\r\n")[0]
+        assert b"200" in process.get("/-/healthy").partition(b"\r\n")[0]
     finally:
-        program.end()
+        process.end()
