--- a/quincepath/broker/service/tracing.py
+++ b/quincepath/broker/service/tracing.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.broker.service.figures import answer_of
 from quincepath.broker.service.guest import Guest
 from quincepath.config.schema import Config
@@ -13,7 +13,7 @@
 from quincepath.interface import NodeId
 from quincepath.net.loop import Loop
 from quincepath.observe.traces import Traces
-from quincepath.orders import Ended, StartCall
+from quincepath.orders import AttemptEnded, StartCall
 
 
 def open_traces(config: Config, base: Path, seed: int, loop: Loop) -> Traces | None:
@@ -37,11 +37,11 @@
     def sent(self, now: int, order: StartCall) -> None:
         name = self.name(order.node)
         for one in order.attempts:
-            self.traces.sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
+            self.traces.attempt_sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
 
-    def came(self, now: int, part: OpenPart, item: Ended) -> None:
+    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         outcome = item.result.name.lower()
-        self.traces.came(part.query.ask.handle, item.part, item.attempt, outcome, item.cause, now)
+        self.traces.attempt_ended(part.query.ask.handle, item.part, item.attempt, outcome, item.cause, now)
 
     def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
         finish, entry = ended.finish, ended.context.entry
--- a/quincepath/platform/connection.py
+++ b/quincepath/platform/connection.py
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 from quincepath.interface import NodeId
-from quincepath.net.dial import LATE, Dial, why
+from quincepath.net.dial import CONNECT_TIMED_OUT, Dial, describe_connect_error
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Stream
 from quincepath.platform.connection_state import ConnectionState, ConnectionTimeouts
 from quincepath.platform.frames import MAX_FRAME_BYTES, CallPart, FrameError, Reply, call_frame, cancel_frame
 from quincepath.platform.outgoing import OutgoingAttempt, OutgoingFrame
-from quincepath.upstream.outcomes import End, Meaning, of_transport
+from quincepath.upstream.outcomes import CallEnd, CallOutcome, transport_outcome
 
 MS = 1_000_000
 
@@ -31,7 +31,7 @@
         """Called with the whole reply to an attempt."""
         ...
 
-    def end_attempt(self, attempt: OutgoingAttempt, meaning: Meaning) -> None:
+    def end_attempt(self, attempt: OutgoingAttempt, outcome: CallOutcome) -> None:
         """Called when an attempt has ended."""
         ...
 
@@ -67,8 +67,13 @@
 
     def _on_dial_failed(self, code: int) -> None:
         self.dial = None
-        end = {LATE: End.DIAL_TIMEOUT, errno.ECONNREFUSED: End.REFUSED}.get(code, End.UNREACHABLE)
-        self.end_all(of_transport(end, why(code)), of_transport(end, why(code)))
+        end = {CONNECT_TIMED_OUT: CallEnd.DIAL_TIMEOUT, errno.ECONNREFUSED: CallEnd.REFUSED}.get(
+            code, CallEnd.UNREACHABLE
+        )
+        self.end_all(
+            transport_outcome(end, describe_connect_error(code)),
+            transport_outcome(end, describe_connect_error(code)),
+        )
 
     def send(self, frame: OutgoingFrame) -> None:
         """Queue the frame of a call; the connection may carry its ids."""
@@ -107,7 +112,7 @@
         for attempt in expired:
             frame.attempts.remove(attempt)
             self.state.remove(attempt.id)
-            self.owner.end_attempt(attempt, of_transport(End.NOT_LEFT))
+            self.owner.end_attempt(attempt, transport_outcome(CallEnd.NOT_SENT))
         if not frame.attempts:
             return False
         for attempt in frame.attempts:
@@ -142,7 +147,11 @@
             # reset, so that calls still in the system's send buffer do not arrive late either.
             text = "it took no more bytes"
             self.owner.on_event("blocked connection", self.node, text)
-            self.end_all(of_transport(End.LOST_UNSENT, text), of_transport(End.BLOCKED, text), reset=True)
+            self.end_all(
+                transport_outcome(CallEnd.LOST_UNSENT, text),
+                transport_outcome(CallEnd.CLOSED_AFTER_PARTIAL_WRITE, text),
+                reset=True,
+            )
             return True
         for frame in self.queue:
             if attempt in frame.attempts:
@@ -168,15 +177,15 @@
         concerned = self.state.in_flight.get(frame_error.part) or (sent[0] if sent else None)
         if isinstance(concerned, OutgoingAttempt):
             self.state.cancel(concerned.id)
-            self.owner.end_attempt(concerned, of_transport(End.PROTOCOL, frame_error.text))
+            self.owner.end_attempt(concerned, transport_outcome(CallEnd.PROTOCOL, frame_error.text))
         self.owner.on_event("spoilt connection", self.node, frame_error.text)
-        unsent = of_transport(End.LOST_UNSENT, frame_error.text)
-        self.end_all(unsent, of_transport(End.SPOILT, frame_error.text))
+        unsent = transport_outcome(CallEnd.LOST_UNSENT, frame_error.text)
+        self.end_all(unsent, transport_outcome(CallEnd.CLOSED_AFTER_BAD_ANSWER, frame_error.text))
 
     def _on_lost(self, text: str) -> None:
-        self.end_all(of_transport(End.LOST_UNSENT, text), of_transport(End.LOST, text))
+        self.end_all(transport_outcome(CallEnd.LOST_UNSENT, text), transport_outcome(CallEnd.LOST, text))
 
-    def end_all(self, unsent: Meaning, sent: Meaning, reset: bool = False) -> None:
+    def end_all(self, unsent: CallOutcome, sent: CallOutcome, reset: bool = False) -> None:
         """Close the connection; each attempt on it ends according to whether its frame was sent."""
         attempts = [a for a in self.state.in_flight.values() if isinstance(a, OutgoingAttempt)]
         self.close(reset)
--- a/quincepath/platform/discovery.py
+++ b/quincepath/platform/discovery.py
@@ -4,16 +4,15 @@
 import socket
 from collections.abc import Callable
 
-from quincepath.net.dial import Dial, why
+from quincepath.net.dial import Dial, describe_connect_error
 from quincepath.net.http1 import HttpError, Limits, Response, ResponseReader, request_bytes
 from quincepath.net.loop import Loop, Timer
 from quincepath.net.stream import Stream
 from quincepath.platform.list_timing import MS, response_timeout, retry_delay, watch_wait_ms
 
 MAX_BODY_BYTES = 1024 * 1024
-CLEAN_END = (
-    "end of stream"  # how a stream reports that its peer closed it on purpose; a reset has other texts
-)
+# How a stream reports that its peer closed it on purpose; a reset has other texts.
+CLEAN_END = "end of stream"
 
 
 class Discovery:
@@ -44,9 +43,7 @@
         self._answered_once = False  # a call was answered since the start
         self.failures = 0  # consecutive failed calls
         self.shared = shared  # one service for all brokers, rather than an agent on this machine
-        self.refusals = (
-            0  # of these, the latest consecutive ones in which a shared service said that it cannot
-        )
+        self.refusals = 0  # of these, the latest consecutive ones in which a shared service refused
         self._dial: Dial | None = None
         self._stream: Stream | None = None
         self._reader = ResponseReader(Limits(body=MAX_BODY_BYTES))
@@ -103,7 +100,7 @@
         return watch_wait_ms(self.wait_ms, self.failures if self._answered_once else 1)
 
     def _on_dial_failed(self, code: int) -> None:
-        self._fail(why(code))
+        self._fail(describe_connect_error(code))
 
     def _on_open(self, sock: socket.socket) -> None:
         self._dial = None
--- a/quincepath/platform/nodes.py
+++ b/quincepath/platform/nodes.py
@@ -5,19 +5,19 @@
 
 from quincepath.interface import NodeId, Result
 from quincepath.net.loop import Loop
-from quincepath.orders import Ended, StartCall
+from quincepath.orders import AttemptEnded, StartCall
 from quincepath.platform.connection import Connection
 from quincepath.platform.connection_state import ConnectionTimeouts
 from quincepath.platform.frames import FrameError, Reply, read_report
 from quincepath.platform.outgoing import Key, OutgoingAttempt, OutgoingFrame
-from quincepath.upstream.outcomes import End, Meaning, of_transport
+from quincepath.upstream.outcomes import CallEnd, CallOutcome, transport_outcome
 
 MS = 1_000_000
 SWEEP_INTERVAL_NS = 100 * MS
-REPLY_MEANINGS = {
-    b"good": Meaning(Result.OK, ""),
-    b"bad": Meaning(Result.ERROR, "the node said bad"),
-    b"later": Meaning(Result.FULL, "the node turned it away"),
+REPLY_OUTCOMES = {
+    b"good": CallOutcome(Result.OK, ""),
+    b"bad": CallOutcome(Result.ERROR, "the node said bad"),
+    b"later": CallOutcome(Result.FULL, "the node turned it away"),
 }
 
 
@@ -37,7 +37,7 @@
         max_per_node: int,
         max_open: int,
         address_of: Callable[[NodeId], tuple[str, int] | None],
-        on_ended: Callable[[Ended], None],
+        on_ended: Callable[[AttemptEnded], None],
         report_fields: tuple[str, ...] = (),
         on_event: Callable[[str, NodeId, str], None] = lambda what, node, why: None,
     ) -> None:
@@ -58,16 +58,16 @@
         for attempt in order.attempts:
             key = (attempt.part, attempt.attempt)
             id = f"{attempt.query_name}.{attempt.shard}".encode()
-            outgoing = OutgoingAttempt(key, attempt, id, attempt.leave_by)
+            outgoing = OutgoingAttempt(key, attempt, id, attempt.send_start_by)
             self.in_flight[key] = outgoing
             started.append(outgoing)
         address = self._address_of(order.node)
         if address is None:
-            self._end_each(started, of_transport(End.UNLISTED))
+            self._end_each(started, transport_outcome(CallEnd.UNLISTED))
             return
         connection = self._connection(order.node, address, started)
         if connection is None:
-            self._end_each(started, of_transport(End.NO_PLACE))
+            self._end_each(started, transport_outcome(CallEnd.NO_FREE_CONNECTION))
             return
         for outgoing in started:
             outgoing.carrier = connection
@@ -122,7 +122,7 @@
         if outgoing is not None:
             if outgoing.carrier is not None:
                 outgoing.carrier.cancel(outgoing)
-            self.end_attempt(outgoing, of_transport(End.STOPPED))
+            self.end_attempt(outgoing, transport_outcome(CallEnd.STOPPED))
 
     def withdraw(self, part: int, attempt: int) -> None:
         """Stop an attempt that is not wholly sent; one that is goes on."""
@@ -130,12 +130,16 @@
         if outgoing is not None and not outgoing.sent:
             self.stop(part, attempt)
 
-    def leave_by(self, node: NodeId, at: int) -> None:
+    def limit_send_start(self, node: NodeId, at: int) -> None:
         """No attempt queued for a node may start to be sent after ``at``."""
         for connection in self.connections.get(node, ()):
             for outgoing in connection.state.in_flight.values():
-                if isinstance(outgoing, OutgoingAttempt) and not outgoing.sent and at < outgoing.leave_by:
-                    outgoing.leave_by = at
+                if (
+                    isinstance(outgoing, OutgoingAttempt)
+                    and not outgoing.sent
+                    and at < outgoing.send_start_by
+                ):
+                    outgoing.send_start_by = at
                     self._set_timer(outgoing)
 
     def _set_timer(self, outgoing: OutgoingAttempt) -> None:
@@ -144,7 +148,7 @@
         outgoing.timer = self.loop.call_at(outgoing.expires_at(), lambda: self._on_timer(outgoing))
 
     def _on_timer(self, outgoing: OutgoingAttempt) -> None:
-        """End an attempt whose time to be sent or answered is over, unless it made progress meanwhile."""
+        """CallEnd an attempt whose time to be sent or answered is over, unless it made progress meanwhile."""
         if outgoing.key not in self.in_flight or outgoing.carrier is None:
             return
         if self.loop.now < outgoing.expires_at():
@@ -152,17 +156,17 @@
             return
         never_ran = outgoing.carrier.cancel(outgoing)
         self.counts["not_left"] += never_ran
-        self.end_attempt(outgoing, of_transport(End.NOT_LEFT if never_ran else End.TIMEOUT))
+        self.end_attempt(outgoing, transport_outcome(CallEnd.NOT_SENT if never_ran else CallEnd.TIMEOUT))
 
     def on_reply(self, attempt: OutgoingAttempt, reply: Reply) -> None:
         """Handle the whole reply to an attempt."""
         body = reply.value if reply.status == b"good" else None
-        self.end_attempt(attempt, REPLY_MEANINGS[reply.status], body, read_report(reply.report, self._fields))
+        self.end_attempt(attempt, REPLY_OUTCOMES[reply.status], body, read_report(reply.report, self._fields))
 
     def end_attempt(
         self,
         attempt: OutgoingAttempt,
-        meaning: Meaning,
+        outcome: CallOutcome,
         body: str | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
@@ -171,12 +175,14 @@
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self.counts[meaning.result.name.lower()] += 1
-        self._on_ended(Ended(attempt.key[0], attempt.key[1], meaning.result, body, meaning.cause, report))
+        self.counts[outcome.result.name.lower()] += 1
+        self._on_ended(
+            AttemptEnded(attempt.key[0], attempt.key[1], outcome.result, body, outcome.cause, report)
+        )
 
-    def _end_each(self, attempts: list[OutgoingAttempt], meaning: Meaning) -> None:
+    def _end_each(self, attempts: list[OutgoingAttempt], outcome: CallOutcome) -> None:
         for attempt in attempts:
-            self.end_attempt(attempt, meaning)
+            self.end_attempt(attempt, outcome)
 
     def detach(self, connection: Connection) -> None:
         """Stop using a connection; its socket may still be closing."""
--- a/quincepath/platform/outgoing.py
+++ b/quincepath/platform/outgoing.py
@@ -39,7 +39,7 @@
     key: Key
     order: AttemptOrder
     id: bytes
-    leave_by: int  # the order's limit, or an earlier one set since
+    send_start_by: int  # the order's limit, or an earlier one set since
     carrier: Carrier | None = None
     written: bool = False  # its frame is in the stream: only closing the connection keeps it from being sent
     sent: bool = False  # its last byte was accepted by the operating system
@@ -47,14 +47,14 @@
 
     def may_begin(self, now: int) -> bool:
         """Whether its first byte may be sent now."""
-        return now <= self.leave_by
+        return now <= self.send_start_by
 
     def expires_at(self) -> int:
         """When the attempt ends if nothing else happens."""
         if self.sent:
             return self.order.deadline
         begun = self.written and self.carrier is not None and self.carrier.send_started(self)
-        return self.order.whole_by if begun else self.leave_by
+        return self.order.send_complete_by if begun else self.send_start_by
 
 
 @dataclass(slots=True, eq=False)
--- a/quincepath/platform/service.py
+++ b/quincepath/platform/service.py
@@ -10,25 +10,25 @@
 
 import msgspec
 
-from quincepath.broker.driver import Driver, Module
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.interface import Members, NodeId, Phase, Scope, Settings
-from quincepath.limits.door import Bounds, Door
+from quincepath.limits.gate import AdmissionGate, Bounds
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop, Timer
-from quincepath.net.server import Exchange, HttpServer, Peer, Times
+from quincepath.net.server import ClientConnection, Exchange, HttpServer, Timeouts
 from quincepath.orders import (
-    Arrived,
+    AttemptEnded,
     Breach,
     ClientLeft,
-    Ended,
     Finish,
     Input,
-    LeaveBy,
-    Listed,
-    ReadList,
+    LogLine,
+    MembershipUpdate,
+    NodeSendDeadline,
+    QueryArrived,
+    RefreshMembership,
     StartCall,
     StopAttempt,
-    Told,
     Verdict,
     Withdraw,
 )
@@ -59,7 +59,7 @@
         self,
         config: Configuration,
         loop: Loop,
-        make_module: Callable[[Settings, int], Module] = Aggregator,
+        make_module: Callable[[Settings, int], DecisionModule] = Aggregator,
         wall_ms: Callable[[], float] = lambda: time.time() * 1000,
     ) -> None:
         self.config, self.loop, self.site, self._wall_ms = config, loop, config.site, wall_ms
@@ -67,14 +67,15 @@
         self.driver = Driver(
             make_module(config.settings, config.seed), config.settings, config.site.drain_grace
         )
-        self.admission = Door(
+        self.admission = AdmissionGate(
             Bounds(config.site.max_open, config.settings.limits.max_retry_after), config.seed + 1
         )
         self.targets = TargetTable(config.site.zones, config.site.kinds)
         self.exchanges: dict[int, Exchange] = {}
         self.open_ids: dict[str, int] = {}  # handles of the open queries, by the clients' ids
         self._id_by_handle: dict[int, str] = {}
-        self._query_peers: dict[Peer, None] = {}  # that brought queries, least recently used first
+        # Connections that brought queries, least recently used first.
+        self._query_connections: dict[ClientConnection, None] = {}
         self._inputs: list[Input] = []
         self._last_handle = 0
         self._wakeup: Timer | None = None
@@ -111,11 +112,11 @@
         self.server = HttpServer(
             loop, config.listen[0], config.listen[1], self._on_request,
             Limits(descriptors.MAX_HEADER_BYTES, descriptors.MAX_BODY_BYTES),
-            Times(
+            Timeouts(
                 descriptors.IDLE_NS, descriptors.REQUEST_NS, descriptors.WRITE_NS,
                 descriptors.FIRST_REQUEST_NS, descriptors.LINGER_NS,
             ),
-            connection_limits.clients + 8, self._on_accepting_paused, make_room=self._make_room,
+            connection_limits.clients + 8, self._on_accepting_paused, enforce_limit=self._enforce_limit,
         )  # fmt: skip
         loop.turn_hooks.append(self._on_turn)
         loop.call_in(REPORT_INTERVAL_NS, self._report)
@@ -147,29 +148,31 @@
             self.counts["turned away at the end"] += 1
             exchange.request.keep_alive = False
             exchange.respond(
-                *refusal("stopping", self._retry_after(self.admission.turn_away("stopping").retry_in))
+                *refusal(
+                    "stopping", self._retry_after(self.admission.reject_with_base_delay("stopping").retry_in)
+                )
             )
             return
         if left < ask.time_left:
             ask = replace(ask, time_left=left)
         rejection = self.admission.admit(
-            self.loop.now, self.driver.held() + self._arriving(), 1 + len(ask.parts)
+            self.loop.now, self.driver.open_count() + self._arriving(), 1 + len(ask.parts)
         )
         if rejection is not None:
             self.counts["turned away"] += 1
             exchange.respond(*refusal(rejection.cause, self._retry_after(rejection.retry_in)))
             return
         self.counts["taken"] += 1
-        self._mark_as_kept(exchange.peer)
+        self._mark_as_kept(exchange.connection)
         self.exchanges[handle] = exchange
         self.open_ids[ask.name] = handle
         self._id_by_handle[handle] = ask.name
-        exchange.on_left = lambda: self._on_client_left(handle)
-        self._inputs.append(Arrived(ask))
+        exchange.on_disconnect = lambda: self._on_client_left(handle)
+        self._inputs.append(QueryArrived(ask))
 
     def _arriving(self) -> int:
         """Queries and parts accepted in this turn, which the driver does not know yet."""
-        return sum(1 + len(item.ask.parts) for item in self._inputs if isinstance(item, Arrived))
+        return sum(1 + len(item.ask.parts) for item in self._inputs if isinstance(item, QueryArrived))
 
     def _retry_after(self, retry_in: int) -> int:
         return retry_in if self.config.settings.limits.retry_after else 0
@@ -197,27 +200,27 @@
             self.counts["left"] += 1
             self._inputs.append(ClientLeft(handle))
 
-    def _mark_as_kept(self, peer: Peer) -> None:
+    def _mark_as_kept(self, connection: ClientConnection) -> None:
         """Mark a connection that brought a query as kept; above the limit close the least recently used one.
 
         Guards against clients that ask once and keep the connection open: they may hold only a limited number
         of connections, and a later query of theirs would find none free on their side.
         """
-        peer.valued = True
-        self._query_peers.pop(peer, None)
-        self._query_peers[peer] = None
-        if len(self._query_peers) > self.connection_limits.kept:
-            closing = next((p for p in self._query_peers if p.closing), None)
-            oldest = closing or next((p for p in self._query_peers if not p.busy), None)
+        connection.valued = True
+        self._query_connections.pop(connection, None)
+        self._query_connections[connection] = None
+        if len(self._query_connections) > self.connection_limits.kept:
+            closing = next((c for c in self._query_connections if c.closing), None)
+            oldest = closing or next((c for c in self._query_connections if not c.busy), None)
             if oldest is not None:
-                del self._query_peers[oldest]
+                del self._query_connections[oldest]
                 if oldest.waits():
                     oldest.end("cut, unused for longest")
 
-    def _make_room(self, server: HttpServer, newest: Peer) -> None:
-        if len(server.peers) - len(server.lingering) <= self.connection_limits.clients:
+    def _enforce_limit(self, server: HttpServer, newest: ClientConnection) -> None:
+        if len(server.connections) - len(server.lingering) <= self.connection_limits.clients:
             return
-        found = descriptors.evict(self.loop.now, (peer for peer in server.peers if peer is not newest))
+        found = descriptors.evict(self.loop.now, (c for c in server.connections if c is not newest))
         if found is None:
             newest.end("cut as it came")
         else:
@@ -232,7 +235,7 @@
         listed = self.targets.nodes.get(node)
         return None if listed is None else (listed.host, listed.port)
 
-    def _on_attempt_ended(self, ended: Ended) -> None:
+    def _on_attempt_ended(self, ended: AttemptEnded) -> None:
         self._inputs.append(ended)
 
     def _on_node_event(self, what: str, node: NodeId, why: str) -> None:
@@ -243,7 +246,7 @@
         members = self.targets.apply(self.loop.now, self._wall_ms(), update, cached, base)
         if members is None:
             return
-        self._inputs.append(Listed(members))
+        self._inputs.append(MembershipUpdate(members))
         listed = set()
         for entry in members.entries:
             listed.add(entry.node)
@@ -272,7 +275,7 @@
         # list has a price.
         if self.site.pull_discovery and not self._failure_reported:
             self._failure_reported = True
-            self._inputs.append(Listed(Members(Scope.FAILED, max(self.targets.version, 0), ())))
+            self._inputs.append(MembershipUpdate(Members(Scope.FAILED, max(self.targets.version, 0), ())))
 
     # --- driver ---
 
@@ -306,16 +309,16 @@
                 self.nodes.stop(part, attempt)
             case Withdraw(part, attempt):
                 self.nodes.withdraw(part, attempt)
-            case LeaveBy(node, at):
-                self.nodes.leave_by(node, at)
+            case NodeSendDeadline(node, at):
+                self.nodes.limit_send_start(node, at)
             case Finish():
                 self._finish(order)
-            case Told(text):
+            case LogLine(text):
                 log.warning("module: %s", text)
             case Breach(name, detail):
                 self.counts[f"breach {name}"] += 1
                 log.error("contract violated, effect suppressed: %s: %s", name, detail)
-            case ReadList():
+            case RefreshMembership():
                 self._failure_reported = False
                 if not self._discovery_ok:  # else the open watch reports all changes
                     self.discovery.refresh()
@@ -324,7 +327,7 @@
         exchange = self._remove_exchange(finish.handle)
         if exchange is None:
             return
-        exchange.on_left = None
+        exchange.on_disconnect = None
         answered = finish.verdict is Verdict.ANSWERED
         self.counts["whole" if answered and finish.whole else finish.verdict.value] += 1
         if not answered:
@@ -354,8 +357,9 @@
         log.info(
             "counts=%s attempts=%s server=%s peers=%d nodes=%d parts=%d "
             "turn_ms=%.1f late_ms=%.1f cpu_s=%.2f rss_kb=%d",
-            dict(self.counts), dict(self.nodes.counts), dict(self.server.counts), len(self.server.peers),
-            self.nodes.open_count(), len(self.driver.parts), self.slowest_turn / MS, self.max_lateness / MS,
+            dict(self.counts), dict(self.nodes.counts), dict(self.server.counts),
+            len(self.server.connections), self.nodes.open_count(), len(self.driver.parts),
+            self.slowest_turn / MS, self.max_lateness / MS,
             time.process_time(), pages * os.sysconf("SC_PAGE_SIZE") // 1024,
         )  # fmt: skip
         self.slowest_turn = self.max_lateness = 0
@@ -380,13 +384,13 @@
     def _drain_clients(self) -> None:
         self.server.drain()
         assert self.shutdown.answer_by is not None
-        self.loop.call_at(self.shutdown.answer_by, self.server.break_off)
+        self.loop.call_at(self.shutdown.answer_by, self.server.reject_incomplete_requests)
         self._stop_when_done()
 
     def _stop_when_done(self) -> None:
         # Lingering connections are waited for, but not until SIGKILL; every open query must be answered.
         last = self.shutdown.exits_at()
-        if self.exchanges or self.server.peers and self.loop.now < last:
+        if self.exchanges or self.server.connections and self.loop.now < last:
             again = self.loop.now + SHUTDOWN_POLL_NS
             self.loop.call_at(min(again, last) if self.loop.now < last else again, self._stop_when_done)
         elif self.on_stopped is not None:
--- a/quincepath/platform/status.py
+++ b/quincepath/platform/status.py
@@ -42,9 +42,10 @@
     }  # fmt: skip
     return {
         "counts": dict(broker.counts), "attempts": dict(broker.nodes.counts),
-        "clients": len(broker.server.peers),
-        "server": dict(broker.server.counts), "open": len(broker.exchanges), "held": broker.driver.held(),
-        "lingering": broker.driver.lingering(), "out": dict(believed), "connections": connections,
+        "clients": len(broker.server.connections),
+        "server": dict(broker.server.counts), "open": len(broker.exchanges),
+        "held": broker.driver.open_count(), "lingering": broker.driver.lingering_count(),
+        "out": dict(believed), "connections": connections,
         "list": {
             (name := node.decode("ascii", "replace")): {
                 "cell": listed.cell, "phase": listed.phase.name, "out": believed[name],
--- a/tests/conformance/run_design.py
+++ b/tests/conformance/run_design.py
@@ -20,12 +20,20 @@
 from quincepath.interface import Answer, Entry, Members, Phase, Result, Scope, Send, Settings
 from quincepath.lab.load import Client, QueryPlan
 from quincepath.lab.virtual_loop import VirtualLoop
-from quincepath.orders import Arrived, Ask, Ended, Finish, Listed, PartAsk, StartCall
+from quincepath.orders import (
+    Ask,
+    AttemptEnded,
+    Finish,
+    MembershipUpdate,
+    PartRequest,
+    QueryArrived,
+    StartCall,
+)
 from quincepath.policy import Aggregator
 from quincepath.standins.data import Store
 from quincepath.standins.leaf import Leaf
 from tests.conformance.runner import runner
-from tests.helpers import MS, SECOND, START, of, query_class, settings
+from tests.helpers import MS, SECOND, START, of_type, query_class, settings
 from tests.helpers import Broker as Feeder
 from tests.world import ask, values
 
@@ -106,13 +114,13 @@
     def query(self, kind: int, at: list[str]) -> Sent:
         self.feeder.advance(MS)
         _, _, got = self.feeder.query(self.case.shards(at), kind)
-        sends = of(got, Send)
+        sends = of_type(got, Send)
         self.parts = [send.part for send in sends]
         return [self.case.replicas[send.node[3]] for send in sends]
 
     def answered(self) -> int:
         for count, part in enumerate(self.parts, 1):
-            if of(self.feeder.end(part), Answer):
+            if of_type(self.feeder.end(part), Answer):
                 return count
         return 0
 
@@ -127,19 +135,19 @@
         self.out: list[tuple[int, int]] = []
 
     def only(self, names: set[str]) -> None:
-        self.driver.step(self.now, [Listed(self.case.members(names))])
+        self.driver.step(self.now, [MembershipUpdate(self.case.members(names))])
 
     def query(self, kind: int, at: list[str]) -> Sent:
         self.handles, self.now = self.handles + 1, self.now + MS
-        parts = tuple(PartAsk(shard, 1 / len(at), None) for shard in self.case.shards(at))
-        orders = self.driver.step(self.now, [Arrived(Ask(self.handles, kind, 4 * SECOND, parts))])
+        parts = tuple(PartRequest(shard, 1 / len(at), None) for shard in self.case.shards(at))
+        orders = self.driver.step(self.now, [QueryArrived(Ask(self.handles, kind, 4 * SECOND, parts))])
         calls = [order for order in orders if isinstance(order, StartCall)]
         self.out = [(one.part, one.attempt) for call in calls for one in call.attempts]
         return [self.case.replicas[call.node[3]] for call in calls for _ in call.attempts]
 
     def answered(self) -> int:
         for count, (part, attempt) in enumerate(self.out, 1):
-            orders = self.driver.step(self.now + count, [Ended(part, attempt, Result.OK, ())])
+            orders = self.driver.step(self.now + count, [AttemptEnded(part, attempt, Result.OK, ())])
             if any(isinstance(order, Finish) for order in orders):
                 return count
         return 0
--- a/tests/platform/test_client_disconnect.py
+++ b/tests/platform/test_client_disconnect.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from quincepath.net.http1 import AHEAD
-from quincepath.net.server import DROP_MOST
-from quincepath.net.stream import CHUNK
+from quincepath.net.http1 import MAX_PIPELINED_REQUESTS
+from quincepath.net.server import MAX_DISCARDED_BYTES
+from quincepath.net.stream import READ_CHUNK_BYTES
 from tests.standins.platform import MS, PlatformHarness
 from tests.standins.sockets import connect, peer_of, read_all
 
@@ -51,7 +51,7 @@
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
     harness.run(1)
-    assert harness.broker.server.counts["accepted"] == 1 and not harness.broker.server.peers
+    assert harness.broker.server.counts["accepted"] == 1 and not harness.broker.server.connections
     assert not forwarded(harness) and not harness.broker.exchanges and not harness.errors
 
 
@@ -61,10 +61,10 @@
     client = connect(harness)
     client.setblocking(False)
     much = harness.request("all", (0, 1), Req_Id="gone") + HEALTH * 12_000
-    assert CHUNK < client.send(much) < DROP_MOST
+    assert READ_CHUNK_BYTES < client.send(much) < MAX_DISCARDED_BYTES
     client.close()
     harness.run(1)
-    assert harness.broker.server.counts["accepted"] == 1 and not harness.broker.server.peers
+    assert harness.broker.server.counts["accepted"] == 1 and not harness.broker.server.connections
     assert not forwarded(harness) and not harness.broker.exchanges and not harness.errors
 
 
@@ -115,7 +115,7 @@
 
 PIPELINED: dict[str, list[bytes]] = {
     "nothing": [],
-    "more than is held": [HEALTH * (AHEAD + 4), HEALTH * 4],
+    "more than is held": [HEALTH * (MAX_PIPELINED_REQUESTS + 4), HEALTH * 4],
     "what is no request": [b"nonsense\r\n\r\n", b"and more of it"],
     "half a request": [HEALTH[:20]],
     "a body too big": [b"POST /all HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", bytes(70_000)],
@@ -137,7 +137,7 @@
         harness.run(0.01)
     client.close()
     harness.run(0.05)
-    assert not harness.broker.exchanges and not harness.broker.server.peers
+    assert not harness.broker.exchanges and not harness.broker.server.connections
     harness.run(2)
     assert len(forwarded(harness)) == 2 and not harness.errors
 
@@ -154,7 +154,7 @@
     got, how = read_all(client)
     assert got.startswith(b"HTTP/1.1 200 ")
     # Requests beyond the limit are dropped; how many depends on how the pieces arrived.
-    least = {"nothing": 1, "more than is held": 1 + AHEAD}.get(behind, 2)
+    least = {"nothing": 1, "more than is held": 1 + MAX_PIPELINED_REQUESTS}.get(behind, 2)
     assert least <= got.count(b"HTTP/1.1 ") <= (least + 8 if behind == "more than is held" else least)
     assert how in (("open", "end") if behind == "more than is held" else (CLEAN_ENDS.get(behind, "end"),))
 
@@ -173,13 +173,13 @@
     harness = PlatformHarness()
     harness.set_behavior("silent")
     client = connect(harness)
-    client.sendall(harness.request("all", (0, 1)) + HEALTH * AHEAD)
+    client.sendall(harness.request("all", (0, 1)) + HEALTH * MAX_PIPELINED_REQUESTS)
     harness.run(0.02)
     peer = peer_of(harness, client)
     held = len(peer.reader.done)
     client.setblocking(False)
     sent = 0
-    while not peer.stream.closed and sent < 4 * DROP_MOST:
+    while not peer.stream.closed and sent < 4 * MAX_DISCARDED_BYTES:
         try:
             sent += client.send(bytes(64 * 1024))
         except BlockingIOError:
--- a/tests/platform/test_closing.py
+++ b/tests/platform/test_closing.py
@@ -11,7 +11,7 @@
 
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.net.http1 import Limits
-from quincepath.net.server import Exchange, HttpServer, Peer, Times
+from quincepath.net.server import ClientConnection, Exchange, HttpServer, Timeouts
 from quincepath.net.stream import Listener
 from quincepath.platform import descriptors
 from tests.standins.platform import MS, SECOND, PlatformHarness
@@ -86,14 +86,14 @@
     client = connect(harness)
     client.sendall(b"nonsense\r\n\r\n")
     harness.run(0.05)
-    peer, expire = peer_of(harness, client), Peer.expire
+    peer, expire = peer_of(harness, client), ClientConnection.expire
 
-    def late(self: Peer, now: int, times: Times) -> None:
+    def late(self: ClientConnection, now: int, times: Timeouts) -> None:
         if self is peer and now > self.since + times.linger:
             client.sendall(HEALTH)
         expire(self, now, times)
 
-    monkeypatch.setattr(Peer, "expire", late)
+    monkeypatch.setattr(ClientConnection, "expire", late)
     harness.run(2)
     assert peer.stream.closed
     got, how = read_all(client)
@@ -109,7 +109,7 @@
         exchange.request.keep_alive = False
         exchange.respond(200, {}, body)
 
-    times = Times(60 * SECOND, 60 * SECOND, 60 * SECOND, linger=SECOND)
+    times = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND, linger=SECOND)
     server = HttpServer(loop, "127.0.0.1", 0, answer, Limits(), times, 10)
     client = socket.create_connection(("127.0.0.1", server.port))
     client.sendall(HEALTH)
@@ -122,12 +122,12 @@
 
     for _ in range(200):
         run(0.05)
-        (peer,) = server.peers
+        (peer,) = server.connections
         if not peer.stream.pending:
             break
         client.settimeout(5)
         got += client.recv(64 * 1024)
-    assert peer.stream.state_at > peer.since + times.linger, (
+    assert peer.stream.state_since > peer.since + times.linger, (
         "the reader was not slow: the test proves nothing"
     )
     run(0.6)  # the sweep runs twice
@@ -150,7 +150,7 @@
     for _ in range(150):
         held.append(connect(harness))
         harness.run(0.001)
-        most = max(most, len(harness.broker.server.peers))
+        most = max(most, len(harness.broker.server.connections))
     assert (
         most <= harness.broker.connection_limits.clients + 8 and not harness.broker.counts["accepting paused"]
     )
@@ -170,7 +170,7 @@
         exchange.request.keep_alive = False
         exchange.respond(200, {}, body if exchange.request.path == "/big" else b"small")
 
-    server = HttpServer(loop, "127.0.0.1", 0, answer, Limits(), Times(*[60 * SECOND] * 5), 3)
+    server = HttpServer(loop, "127.0.0.1", 0, answer, Limits(), Timeouts(*[60 * SECOND] * 5), 3)
     clients = []
     for path in (b"/big", b"/small", b"/small", b"/small"):
         clients.append(socket.create_connection(("127.0.0.1", server.port)))
@@ -178,7 +178,7 @@
         for _ in range(10):
             loop.turn(0.001)
     assert server.counts["lingered_out"] == 2 and not server.counts["accepting_paused"]
-    assert [peer.stream.state.name for peer in server.peers] == ["DRAINING", "HALF_CLOSED"]
+    assert [peer.stream.state.name for peer in server.connections] == ["DRAINING", "HALF_CLOSED"]
     assert [read_all(client)[1] for client in clients[1:]] == ["end"] * 3
     got, how = b"", "open"
     while how == "open":
@@ -214,7 +214,7 @@
     assert harness.run_until(lambda: bool(done), 5)
     assert done[0] > closes, "the process ends before its clients were drained"
     assert done[0] < began + KILL_NS - 25 * MS, "SIGKILL comes before the process has ended"
-    states = {peer.stream.state.name for peer in harness.broker.server.peers}
+    states = {peer.stream.state.name for peer in harness.broker.server.connections}
     assert states <= {"HALF_CLOSED", "DRAINING"}
     harness.broker.close()
     got, how = read_all(client)
@@ -290,7 +290,7 @@
 def test_at_shutdown_waiting_connections_are_accepted_above_the_limit() -> None:
     loop = VirtualLoop()
     open_now: list[Exchange] = []
-    times = Times(60 * SECOND, 60 * SECOND, 60 * SECOND)
+    times = Timeouts(60 * SECOND, 60 * SECOND, 60 * SECOND)
     server = HttpServer(loop, "127.0.0.1", 0, open_now.append, Limits(), times, 3)
     clients = []
     for _ in range(8):
--- a/tests/platform/test_discovery_outages.py
+++ b/tests/platform/test_discovery_outages.py
@@ -25,7 +25,7 @@
 
 def reset(harness: PlatformHarness) -> None:
     harness.discovery.watches.clear()
-    for peer in list(harness.discovery.server.peers):
+    for peer in list(harness.discovery.server.connections):
         peer.stream.close(reset=True)
 
 
--- a/tests/platform/test_floods.py
+++ b/tests/platform/test_floods.py
@@ -157,4 +157,4 @@
     began = harness.loop.at
     assert harness.ask("all", (0, 1)).status == 200 and harness.loop.at - began < 100 * MS
     harness.run(1)
-    assert not harness.broker.exchanges and len(harness.broker.server.peers) == 1 and not harness.errors
+    assert not harness.broker.exchanges and len(harness.broker.server.connections) == 1 and not harness.errors
--- a/tests/platform/test_idempotency_window.py
+++ b/tests/platform/test_idempotency_window.py
@@ -29,7 +29,7 @@
     """A module that treats every class as safe to repeat."""
 
     def _may_still_send(self, part: PartState) -> bool:
-        return not part.dead and len(part.attempts) < self.limits.attempts
+        return not part.closed and len(part.attempts) < self.limits.attempts
 
 
 def harness_for(
@@ -55,14 +55,14 @@
     return [max(one) - min(one) for one in times.values()]
 
 
-@pytest.mark.parametrize("act", ["bad", "reset", "silent", "noise"])
+@pytest.mark.parametrize("behavior", ["bad", "reset", "silent", "noise"])
 @pytest.mark.parametrize("window", [0, 1, MS, 10 * MS, 60 * MS, 400 * MS])
 @pytest.mark.parametrize("kind", [0, 2])
 def test_a_part_with_an_idempotency_key_is_never_repeated_after_its_window(
-    kind: int, window: int, act: str
+    kind: int, window: int, behavior: str
 ) -> None:
     harness = harness_for(kind, "idempotency_key", window=window)
-    harness.set_behavior(act)
+    harness.set_behavior(behavior)
     for _ in range(2):
         assert harness.ask(CLASSES[kind]["name"], (0, 1)).status in (502, 504)
     assert max(attempt_spans(harness)) <= window
@@ -78,11 +78,11 @@
     assert len(harness.received()) == 3 and 100 * MS < max(attempt_spans(harness)) <= 400 * MS
 
 
-@pytest.mark.parametrize("act", ["bad", "reset", "noise"])
+@pytest.mark.parametrize("behavior", ["bad", "reset", "noise"])
 @pytest.mark.parametrize("kind", [0, 1])
-def test_a_class_configured_as_non_idempotent_is_not_repeated(kind: int, act: str) -> None:
+def test_a_class_configured_as_non_idempotent_is_not_repeated(kind: int, behavior: str) -> None:
     harness = harness_for(kind, "non_idempotent")
-    harness.set_behavior(act)
+    harness.set_behavior(behavior)
     assert harness.ask(CLASSES[kind]["name"], (0, 1)).status in (502, 504)
     assert set(attempt_spans(harness)) == {0} and len(harness.received()) == len(set(harness.received()))
 
--- a/tests/platform/test_list_answers.py
+++ b/tests/platform/test_list_answers.py
@@ -294,7 +294,7 @@
     harness.broker.move_discovery(("127.0.0.1", 1))
     idle = [socket.create_connection(("127.0.0.1", harness.port)) for _ in range(100)]
     harness.run(1)
-    assert len(harness.broker.server.peers) <= room.clients + 8
+    assert len(harness.broker.server.connections) <= room.clients + 8
     agent.version = 9
     agent.entries = {entry["id"]: entry for entry in (harness.entry(0, "DRAINING"), harness.entry(1))}
     began = harness.loop.at
--- a/tests/platform/test_list_timing.py
+++ b/tests/platform/test_list_timing.py
@@ -10,7 +10,7 @@
 import pytest
 
 from quincepath.interface import Phase
-from quincepath.orders import ReadList
+from quincepath.orders import RefreshMembership
 from quincepath.platform import list_timing
 from quincepath.platform.list_timing import (
     MARGIN_NS,
@@ -139,7 +139,7 @@
     assert harness.run_until(lambda: harness.broker.counts["discovery failed"] > 1, 60)
 
     def again() -> None:
-        harness.broker._execute(ReadList())
+        harness.broker._execute(RefreshMembership())
         harness.loop.call_in(every * MS, again)
 
     again()
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -13,7 +13,7 @@
 # Pairs that differ only in a character that flattened settings do not preserve.
 CLASSES = ["a b", "a_b", "a,b", "a", "a/b", "K\u00fcste", "K\u00c3\u00bcste2", "\u6e2f"]
 TENANTS = ["x y", "x_y", "x,y", "x", "100%", "\u00c5s", "\u00c3\u0085s2"]
-LINE_SEPARATORS = ["\n", "\r", "\x0b", "\x1e", "\x85", "\u2028"]  # every line separator of str.splitlines
+LINE_SEPARATORS = ["\n", "\r", "\x0b", "\x1e", "\x85", "\u2028"]  # some line separators of str.splitlines
 
 
 def read(**changes: Any) -> Configuration:
--- a/tests/platform/test_send_deadlines.py
+++ b/tests/platform/test_send_deadlines.py
@@ -70,7 +70,7 @@
     harness = NodePoolHarness()
     begun = harness.fill_socket()
     harness.start(1, deadline=5 * SECOND)
-    harness.nodes.leave_by(NODE, harness.loop.at + 300 * MS)
+    harness.nodes.limit_send_start(NODE, harness.loop.at + 300 * MS)
     harness.run(299 * MS)
     assert 1 not in harness.results()
     harness.run(2 * MS)
@@ -90,7 +90,7 @@
     stream = harness.connection.stream
     assert stream is not None
     monkeypatch.setattr(stream, "_flush", lambda: None)  # as an operating system that accepts nothing
-    harness.start(2, leave_by=100 * MS)
+    harness.start(2, send_start_by=100 * MS)
     assert harness.connection.sending is not None
     harness.run(101 * MS)
     assert harness.results()[2] is Result.CONNECT_FAILED
@@ -104,7 +104,7 @@
 
 def test_a_part_that_cannot_be_sent_in_time_is_reported_at_that_time(dials: list[ManualDial]) -> None:
     harness = NodePoolHarness()
-    harness.start(1, leave_by=100 * MS)
+    harness.start(1, send_start_by=100 * MS)
     harness.run(99 * MS)
     assert not harness.ended
     harness.run(2 * MS)
@@ -138,7 +138,7 @@
 def test_nothing_is_sent_late_in_a_long_turn(dials: list[ManualDial]) -> None:
     """The connection is established in time, but the turn reaches it later, when the clock has moved on."""
     harness = NodePoolHarness()
-    harness.start(1, leave_by=100 * MS)
+    harness.start(1, send_start_by=100 * MS)
     harness.run(90 * MS)
 
     def slow() -> None:
@@ -153,19 +153,19 @@
 # --- a frame that is partly sent ---
 
 
-@pytest.mark.parametrize("over", ["whole_by", "deadline", "withdrawn", "stopped"])
+@pytest.mark.parametrize("over", ["send_complete_by", "deadline", "withdrawn", "stopped"])
 def test_a_partly_sent_part_never_runs_once_it_has_ended(over: str) -> None:
     """The rest of its frame would be sent when the node reads again: past its window, or after the answer."""
     harness = NodePoolHarness()
     half = harness.fill_socket()
-    handed = {one for one in range(1001, half)}
-    out = harness.nodes.in_flight[half, 0]
+    sent = {one for one in range(1001, half)}
+    outgoing = harness.nodes.in_flight[half, 0]
     now = harness.loop.at
-    if over in ("whole_by", "deadline"):
+    if over in ("send_complete_by", "deadline"):
         end = now + 50 * MS
-        deadline = end if over == "deadline" else out.order.deadline
-        out.order = replace(out.order, leave_by=now, whole_by=end, deadline=deadline)
-        harness.nodes._set_timer(out)
+        deadline = end if over == "deadline" else outgoing.order.deadline
+        outgoing.order = replace(outgoing.order, send_start_by=now, send_complete_by=end, deadline=deadline)
+        harness.nodes._set_timer(outgoing)
     harness.start(1)
     harness.run(49 * MS)
     assert half not in harness.results()
@@ -174,13 +174,13 @@
     elif over == "stopped":
         harness.nodes.stop(half, 0)
     harness.run(2 * MS)
-    expected = Result.CONNECT_FAILED if over in ("whole_by", "deadline") else Result.CANCELLED
+    expected = Result.CONNECT_FAILED if over in ("send_complete_by", "deadline") else Result.CANCELLED
     assert harness.results()[half] is expected
     assert harness.results()[1] is Result.CONNECT_FAILED, "what was queued behind it was never sent either"
     assert harness.events == ["blocked connection"] and harness.nodes.counts["not_left"] == (
         expected is Result.CONNECT_FAILED
     )
-    assert {harness.results()[one] for one in handed if one in harness.results()} <= {
+    assert {harness.results()[one] for one in sent if one in harness.results()} <= {
         Result.CANCELLED,
         Result.OK,
     }
--- a/tests/standins/node_pool.py
+++ b/tests/standins/node_pool.py
@@ -6,7 +6,7 @@
 from quincepath.interface import NodeId, Result
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.net.loop import Loop
-from quincepath.orders import AttemptOrder, Ended, StartCall
+from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
 from quincepath.platform.connection import Connection
 from quincepath.platform.connection_state import ConnectionTimeouts
 from quincepath.platform.nodes import NodePool
@@ -14,7 +14,7 @@
 
 NODE: NodeId = b"s-1"
 DIAL_TIMEOUT_NS = 250 * MS
-LARGE_PAYLOAD = 60_000  # bytes of a payload that a full socket does not accept whole
+LARGE_PAYLOAD = 60_000  # bytes of a payload that a full socket does not accept send_complete_by
 
 
 class ManualDial:
@@ -51,21 +51,32 @@
     def __init__(self, streams: int = 100) -> None:
         self.loop = VirtualLoop()
         self.node = Node(self.loop, "s-1")
-        self.ended: list[Ended] = []
+        self.ended: list[AttemptEnded] = []
         self.events: list[str] = []
         host, port = self.node.address.split(":")
         self.nodes = NodePool(
             self.loop, streams, ConnectionTimeouts(DIAL_TIMEOUT_NS, 15 * SECOND), 4, 64,
-            lambda node: (host, int(port)), self.ended.append, (), lambda what, node, why: self.events.append(what),
+            lambda node: (host, int(port)), self.ended.append, (),
+            lambda what, node, why: self.events.append(what),
         )  # fmt: skip
 
     def start(self, *parts: int, payload: bytes = b"x", **times: int) -> None:
         """Start one call of these parts; ``times`` are in ns from now; the default deadline is 2 s."""
         now, deadline = self.loop.at, times.get("deadline", 2 * SECOND)
-        whole = min(times.get("whole_by", deadline), deadline)
-        leave = min(times.get("leave_by", whole), whole)
+        send_complete_by = min(times.get("send_complete_by", deadline), deadline)
+        send_start_by = min(times.get("send_start_by", send_complete_by), send_complete_by)
         orders = tuple(
-            AttemptOrder(part, 0, 0, 1, now + leave, now + whole, now + deadline, payload, f"q{part}")
+            AttemptOrder(
+                part,
+                0,
+                0,
+                1,
+                now + send_start_by,
+                now + send_complete_by,
+                now + deadline,
+                payload,
+                f"q{part}",
+            )
             for part in parts
         )
         self.nodes.start(StartCall(NODE, orders))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -146,7 +146,7 @@
     held = [Client(harness) for _ in range(100)]
     harness.run(0.1)
     assert harness.ask().status == 200
-    assert len(harness.broker.server.peers) <= harness.broker.connection_limits.clients < 64
+    assert len(harness.broker.server.connections) <= harness.broker.connection_limits.clients < 64
     assert sum(bool(client.ended) for client in held) >= 100 - harness.broker.connection_limits.clients
 
 
@@ -172,7 +172,7 @@
     for client in held:
         client.stream.write(harness.request(Req_Deadline_Ms="9000"))
     harness.run(0.02)
-    assert harness.broker.driver.held() <= 200
+    assert harness.broker.driver.open_count() <= 200
     assert 503 in {client.status for client in held}
 
 
@@ -182,11 +182,11 @@
 INVALID_REPLIES = ["noise", "endless", "stall", "other id", "complaint"]
 
 
-@pytest.mark.parametrize("act", INVALID_REPLIES)
-def test_an_invalid_reply_never_reaches_a_client_and_the_part_is_retried(act: str) -> None:
+@pytest.mark.parametrize("behavior", INVALID_REPLIES)
+def test_an_invalid_reply_never_reaches_a_client_and_the_part_is_retried(behavior: str) -> None:
     harness = PlatformHarness(OutcomeRecorder)
     for node in harness.nodes:
-        node.behaviors = [act]
+        node.behaviors = [behavior]
     client = harness.ask("all", (0,))
     assert client.status == 200 and client.answer["answers"] == [
         {"range": 0, "blob": value_of("q1.0", "c41e77d0")}
@@ -195,10 +195,10 @@
     assert harness.broker.nodes.counts["spoilt"]
 
 
-@pytest.mark.parametrize("act", INVALID_REPLIES + ["reset", "bad"])
-def test_a_non_idempotent_part_that_may_have_run_is_failed_not_refused(act: str) -> None:
+@pytest.mark.parametrize("behavior", INVALID_REPLIES + ["reset", "bad"])
+def test_a_non_idempotent_part_that_may_have_run_is_failed_not_refused(behavior: str) -> None:
     harness = PlatformHarness()
-    harness.set_behavior(act)
+    harness.set_behavior(behavior)
     client = harness.ask("once", (0,))
     assert client.status in (502, 504) and len(harness.received()) == 1
 
@@ -219,10 +219,10 @@
     assert len(harness.nodes[0].received) >= 3 and len(harness.nodes[0].streams) == 1
 
 
-@pytest.mark.parametrize("act", ["twice", "and noise", "report"])
-def test_a_good_reply_stays_good_whatever_comes_with_it(act: str) -> None:
+@pytest.mark.parametrize("behavior", ["twice", "and noise", "report"])
+def test_a_good_reply_stays_good_whatever_comes_with_it(behavior: str) -> None:
     harness = PlatformHarness(OutcomeRecorder)
-    harness.set_behavior(act)
+    harness.set_behavior(behavior)
     assert [harness.ask("all", (0, 1)).status for _ in range(3)] == [200] * 3
     assert set(results(harness)) == {Result.OK}
 
@@ -286,7 +286,7 @@
     out = next(iter(harness.broker.nodes.in_flight.values()))
     del harness.broker.nodes.in_flight[out.key]  # planted: its end will not be reported
     harness.run(10)
-    assert harness.broker.state()["out"] and harness.broker.driver.lingering()
+    assert harness.broker.state()["out"] and harness.broker.driver.lingering_count()
 
 
 # --- discovery, shutdown, errors ---
@@ -337,7 +337,7 @@
     harness = PlatformHarness()
     harness.run(5.5)
     assert len(harness.discovery.requests) == 2 + 5 and harness.broker.counts["discovery failed"] == 0
-    assert len(harness.discovery.server.peers) == 1
+    assert len(harness.discovery.server.connections) == 1
 
 
 def test_calls_to_a_silent_agent_time_out_and_a_new_address_is_called_at_once() -> None:
@@ -410,7 +410,7 @@
     harness = PlatformHarness()
     broken = Client(harness)
     harness.run(0.05)
-    peer = next(iter(harness.broker.server.peers))
+    peer = next(iter(harness.broker.server.connections))
     peer.reader.feed = None  # type: ignore[assignment, method-assign]
     broken.stream.write(harness.request())
     harness.run(0.05)
@@ -469,14 +469,14 @@
             client = Client(harness)
             client.stream.write(b"nonsense\r\n\r\n" if end == "error" else harness.request())
             harness.run_until(
-                lambda: bool(broker.server.peers and (end == "error" or broker.nodes.connections))
+                lambda: bool(broker.server.connections and (end == "error" or broker.nodes.connections))
             )
-            freed += [weakref.ref(peer) for peer in broker.server.peers]
+            freed += [weakref.ref(peer) for peer in broker.server.connections]
             freed += [weakref.ref(one) for held in broker.nodes.connections.values() for one in held]
             if end != "broken off":
                 harness.run_until(lambda client=client: client.status > 0)  # type: ignore[misc]
             if end == "held and cut":
-                for peer in list(broker.server.peers):
+                for peer in list(broker.server.connections):
                     peer.end("cut")
                     del peer
             client.stream.close()
@@ -484,7 +484,7 @@
             for stream in [stream for node in harness.nodes for stream in node.streams]:
                 stream.close()
             harness.run(3)
-        broker._query_peers.clear()  # the last few that brought queries, bounded by ``ConnectionLimits.kept``
+        broker._query_connections.clear()  # a few, bounded by ``ConnectionLimits.kept``
         assert len(freed) >= 3 and not any(ref() for ref in freed)
     finally:
         gc.enable()
