--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -112,8 +112,8 @@
 def test_the_module_is_told_what_it_may_spend_and_before_that_nothing(fleet: Fleet) -> None:
     fleet.until(lambda: fleet.metric(0, "quincepath_overload_spending", what="trials") > 0)
     module: Any = fleet.brokers[0].driver.module
-    fleet.until(lambda: module.allowed.news.until > fleet.loop.now)
-    assert module.allowed.news.extras > 0
+    fleet.until(lambda: module.fleet_allowance.allowance.until > fleet.loop.now)
+    assert module.fleet_allowance.allowance.extras > 0
 
 
 def test_a_query_that_is_shed_reaches_no_holder_and_is_told_when_to_come_back(fleet: Fleet) -> None:
@@ -162,7 +162,7 @@
     found.ask(0)
     found.until(lambda: len(found.ends) == 1)
     module: Any = found.brokers[0].driver.module
-    assert found.ends[0].status == 200 and module.allowed.news.until == 0
+    assert found.ends[0].status == 200 and module.fleet_allowance.allowance.until == 0
     fleet = found.brokers[0].fleet
     assert fleet is not None and (fleet.shared is None) == ("ledger" in fleet_section)
     found.close()
