--- a/benchmarks/capacity/followers.py
+++ b/benchmarks/capacity/followers.py
@@ -11,15 +11,15 @@
 from benchmarks.capacity.limits import broker_names, leader
 from benchmarks.capacity.measuring import Measured, fact, processor_seconds, repeated, series
 from benchmarks.capacity.results import Point
-from quincepath.fleet.agreed import ASK_EVERY
-from quincepath.fleet.agreement.core import FOLLOWERS_MOST, Came, Keeper, Persist, Propose, Send
-from quincepath.fleet.agreement.entries import Entry, first
-from quincepath.fleet.agreement.messages import Follow
-from quincepath.fleet.agreement.post import pack, unpack
+from quincepath.fleet.consensus.core import MAX_LEARNERS, Persist, Propose, Received, Send, Voter
+from quincepath.fleet.consensus.entries import Entry, initial_state
+from quincepath.fleet.consensus.envelope import pack, unpack
+from quincepath.fleet.consensus.messages import LearnerPoll
 from quincepath.fleet.permits import Begun, Grant, encode
+from quincepath.fleet.replicated_log import POLL_INTERVAL_NS
 from quincepath.store.consensus import ConsensusStore
 
-SIZES = (50, 100, 250, 500, FOLLOWERS_MOST)
+SIZES = (50, 100, 250, 500, MAX_LEARNERS)
 COMMITS = 5  # of one timing
 ENTRIES = (100, 250, 500, 1000)  # in one store
 SECOND = 1_000_000_000
@@ -32,9 +32,9 @@
     """A voter that leads, and so many that follow it."""
 
     def __init__(self, followers: int) -> None:
-        self.keeper: Keeper = leader()
+        self.keeper: Voter = leader()
         self.names = broker_names(followers + 1)[1:]
-        self.applied = self.keeper.applied
+        self.applied = self.keeper.applied_index
         self.sent = self.received = 0
         self.commands = 1
         self.ask_all()
@@ -42,18 +42,18 @@
     def ask_all(self) -> None:
         """Each asks once, from the bytes that came to the bytes that go out."""
         for name in self.names:
-            data = pack(FLEET, name, self.keeper.name, 0, Follow(self.applied))
+            data = pack(FLEET, name, self.keeper.name, 0, LearnerPoll(self.applied))
             post, body = unpack(data, FLEET, self.keeper.name)
-            assert isinstance(body, Follow)
+            assert isinstance(body, LearnerPoll)
             self.received += len(data) + IP_AND_TCP
-            self._send(self.keeper.step(self.keeper.now, [Came(post.sender, post.epoch, body)]))
+            self._send(self.keeper.step(self.keeper.now, [Received(post.sender, post.epoch, body)]))
 
     def commit(self) -> None:
         """One command, told to all."""
         self.commands += 1
         command = encode(Grant(f"id{self.commands}", "operator", self.commands, "s-00000001", "drain", 1))
         self._send(self.keeper.step(self.keeper.now, [Propose(self.commands, command)]))
-        self.applied = self.keeper.applied
+        self.applied = self.keeper.applied_index
 
     def _send(self, outs: Iterable[object]) -> None:
         for out in outs:
@@ -64,7 +64,7 @@
 def _ask_seconds(followers: int) -> float:
     """Processor time of all asks of a second."""
     held = Leader(followers)
-    return processor_seconds(held.ask_all) * SECOND / ASK_EVERY
+    return processor_seconds(held.ask_all) * SECOND / POLL_INTERVAL_NS
 
 
 def _commit_seconds(followers: int) -> float:
@@ -82,7 +82,7 @@
     held = Leader(followers)
     before = held.sent + held.received
     held.ask_all()
-    return (held.sent + held.received - before) * SECOND / ASK_EVERY
+    return (held.sent + held.received - before) * SECOND / POLL_INTERVAL_NS
 
 
 def _commit_bytes(followers: int) -> float:
@@ -96,7 +96,7 @@
     """Processor time of so many entries written and synced one by one."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "store"
-        store = ConsensusStore(path, FLEET, "broker-0000", first(("broker-0000",)), check=False)
+        store = ConsensusStore(path, FLEET, "broker-0000", initial_state(("broker-0000",)), check=False)
         try:
 
             def play() -> None:
@@ -114,7 +114,7 @@
 
 def measure() -> Measured:
     """The leader by its followers, one follower, and a voter's store."""
-    note = f"up to the {FOLLOWERS_MOST} followers that the code takes"
+    note = f"up to the {MAX_LEARNERS} followers that the code takes"
     return (
         series("asks of a second", "s", "followers", repeated(SIZES, _ask_seconds), note=note),
         series("one commit", "s", "followers", repeated(SIZES, _commit_seconds), note=note),
--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -12,10 +12,9 @@
 from benchmarks.capacity.site import SECOND, SETS, ZONE_NAMES, configuration, list_body, node_entry
 from benchmarks.capacity.target import BROKERS, NODES, NODES_OF_A_ZONE, REGIONS
 from quincepath.config.schema.fleet import FleetEntry
-from quincepath.fleet.agreement.core import Came, Keeper, Propose, Times
-from quincepath.fleet.agreement.entries import first
-from quincepath.fleet.agreement.messages import Follow
-from quincepath.fleet.edge import CONNECTIONS
+from quincepath.fleet.consensus.core import ConsensusSettings, Propose, Received, Voter
+from quincepath.fleet.consensus.entries import initial_state
+from quincepath.fleet.consensus.messages import LearnerPoll
 from quincepath.fleet.forecast.messages import Gathering
 from quincepath.fleet.forecast.messages import Message as SampleMessage
 from quincepath.fleet.ledger.facts import LedgerSettings
@@ -25,6 +24,7 @@
 from quincepath.fleet.messages import FRAME, MEMBERS_MOST, About, Full, Rejected, body_of, pack, unpack
 from quincepath.fleet.permits import Permits
 from quincepath.fleet.sharing.blame import SETS_MOST, Shares
+from quincepath.fleet.transport import MAX_CONNECTIONS
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.net.http1 import HttpError, Limits, ResponseReader
 from quincepath.platform.descriptors import allocate
@@ -127,9 +127,9 @@
     )
 
 
-def leader(name: str = "broker-0000") -> Keeper:
+def leader(name: str = "broker-0000") -> Voter:
     """The only voter of a log, elected."""
-    keeper = Keeper(name, first((name,)), Permits(), 1, 0, Times())
+    keeper = Voter(name, initial_state((name,)), Permits(), 1, 0, ConsensusSettings())
     keeper.step(keeper.due, [])
     keeper.step(keeper.due, [Propose(1, b"")])
     return keeper
@@ -138,16 +138,16 @@
 def _followers() -> LimitFound:
     keeper = leader()
     for name in broker_names(BROKERS)[1:]:
-        keeper.step(keeper.now, [Came(name, 0, Follow(0))])
+        keeper.step(keeper.now, [Received(name, 0, LearnerPoll(0))])
     return LimitFound(
-        "followers told of commits", "fleet/agreement/core/committed.py FOLLOWERS_MOST", LOG,
-        len(keeper.followers), BROKERS - 1, "followers", "one more is answered when it asks only",
+        "followers told of commits", "fleet/consensus/core/committed.py MAX_LEARNERS", LOG,
+        len(keeper.learners), BROKERS - 1, "followers", "one more is answered when it asks only",
     )  # fmt: skip
 
 
 def _log_connections() -> LimitFound:
     return LimitFound(
-        "connections to one member", "fleet/edge.py CONNECTIONS", LOG, CONNECTIONS, BROKERS - 1,
+        "connections to one member", "fleet/transport.py MAX_CONNECTIONS", LOG, MAX_CONNECTIONS, BROKERS - 1,
         "connections", "read, not run: one more is closed at once",
     )  # fmt: skip
 
--- a/benchmarks/capacity/scale/configuration.py
+++ b/benchmarks/capacity/scale/configuration.py
@@ -13,7 +13,7 @@
 from quincepath.fleet.configuration.messages import MARK
 from quincepath.fleet.configuration.subscriber import Subscriber
 from quincepath.fleet.distribution import Distribution
-from quincepath.fleet.edge import HEAD
+from quincepath.fleet.transport import LENGTH_PREFIX_BYTES
 
 
 class HollowConfiguration:
@@ -45,7 +45,7 @@
 
     def _counted(self, to: str, data: bytes) -> None:
         self.messages += 1
-        self.bytes += HEAD + len(data)
+        self.bytes += LENGTH_PREFIX_BYTES + len(data)
         self._tell(to, data)
 
     def _charged_feed(self) -> None:
--- a/benchmarks/capacity/scale/events.py
+++ b/benchmarks/capacity/scale/events.py
@@ -55,8 +55,8 @@
 def _author(plan: Plan) -> str:
     """Who proposes changes: a hollow voter, or else a relay, as people do it on a control machine.
 
-    Each voter's edge takes only so many connections (``CONNECTIONS`` in ``fleet/edge.py``) that in a fleet of
-    thousands a leader does not hear whoever comes to it late.
+    Each voter's edge takes only so many connections (``MAX_CONNECTIONS`` in ``fleet/transport.py``) that in a
+    fleet of thousands a leader does not hear whoever comes to it late.
     """
     hollow = [name for name in plan.voters if name not in {f"b{number}" for number in range(plan.real)}]
     return hollow[0] if hollow else plan.relays[0].name
--- a/benchmarks/capacity/scale/hollow.py
+++ b/benchmarks/capacity/scale/hollow.py
@@ -15,9 +15,9 @@
 from benchmarks.capacity.scale.plan import Configurations, Mechanism, MemberPlan, Plan
 from benchmarks.capacity.scale.traffic import figures_of
 from quincepath.broker.service.fleet import open_keepers_store
-from quincepath.fleet.edge import Edge
 from quincepath.fleet.permits import DRAIN, Back, Grant
 from quincepath.fleet.service import Fleet
+from quincepath.fleet.transport import Transport
 from quincepath.fleet.view.core import Input
 from quincepath.fleet.view.facts import Change
 
@@ -25,7 +25,7 @@
 DRAIN_TIME = 3_600_000  # ms until a drain is overdue
 
 
-class HollowEdge(Edge):
+class HollowEdge(Transport):
     """The edge of a hollow broker: its view's work is charged to the view, and links may fail."""
 
     def step(self, inputs: list[Input]) -> None:
@@ -41,8 +41,8 @@
 
     def reroute(self, name: str, place: tuple[str, int]) -> None:
         """Reach a member at another place from now on; a standing connection to it ends."""
-        self.places[name] = place
-        way = self._ways.pop(name, None)
+        self.peer_addresses[name] = place
+        way = self._outbound.pop(name, None)
         if way is None:
             return
         if way.dial is not None:
@@ -119,10 +119,10 @@
 
             return received
 
-        if edge.on_other is not None:
-            edge.on_other = charged(LEDGER, edge.on_other)
-        if edge.on_agreed is not None:
-            edge.on_agreed = self._divided(charged(LOG, edge.on_agreed))
+        if edge.on_other_datagram is not None:
+            edge.on_other_datagram = charged(LEDGER, edge.on_other_datagram)
+        if edge.on_log_message is not None:
+            edge.on_log_message = self._divided(charged(LOG, edge.on_log_message))
 
     def _divided(self, to_log: Callable[[bytes], None]) -> Callable[[bytes], None]:
         """The log and the configuration share their connections; ``to_log`` tells them apart itself."""
@@ -140,7 +140,7 @@
         return received
 
     def _watch_changes(self) -> None:
-        told = self.edge.on_told
+        told = self.edge.on_notice
 
         def noted(out: Any) -> None:
             told(out)
@@ -152,7 +152,7 @@
             self._drained = names
             self.look_at_drained()
 
-        self.edge.on_told = noted
+        self.edge.on_notice = noted
         self.fleet.on_drained = drained
 
     def look_at_living(self) -> None:
@@ -186,9 +186,9 @@
             return
         now = time.time_ns() // 1_000_000
         if back:
-            self.fleet.agreed.command(Back(id, "scale", now, name), done)
+            self.fleet.agreed.submit(Back(id, "scale", now, name), done)
         else:
-            self.fleet.agreed.command(Grant(id, "scale", now, name, DRAIN, now + DRAIN_TIME), done)
+            self.fleet.agreed.submit(Grant(id, "scale", now, name, DRAIN, now + DRAIN_TIME), done)
 
     def cut(self, unreachable: frozenset[str], places: dict[str, tuple[str, int]], hole: BlackHole) -> None:
         """Reach these members no more, and all others again."""
--- a/benchmarks/capacity/scale/host.py
+++ b/benchmarks/capacity/scale/host.py
@@ -181,7 +181,7 @@
             next_at = max(proposed_at + every, self.loop.clock())
             self.loop.call_at(next_at, lambda: self._propose(member, left - 1, every, new, number + 1))
 
-        agreed.command(ChangeConfiguration(change.id, "scale", wall, encode_change(change)), done)
+        agreed.submit(ChangeConfiguration(change.id, "scale", wall, encode_change(change)), done)
 
     # --- links ---
 
--- a/benchmarks/capacity/scale/meter.py
+++ b/benchmarks/capacity/scale/meter.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from types import TracebackType
 
-from quincepath.fleet.agreed import Agreed
 from quincepath.fleet.distribution import Distribution
-from quincepath.fleet.edge import Edge
+from quincepath.fleet.replicated_log import ReplicatedLog
 from quincepath.fleet.service import Fleet
 from quincepath.fleet.shared import Shared
+from quincepath.fleet.transport import Transport
 from quincepath.net.loop import Loop, Timer
 
 VIEW, LEDGER, LOG, CONFIGURATION = "view", "ledger", "log", "configuration"
@@ -24,9 +24,9 @@
 LOAD = "load"  # counts of queries that a hollow broker makes up
 HARNESS = "harness"  # the run's own work
 _OWNERS: tuple[tuple[type, str], ...] = (
-    (Edge, VIEW),
+    (Transport, VIEW),
     (Shared, LEDGER),
-    (Agreed, LOG),
+    (ReplicatedLog, LOG),
     (Distribution, CONFIGURATION),
     (Fleet, METRICS),
 )
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -31,7 +31,7 @@
 from benchmarks.fleet_keep import FILE, keep, percentile
 from benchmarks.fleet_lossy import causes, crash, settled, ways
 from quincepath.config.load import load
-from quincepath.fleet.edge import Edge
+from quincepath.fleet.transport import Transport
 from quincepath.fleet.view.core import View
 from quincepath.fleet.view.facts import ViewSettings
 from quincepath.lab.demo import DISTRICTS, demo_config, make_cluster
@@ -222,7 +222,7 @@
     for number, name in enumerate(names[1:], 1):
         peers = tuple(one for one in names if one != name)
         view = View(ViewSettings("bench", name, peers), number, number, loop.clock())
-        edges.append(Edge(loop, view, places, *places[name], lambda told: None))
+        edges.append(Transport(loop, view, places, *places[name], lambda told: None))
     loop.on_signals({signal.SIGTERM: loop.stop})
     print("ready", flush=True)
     loop.run()
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -10,10 +10,10 @@
 from quincepath.broker.service.guest import Guest
 from quincepath.broker.service.holders import Holders
 from quincepath.config.schema import Config, FleetEntry, Holder, NodeListEntry, TenantEntry
-from quincepath.fleet.agreement.entries import Stable
-from quincepath.fleet.agreement.storing import Storage
 from quincepath.fleet.configuration.changes import Edit
 from quincepath.fleet.configuration.resources import decode_resource, split_name
+from quincepath.fleet.consensus.entries import StableState
+from quincepath.fleet.consensus.storage import Storage
 from quincepath.fleet.service import Fleet
 from quincepath.net.loop import Loop
 from quincepath.net.server import Exchange
@@ -22,7 +22,7 @@
     from quincepath.broker.fair_pending import FairPendingQueue
 
 
-def open_keepers_store(path: Path, fleet: str, member: str, first: Stable) -> Storage:
+def open_keepers_store(path: Path, fleet: str, member: str, first: StableState) -> Storage:
     """A keeper's store on disk. Raises ``StoreError``."""
     from quincepath.store.consensus import ConsensusStore  # with it LMDB, which only keepers need
 
--- a/quincepath/fleet/configuration_requests.py
+++ b/quincepath/fleet/configuration_requests.py
@@ -4,7 +4,6 @@
 from typing import Any
 from urllib.parse import unquote
 
-from quincepath.fleet.agreed import Agreed
 from quincepath.fleet.configuration.changes import Change, ChangeError, Fault, encode_change
 from quincepath.fleet.configuration.commands import ChangeConfiguration
 from quincepath.fleet.configuration.history import Answer
@@ -16,6 +15,7 @@
     rollback_change,
 )
 from quincepath.fleet.distribution import Distribution
+from quincepath.fleet.replicated_log import ReplicatedLog
 from quincepath.net.server import Exchange
 
 PREFIX = "/fleet/config/"
@@ -27,7 +27,7 @@
 class ConfigurationRequests:
     """``request`` answers those that are of the configuration."""
 
-    def __init__(self, distribution: Distribution, agreed: Agreed) -> None:
+    def __init__(self, distribution: Distribution, agreed: ReplicatedLog) -> None:
         self.distribution, self.agreed = distribution, agreed
 
     def request(self, exchange: Exchange) -> bool:
@@ -75,7 +75,7 @@
             self._say(exchange, BAD, {"error": str(error)})
             return
         command = ChangeConfiguration(change.id, change.author, change.proposed_at_ms, data)
-        self.agreed.command(command, lambda why: self._done(exchange, change, why))
+        self.agreed.submit(command, lambda why: self._done(exchange, change, why))
 
     def _change(self, what: str, body: bytes) -> Change | Known:
         now = self.agreed.loop.system.wall_ms()
--- a/quincepath/fleet/agreement/core/__init__.py
+++ b/quincepath/fleet/consensus/core/__init__.py
@@ -10,28 +10,29 @@
 ``requests``; ``keeper`` on all.
 """
 
-from quincepath.fleet.agreement.core.committed import FOLLOWERS_MOST
-from quincepath.fleet.agreement.core.follower import Follower
-from quincepath.fleet.agreement.core.keeper import Keeper
-from quincepath.fleet.agreement.core.ports import (
-    Came,
-    Change,
+from quincepath.fleet.consensus.core.committed import MAX_LEARNERS
+from quincepath.fleet.consensus.core.learner import Learner
+from quincepath.fleet.consensus.core.ports import (
+    ChangeVoters,
+    ConsensusSettings,
     Done,
     Input,
-    Machine,
+    Notice,
     Output,
     Persist,
     Propose,
-    Read,
+    ReadIndex,
+    Received,
     Refused,
     Send,
-    Times,
-    Told,
+    StateMachine,
 )
-from quincepath.fleet.agreement.core.requests import OPEN_MOST
-from quincepath.fleet.agreement.core.state import Role
+from quincepath.fleet.consensus.core.requests import MAX_OPEN_REQUESTS
+from quincepath.fleet.consensus.core.state import Role
+from quincepath.fleet.consensus.core.voter import Voter
 
 __all__ = [
-    "FOLLOWERS_MOST", "OPEN_MOST", "Came", "Change", "Done", "Follower", "Input", "Keeper", "Machine",
-    "Output", "Persist", "Propose", "Read", "Refused", "Role", "Send", "Times", "Told",
+    "MAX_LEARNERS", "MAX_OPEN_REQUESTS", "ChangeVoters", "ConsensusSettings", "Done", "Input", "Learner",
+    "Notice", "Output", "Persist", "Propose", "ReadIndex", "Received", "Refused", "Role", "Send",
+    "StateMachine", "Voter",
 ]  # fmt: skip
--- a/quincepath/fleet/agreement/core/elections.py
+++ b/quincepath/fleet/consensus/core/elections.py
@@ -1,9 +1,9 @@
 """Who leads: a trial that asks whether an election would be won, the election, and what votes are given."""
 
-from quincepath.fleet.agreement.core.ports import NEVER
-from quincepath.fleet.agreement.core.replication import Replication
-from quincepath.fleet.agreement.core.state import Role
-from quincepath.fleet.agreement.messages import AskVote, Voted
+from quincepath.fleet.consensus.core.ports import NEVER
+from quincepath.fleet.consensus.core.replication import Replication
+from quincepath.fleet.consensus.core.state import Role
+from quincepath.fleet.consensus.messages import VoteRequest, VoteResponse
 
 
 class Elections(Replication):
@@ -11,14 +11,14 @@
 
     def _begin_trial(self) -> None:
         self._elect_at = self._election_time()
-        if self.name not in self.keepers:
+        if self.name not in self.voters:
             return  # not (any more) one of them
         self.role, self.leader = Role.TRIAL, ""
         self.votes = {self.name}
         if self._majority(self.votes):
             self._begin_election()
             return
-        self._to_all(AskVote(self.stable.term + 1, self.log.last, self.log.last_term, True))
+        self._to_all(VoteRequest(self.stable.term + 1, self.log.last_index, self.log.last_term, True))
 
     def _begin_election(self) -> None:
         self.role = Role.CANDIDATE
@@ -28,14 +28,14 @@
         if self._majority(self.votes):
             self._lead()
             return
-        self._to_all(AskVote(self.stable.term, self.log.last, self.log.last_term, False))
+        self._to_all(VoteRequest(self.stable.term, self.log.last_index, self.log.last_term, False))
 
-    def _ask_vote(self, sender: str, ask: AskVote) -> None:
-        newer = (ask.last_term, ask.last) >= (self.log.last_term, self.log.last)
-        lately = self.now < self.heard_leader + self.times.election or self.role == Role.LEADER
+    def _ask_vote(self, sender: str, ask: VoteRequest) -> None:
+        newer = (ask.last_term, ask.last) >= (self.log.last_term, self.log.last_index)
+        lately = self.now < self.leader_heard_at + self.times.election_timeout_ns or self.role == Role.LEADER
         if ask.trial:
             granted = newer and not lately and ask.term > self.stable.term
-            self._send(sender, Voted(self.stable.term, granted, True, ask.term))
+            self._send(sender, VoteResponse(self.stable.term, granted, True, ask.term))
             return
         if ask.term > self.stable.term:
             self._become_follower(ask.term, "")
@@ -43,9 +43,9 @@
         if granted:
             self._set_term(ask.term, sender)
             self._elect_at = self._election_time()
-        self._send(sender, Voted(self.stable.term, granted, False, ask.term))
+        self._send(sender, VoteResponse(self.stable.term, granted, False, ask.term))
 
-    def _voted(self, sender: str, voted: Voted) -> None:
+    def _voted(self, sender: str, voted: VoteResponse) -> None:
         if voted.term > self.stable.term:
             self._become_follower(voted.term, "")
             return
--- a/quincepath/fleet/agreement/core/follower.py
+++ b/quincepath/fleet/consensus/core/learner.py
@@ -2,46 +2,46 @@
 
 from dataclasses import dataclass, field
 
-from quincepath.fleet.agreement.core.ports import NEVER, Machine
-from quincepath.fleet.agreement.messages import Follow, Followed, Whole
+from quincepath.fleet.consensus.core.ports import NEVER, StateMachine
+from quincepath.fleet.consensus.messages import LearnerEntries, LearnerPoll, LearnerSnapshotChunk
 
 
 @dataclass(slots=True)
-class Follower:
+class Learner:
     """A broker that is no keeper: it asks any keeper for what is committed and applies it in order."""
 
-    machine: Machine
-    keepers: tuple[str, ...]
-    applied: int = 0
+    machine: StateMachine
+    voters: tuple[str, ...]
+    applied_index: int = 0
     leader: str = ""
     heard_at: int = -NEVER
     _whole: bytearray = field(default_factory=bytearray)
     _whole_at: int = 0
 
-    def ask(self) -> Follow:
+    def poll(self) -> LearnerPoll:
         """To send to one keeper, now and then."""
-        return Follow(self.applied)
+        return LearnerPoll(self.applied_index)
 
-    def hear(self, now: int, message: Followed | Whole) -> bool:
+    def receive(self, now: int, message: LearnerEntries | LearnerSnapshotChunk) -> bool:
         """What a keeper told; whether anything was applied."""
         self.heard_at = now
-        if isinstance(message, Whole):
+        if isinstance(message, LearnerSnapshotChunk):
             return self._piece(message)
         if message.leader:
             self.leader = message.leader
         done = False
         for entry in message.entries:
-            if entry.index == self.applied + 1:
-                self.applied = entry.index
+            if entry.index == self.applied_index + 1:
+                self.applied_index = entry.index
                 if entry.keepers:
-                    self.keepers = entry.keepers
+                    self.voters = entry.keepers
                 if entry.data:
                     self.machine.apply(entry)
                 done = True
         return done
 
-    def _piece(self, piece: Whole) -> bool:
-        if piece.index <= self.applied:
+    def _piece(self, piece: LearnerSnapshotChunk) -> bool:
+        if piece.index <= self.applied_index:
             return False
         if piece.offset == 0 or piece.index != self._whole_at:
             self._whole, self._whole_at = bytearray(), piece.index
@@ -51,5 +51,5 @@
         if len(self._whole) < piece.total:
             return False
         self.machine.load(bytes(self._whole))
-        self.applied, self._whole = piece.index, bytearray()
+        self.applied_index, self._whole = piece.index, bytearray()
         return True
--- a/quincepath/fleet/agreement/core/ports.py
+++ b/quincepath/fleet/consensus/core/ports.py
@@ -3,24 +3,24 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from quincepath.fleet.agreement.entries import Entry, Snapshot
-from quincepath.fleet.agreement.messages import Message
+from quincepath.fleet.consensus.entries import Entry, Snapshot
+from quincepath.fleet.consensus.messages import Message
 
 MS = 1_000_000
 NEVER = 1 << 62
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
+class ConsensusSettings:
     """ns. An election begins between ``election`` and twice that after the last word of a leader."""
 
-    heartbeat: int = 200 * MS
-    election: int = 1000 * MS
-    follow: int = 3000 * MS  # one that follows is told of commits for so long after it asked
-    compact: int = 500  # entries until a snapshot takes their place
+    heartbeat_interval_ns: int = 200 * MS
+    election_timeout_ns: int = 1000 * MS
+    learner_lease_ns: int = 3000 * MS  # one that follows is told of commits for so long after it asked
+    entries_before_compaction: int = 500  # entries until a snapshot takes their place
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What the log means. Pure: the same entries, the same state."""
 
     def apply(self, entry: Entry) -> None:
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Came:
+class Received:
     """A message of another broker; ``epoch`` is its store's count of starts (0: it keeps no store)."""
 
     sender: str
@@ -54,21 +54,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class ChangeVoters:
     """Let these be the keepers: one more, or one fewer, than now."""
 
     id: int
-    keepers: tuple[str, ...]
+    voters: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
+class ReadIndex:
     """Make sure that everything committed by now is applied here; the leader only."""
 
     id: int
 
 
-Input = Came | Propose | Change | Read
+Input = Received | Propose | ChangeVoters | ReadIndex
 
 
 # --- outputs ---
@@ -80,7 +80,7 @@
 
     term: int
     vote: str
-    cut: int = 0
+    truncate_from: int = 0
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
 
@@ -111,11 +111,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class Notice:
     """Something for people."""
 
     kind: str
     text: str
 
 
-Output = Persist | Send | Done | Refused | Told
+Output = Persist | Send | Done | Refused | Notice
--- a/quincepath/fleet/agreement/core/replication.py
+++ b/quincepath/fleet/consensus/core/replication.py
@@ -1,24 +1,31 @@
 """The leader's side of the log: what it adds, sends to each keeper, and knows to be committed."""
 
-from quincepath.fleet.agreement.core.committed import Committed
-from quincepath.fleet.agreement.core.ports import Done, Told
-from quincepath.fleet.agreement.core.state import Peer, Role
-from quincepath.fleet.agreement.entries import Entry
-from quincepath.fleet.agreement.messages import ENTRIES_MOST, PIECE, Append, Appended, Piece, PieceTaken
+from quincepath.fleet.consensus.core.committed import Committed
+from quincepath.fleet.consensus.core.ports import Done, Notice
+from quincepath.fleet.consensus.core.state import Peer, Role
+from quincepath.fleet.consensus.entries import Entry
+from quincepath.fleet.consensus.messages import (
+    MAX_ENTRIES_PER_MESSAGE,
+    SNAPSHOT_CHUNK_BYTES,
+    AppendRequest,
+    AppendResponse,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+)
 
 
 class Replication(Committed):
     """Entries, or a snapshot in pieces, for all keepers; a majority that has them commits."""
 
     def _meet_peers(self) -> None:
-        for name in self.keepers:
+        for name in self.voters:
             if name != self.name and name not in self.peers:
-                self.peers[name] = Peer(self.log.last + 1, heard_at=self.now)
-        for name in set(self.peers) - set(self.keepers):
+                self.peers[name] = Peer(self.log.last_index + 1, heard_at=self.now)
+        for name in set(self.peers) - set(self.voters):
             del self.peers[name]
 
     def _add(self, data: bytes, keepers: tuple[str, ...]) -> int:
-        entry = Entry(self.log.last + 1, self.stable.term, data, keepers)
+        entry = Entry(self.log.last_index + 1, self.stable.term, data, keepers)
         self.log.entries.append(entry)
         self._dirty_from = self._dirty_from or entry.index
         if keepers:
@@ -27,11 +34,15 @@
 
     def _beat(self) -> None:
         """To all, and a look whether a majority still answers."""
-        self._beat_at = self.now + self.times.heartbeat
-        heard = {n for n, peer in self.peers.items() if self.now < peer.heard_at + 2 * self.times.election}
+        self._beat_at = self.now + self.times.heartbeat_interval_ns
+        heard = {
+            n
+            for n, peer in self.peers.items()
+            if self.now < peer.heard_at + 2 * self.times.election_timeout_ns
+        }
         if not self._majority({self.name} | heard) and self.peers:
             self._out.append(
-                Told("keepers", "a majority of the keepers does not answer: this one leads no more")
+                Notice("keepers", "a majority of the keepers does not answer: this one leads no more")
             )
             self._become_follower(self.stable.term, "")
             return
@@ -47,10 +58,10 @@
         if peer.next <= snapshot.index:
             if peer.offset < 0:
                 peer.offset = 0
-            data = snapshot.data[peer.offset : peer.offset + PIECE]
+            data = snapshot.data[peer.offset : peer.offset + SNAPSHOT_CHUNK_BYTES]
             self._send(
                 name,
-                Piece(
+                SnapshotChunk(
                     self.stable.term, snapshot.index, snapshot.term, snapshot.keepers, peer.offset,
                     len(snapshot.data), data, self.round,
                 ),
@@ -59,17 +70,19 @@
         before = peer.next - 1
         term = self.log.term(before)
         assert term is not None
-        entries = self.log.since(peer.next, ENTRIES_MOST)
-        self._send(name, Append(self.stable.term, before, term, entries, self.commit, self.round))
+        entries = self.log.entries_from(peer.next, MAX_ENTRIES_PER_MESSAGE)
+        self._send(
+            name, AppendRequest(self.stable.term, before, term, entries, self.commit_index, self.round)
+        )
 
     def _spread(self) -> None:
         """A new entry leaves at once to those that have all before it."""
         for name, peer in list(self.peers.items()):
-            if peer.next == self.log.last:
+            if peer.next == self.log.last_index:
                 self._feed(name)
         self._advance()
 
-    def _appended(self, sender: str, reply: Appended) -> None:
+    def _appended(self, sender: str, reply: AppendResponse) -> None:
         if reply.term > self.stable.term:
             self._become_follower(reply.term, "")
             return
@@ -92,10 +105,10 @@
             peer.match, peer.confirmed = reply.match, self.round
         peer.next = max(peer.next, peer.match + 1)
         self._advance()
-        if peer.next <= self.log.last:
+        if peer.next <= self.log.last_index:
             self._feed(sender)
 
-    def _piece_taken(self, sender: str, reply: PieceTaken) -> None:
+    def _piece_taken(self, sender: str, reply: SnapshotChunkResponse) -> None:
         if reply.term > self.stable.term:
             self._become_follower(reply.term, "")
             return
@@ -116,33 +129,33 @@
         else:
             peer.offset = reply.have
         self._advance()
-        if peer.next <= self.log.last:
+        if peer.next <= self.log.last_index:
             self._feed(sender)
 
     def _shut_out(self, name: str, how: str) -> None:
         """Its disk went back in time: it may have forgotten a vote, too, so it counts no more."""
-        if name not in self.shut_out:
-            self.shut_out[name] = how
+        if name not in self.excluded_voters:
+            self.excluded_voters[name] = how
             self._out.append(
-                Told("store", f"keeper {name} {how}: its disk went back; replace it by a new one")
+                Notice("store", f"keeper {name} {how}: its disk went back; replace it by a new one")
             )
 
     def _advance(self) -> None:
         """Commit what a majority has, by an entry of this term only; answer reads that were confirmed."""
         if self.role != Role.LEADER:
             return
-        keepers = set(self.keepers)
-        trusted = {n: peer for n, peer in self.peers.items() if n not in self.shut_out}
-        for index in range(self.log.last, self.commit, -1):
+        keepers = set(self.voters)
+        trusted = {n: peer for n, peer in self.peers.items() if n not in self.excluded_voters}
+        for index in range(self.log.last_index, self.commit_index, -1):
             have = {n for n, peer in trusted.items() if peer.match >= index} | ({self.name} & keepers)
             if self.log.term(index) == self.stable.term and self._majority(have):
-                self.commit = index
+                self.commit_index = index
                 self._apply()
                 break
-        if self.log.term(self.commit) != self.stable.term:
+        if self.log.term(self.commit_index) != self.stable.term:
             return
         for read in list(self.reads):
             confirmed = {n for n, peer in trusted.items() if peer.round >= read.round} | {self.name}
-            if self._majority(confirmed) and self.applied >= read.index:
+            if self._majority(confirmed) and self.applied_index >= read.index:
                 self.reads.remove(read)
                 self._out.append(Done(read.id, read.index))
--- a/quincepath/fleet/agreement/core/state.py
+++ b/quincepath/fleet/consensus/core/state.py
@@ -3,9 +3,17 @@
 import random
 from dataclasses import dataclass
 
-from quincepath.fleet.agreement.core.ports import NEVER, Machine, Output, Persist, Refused, Send, Times
-from quincepath.fleet.agreement.entries import Stable
-from quincepath.fleet.agreement.messages import Answer, Message
+from quincepath.fleet.consensus.core.ports import (
+    NEVER,
+    ConsensusSettings,
+    Output,
+    Persist,
+    Refused,
+    Send,
+    StateMachine,
+)
+from quincepath.fleet.consensus.entries import StableState
+from quincepath.fleet.consensus.messages import Message, ProposalResponse
 
 
 @dataclass(slots=True)
@@ -41,7 +49,13 @@
     """A keeper's state. ``due`` is when it is to be called without input (ns)."""
 
     def __init__(
-        self, name: str, stable: Stable, machine: Machine, seed: int, now: int, times: Times
+        self,
+        name: str,
+        stable: StableState,
+        machine: StateMachine,
+        seed: int,
+        now: int,
+        times: ConsensusSettings,
     ) -> None:
         self.name, self.stable, self.machine, self.times = name, stable, machine, times
         self.random = random.Random(seed)
@@ -49,16 +63,16 @@
         self.now = now
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = self.applied = self.log.snapshot.index
+        self.commit_index = self.applied_index = self.log.snapshot.index
         self.peers: dict[str, Peer] = {}
         self.votes: set[str] = set()
         self.waiting: list[Waiting] = []
         self.reads: list[Waiting] = []
         self.round = 0
-        self.followers: dict[str, tuple[int, int]] = {}  # by name, what it has applied, and until when
-        self.shut_out: dict[str, str] = {}  # keepers whose disk went back, and how that showed
+        self.learners: dict[str, tuple[int, int]] = {}  # by name, what it has applied, and until when
+        self.excluded_voters: dict[str, str] = {}  # keepers whose disk went back, and how that showed
         self.epochs: dict[str, int] = {}
-        self.heard_leader = -NEVER
+        self.leader_heard_at = -NEVER
         self._piece = bytearray()
         self._piece_of = (0, 0)
         self._out: list[Output] = []
@@ -70,9 +84,9 @@
         self._elect_at = self._election_time()
 
     @property
-    def keepers(self) -> tuple[str, ...]:
+    def voters(self) -> tuple[str, ...]:
         """The newest known."""
-        return self.log.keepers()
+        return self.log.voters()
 
     @property
     def due(self) -> int:
@@ -89,22 +103,22 @@
     def _persist(self) -> None:
         if not (self._meta or self._cut or self._dirty_from):
             return
-        entries = self.log.since(self._dirty_from, 1 << 30) if self._dirty_from else ()
+        entries = self.log.entries_from(self._dirty_from, 1 << 30) if self._dirty_from else ()
         self._out.append(Persist(self.stable.term, self.stable.vote, self._cut, entries))
         self._meta, self._cut, self._dirty_from = False, 0, 0
 
     def _to_all(self, message: Message) -> None:
-        for name in self.keepers:
+        for name in self.voters:
             if name != self.name:
                 self._send(name, message)
 
     # --- the role ---
 
     def _election_time(self) -> int:
-        return self.now + int(self.times.election * (1 + self.random.random()))
+        return self.now + int(self.times.election_timeout_ns * (1 + self.random.random()))
 
     def _majority(self, names: set[str]) -> bool:
-        keepers = self.keepers
+        keepers = self.voters
         return 2 * len(names & set(keepers)) > len(keepers)
 
     def _set_term(self, term: int, vote: str = "") -> None:
@@ -132,6 +146,6 @@
     def _refuse(self, id: int, asker: str, why: str) -> None:
         leader = "" if self.leader == self.name else self.leader
         if asker:
-            self._send(asker, Answer(id, 0, why, leader))
+            self._send(asker, ProposalResponse(id, 0, why, leader))
         else:
             self._out.append(Refused(id, why, leader))
--- a/quincepath/fleet/agreement/core/keeper.py
+++ b/quincepath/fleet/consensus/core/voter.py
@@ -2,25 +2,25 @@
 
 from collections.abc import Iterable
 
-from quincepath.fleet.agreement.core.elections import Elections
-from quincepath.fleet.agreement.core.following import Following
-from quincepath.fleet.agreement.core.ports import Came, Change, Input, Output, Propose, Read
-from quincepath.fleet.agreement.core.requests import Requests
-from quincepath.fleet.agreement.core.state import Role
-from quincepath.fleet.agreement.messages import (
-    Append,
-    Appended,
-    AskVote,
-    Follow,
+from quincepath.fleet.consensus.core.elections import Elections
+from quincepath.fleet.consensus.core.follower_log import Following
+from quincepath.fleet.consensus.core.ports import ChangeVoters, Input, Output, Propose, ReadIndex, Received
+from quincepath.fleet.consensus.core.requests import Requests
+from quincepath.fleet.consensus.core.state import Role
+from quincepath.fleet.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    LearnerPoll,
     Message,
-    Piece,
-    PieceTaken,
-    Request,
-    Voted,
+    ProposalRequest,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    VoteRequest,
+    VoteResponse,
 )
 
 
-class Keeper(Elections, Requests, Following):
+class Voter(Elections, Requests, Following):
     """One keeper. ``due`` is when it is to be called without input (ns)."""
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]:
@@ -29,13 +29,13 @@
         self._out = out = list[Output]()
         for item in inputs:
             match item:
-                case Came(sender, epoch, message):
+                case Received(sender, epoch, message):
                     self._came(sender, epoch, message)
                 case Propose(id, data):
                     self._propose(id, data, "")
-                case Change(id, keepers):
+                case ChangeVoters(id, keepers):
                     self._change(id, keepers)
-                case Read(id):
+                case ReadIndex(id):
                     self._read(id)
         if self.role == Role.LEADER:
             if now >= self._beat_at:
@@ -52,22 +52,22 @@
             if epoch < known:
                 self._shut_out(sender, f"started {epoch} times by its disk, and {known} times before")
             self.epochs[sender] = max(known, epoch)
-        if sender in self.shut_out and not isinstance(message, Follow | Request):
+        if sender in self.excluded_voters and not isinstance(message, LearnerPoll | ProposalRequest):
             return
         match message:
-            case AskVote():
+            case VoteRequest():
                 self._ask_vote(sender, message)
-            case Voted():
+            case VoteResponse():
                 self._voted(sender, message)
-            case Append():
+            case AppendRequest():
                 self._append(sender, message)
-            case Appended():
+            case AppendResponse():
                 self._appended(sender, message)
-            case Piece():
+            case SnapshotChunk():
                 self._take_piece(sender, message)
-            case PieceTaken():
+            case SnapshotChunkResponse():
                 self._piece_taken(sender, message)
-            case Follow(applied):
+            case LearnerPoll(applied):
                 self._follow(sender, applied)
-            case Request(id, data):
+            case ProposalRequest(id, data):
                 self._propose(id, data, sender)
--- a/quincepath/fleet/agreement/entries.py
+++ b/quincepath/fleet/consensus/entries.py
@@ -8,10 +8,10 @@
 
 from quincepath.fleet.messages import Counter, Name
 
-COMMAND_MOST = 128 * 1024  # bytes of one command
-KEEPERS_MOST = 7
+MAX_COMMAND_BYTES = 128 * 1024  # bytes of one command
+MAX_VOTERS = 7
 
-Data = Annotated[bytes, Meta(max_length=COMMAND_MOST)]
+Data = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
@@ -20,7 +20,7 @@
     index: Counter
     term: Counter
     data: Data = b""
-    keepers: Annotated[tuple[Name, ...], Meta(max_length=KEEPERS_MOST)] = ()
+    keepers: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
@@ -28,7 +28,7 @@
 
     index: Counter
     term: Counter
-    keepers: Annotated[tuple[Name, ...], Meta(max_length=KEEPERS_MOST)]
+    keepers: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)]
     data: bytes
 
 
@@ -40,7 +40,7 @@
     entries: list[Entry] = field(default_factory=list)
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the newest entry."""
         return self.snapshot.index + len(self.entries)
 
@@ -61,12 +61,12 @@
         at = index - self.snapshot.index - 1
         return self.entries[at] if 0 <= at < len(self.entries) else None
 
-    def since(self, index: int, most: int) -> tuple[Entry, ...]:
+    def entries_from(self, index: int, most: int) -> tuple[Entry, ...]:
         """Entries from ``index`` on, at most so many."""
         at = index - self.snapshot.index - 1
         return tuple(self.entries[at : at + most]) if at >= 0 else ()
 
-    def cut(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Drop entries from ``index`` on."""
         del self.entries[max(index - self.snapshot.index - 1, 0) :]
 
@@ -74,18 +74,18 @@
         """Keep what comes after a snapshot; nothing where it is not of this log."""
         held = self.term(snapshot.index)
         self.entries = (
-            list(self.since(snapshot.index + 1, len(self.entries))) if held == snapshot.term else []
+            list(self.entries_from(snapshot.index + 1, len(self.entries))) if held == snapshot.term else []
         )
         self.snapshot = snapshot
 
-    def keepers(self) -> tuple[str, ...]:
+    def voters(self) -> tuple[str, ...]:
         """The newest ones, committed or not: a change counts from when it is in the log."""
         for entry in reversed(self.entries):
             if entry.keepers:
                 return entry.keepers
         return self.snapshot.keepers
 
-    def keepers_at(self) -> int:
+    def voters_index(self) -> int:
         """Index of the entry that set them."""
         for entry in reversed(self.entries):
             if entry.keepers:
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True)
-class Stable:
+class StableState:
     """What stands on disk: the only part of a keeper that survives. ``epoch`` counts its starts."""
 
     log: Log
@@ -103,6 +103,6 @@
     epoch: int = 1
 
 
-def first(keepers: tuple[str, ...], data: bytes = b"") -> Stable:
+def initial_state(voters: tuple[str, ...], data: bytes = b"") -> StableState:
     """A keeper that has never run. All first keepers must be given the same names."""
-    return Stable(Log(Snapshot(0, 0, keepers, data)))
+    return StableState(Log(Snapshot(0, 0, voters, data)))
--- a/quincepath/fleet/agreement/post.py
+++ b/quincepath/fleet/consensus/envelope.py
@@ -6,30 +6,30 @@
 from msgspec import Meta
 
 from quincepath.fleet.adoption.gathering import MapReport
-from quincepath.fleet.agreement.messages import Message
+from quincepath.fleet.consensus.messages import Message
 from quincepath.fleet.messages import FRAME, Counter, Name, Versions, body_in, opened
 
 SCHEMA = 1
 VERSIONS = Versions(SCHEMA, 1)
 
 
-class Report(msgspec.Struct, array_like=True, frozen=True, tag=20):
+class ProgressReport(msgspec.Struct, array_like=True, frozen=True, tag=20):
     """What a broker has applied, and what it has out at holders that are to be drained, by name."""
 
     applied: Counter
     out: Annotated[dict[Name, Counter], Meta(max_length=1000)]
 
 
-class Sampled(msgspec.Struct, array_like=True, frozen=True, tag=22):
+class FootprintSample(msgspec.Struct, array_like=True, frozen=True, tag=22):
     """A part of a broker's sample of footprints, as the forecast's room encodes it."""
 
     data: Annotated[bytes, Meta(max_length=32_768)]
 
 
-Body = Message | Report | MapReport | Sampled
+Body = Message | ProgressReport | MapReport | FootprintSample
 
 
-class Post(msgspec.Struct, array_like=True, frozen=True):
+class LogEnvelope(msgspec.Struct, array_like=True, frozen=True):
     """Around every message. ``epoch``: how often the speaker's store was opened; 0 without one."""
 
     schema: Annotated[int, Meta(ge=0, le=1 << 16)]
@@ -42,16 +42,18 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_posts = msgspec.msgpack.Decoder(Post)
+_posts = msgspec.msgpack.Decoder(LogEnvelope)
 _bodies: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
 
 
 def pack(fleet: str, sender: str, to: str, epoch: int, body: Body) -> bytes:
     """One message, ready to go."""
-    return _encoder.encode(Post(SCHEMA, SCHEMA, fleet, sender, to, epoch, msgspec.Raw(_encoder.encode(body))))
+    return _encoder.encode(
+        LogEnvelope(SCHEMA, SCHEMA, fleet, sender, to, epoch, msgspec.Raw(_encoder.encode(body)))
+    )
 
 
-def unpack(data: bytes, fleet: str, to: str) -> tuple[Post, Body]:
+def unpack(data: bytes, fleet: str, to: str) -> tuple[LogEnvelope, Body]:
     """A message to this broker. Raises ``Rejected``, with the causes of the view's messages."""
     post = opened(data, _posts, VERSIONS, fleet, to, FRAME)
     return post, body_in(post.body, _bodies)
--- a/quincepath/fleet/agreement/messages.py
+++ b/quincepath/fleet/consensus/messages.py
@@ -5,16 +5,16 @@
 import msgspec
 from msgspec import Meta
 
-from quincepath.fleet.agreement.entries import COMMAND_MOST, KEEPERS_MOST, Data, Entry
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES, MAX_VOTERS, Data, Entry
 from quincepath.fleet.messages import Counter, Name
 
-ENTRIES_MOST = 64  # in one message
-PIECE = 32 * 1024  # bytes of a snapshot in one message
-SNAPSHOT_MOST = 64 << 20
-Entries = Annotated[tuple[Entry, ...], Meta(max_length=ENTRIES_MOST)]
+MAX_ENTRIES_PER_MESSAGE = 64  # in one message
+SNAPSHOT_CHUNK_BYTES = 32 * 1024  # bytes of a snapshot in one message
+MAX_SNAPSHOT_BYTES = 64 << 20
+Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES_PER_MESSAGE)]
 
 
-class AskVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """Vote for me in ``term``. ``trial``: would you? (pre-vote); nobody's term changes by it."""
 
     term: Counter
@@ -23,7 +23,7 @@
     trial: bool
 
 
-class Voted(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """The answer to ``AskVote`` of that term."""
 
     term: Counter
@@ -32,7 +32,7 @@
     asked: Counter  # the term that was asked for
 
 
-class Append(msgspec.Struct, array_like=True, frozen=True, tag=3):
+class AppendRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
     """The leader's entries after ``before``; none: a sign of life. ``round`` confirms reads."""
 
     term: Counter
@@ -43,7 +43,7 @@
     round: Counter
 
 
-class Appended(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class AppendResponse(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """``match``: up to there the logs are equal; where ``done`` is false, where to try next."""
 
     term: Counter
@@ -52,20 +52,20 @@
     round: Counter
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True, tag=5):
+class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """A part of the leader's snapshot, from byte ``offset`` of ``total``."""
 
     term: Counter
     index: Counter
     index_term: Counter
-    keepers: Annotated[tuple[Name, ...], Meta(max_length=KEEPERS_MOST)]
-    offset: Annotated[int, Meta(ge=0, le=SNAPSHOT_MOST)]
-    total: Annotated[int, Meta(ge=0, le=SNAPSHOT_MOST)]
-    data: Annotated[bytes, Meta(max_length=PIECE)]
+    keepers: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)]
+    offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    total: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    data: Annotated[bytes, Meta(max_length=SNAPSHOT_CHUNK_BYTES)]
     round: Counter
 
 
-class PieceTaken(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class SnapshotChunkResponse(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """So many bytes of the snapshot at ``index`` are here."""
 
     term: Counter
@@ -74,13 +74,13 @@
     round: Counter
 
 
-class Follow(msgspec.Struct, array_like=True, frozen=True, tag=7):
+class LearnerPoll(msgspec.Struct, array_like=True, frozen=True, tag=7):
     """Tell me what is committed after ``applied``, now and for a while as it comes."""
 
     applied: Counter
 
 
-class Followed(msgspec.Struct, array_like=True, frozen=True, tag=8):
+class LearnerEntries(msgspec.Struct, array_like=True, frozen=True, tag=8):
     """Committed entries, for one that follows; ``leader`` as far as is known."""
 
     entries: Entries
@@ -88,23 +88,23 @@
     leader: str
 
 
-class Whole(msgspec.Struct, array_like=True, frozen=True, tag=9):
+class LearnerSnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=9):
     """A snapshot for one that follows and is too far behind for entries, in pieces."""
 
     index: Counter
-    offset: Annotated[int, Meta(ge=0, le=SNAPSHOT_MOST)]
-    total: Annotated[int, Meta(ge=0, le=SNAPSHOT_MOST)]
-    data: Annotated[bytes, Meta(max_length=PIECE)]
+    offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    total: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+    data: Annotated[bytes, Meta(max_length=SNAPSHOT_CHUNK_BYTES)]
 
 
-class Request(msgspec.Struct, array_like=True, frozen=True, tag=10):
+class ProposalRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
     """A command for the leader; ``id`` is the asker's own, for the answer."""
 
     id: Counter
     data: Data
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True, tag=11):
+class ProposalResponse(msgspec.Struct, array_like=True, frozen=True, tag=11):
     """What came of a request: the index that it was committed at, or why not, and who may lead."""
 
     id: Counter
@@ -114,6 +114,16 @@
 
 
 Message = (
-    AskVote | Voted | Append | Appended | Piece | PieceTaken | Follow | Followed | Whole | Request | Answer
+    VoteRequest
+    | VoteResponse
+    | AppendRequest
+    | AppendResponse
+    | SnapshotChunk
+    | SnapshotChunkResponse
+    | LearnerPoll
+    | LearnerEntries
+    | LearnerSnapshotChunk
+    | ProposalRequest
+    | ProposalResponse
 )
-__all__ = ["COMMAND_MOST", "Message"]
+__all__ = ["MAX_COMMAND_BYTES", "Message"]
--- a/quincepath/fleet/agreement/storing.py
+++ b/quincepath/fleet/consensus/storage.py
@@ -3,11 +3,11 @@
 from enum import Enum
 from typing import Protocol
 
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Stable
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import StableState
 
 
-class Trouble(Enum):
+class StoreErrorCause(Enum):
     """The cause of a ``StoreError``; for logs, metrics and what is done about it."""
 
     FULL = "full"  # the disk, or the size that the store may have
@@ -21,15 +21,15 @@
 class StoreError(Exception):
     """The store cannot be used; the broker serves queries all the same, without being a keeper."""
 
-    def __init__(self, trouble: Trouble, text: str) -> None:
-        super().__init__(f"{trouble.value}: {text}")
-        self.trouble = trouble
+    def __init__(self, cause: StoreErrorCause, text: str) -> None:
+        super().__init__(f"{cause.value}: {text}")
+        self.cause = cause
 
 
 class Storage(Protocol):
     """A keeper's store, open. ``stable`` is what the keeper begins with."""
 
-    stable: Stable
+    stable: StableState
 
     def write(self, order: Persist) -> None:
         """Carry out one ``Persist``; on disk when this returns. Raises ``StoreError``: nothing changed."""
--- a/quincepath/fleet/distribution.py
+++ b/quincepath/fleet/distribution.py
@@ -12,7 +12,6 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from quincepath.config.schema import Config, DistributionEntry, FleetEntry
-from quincepath.fleet.agreed import Agreed
 from quincepath.fleet.configuration.admissible import Admissible
 from quincepath.fleet.configuration.changes import ChangeError, Edit, decode_change
 from quincepath.fleet.configuration.choice import MS, RelayPlace
@@ -45,8 +44,9 @@
 from quincepath.fleet.configuration.status import FleetStatus, StatusSums
 from quincepath.fleet.configuration.subscriber import Membership, Subscriber
 from quincepath.fleet.configuration.table import Rules
-from quincepath.fleet.edge import Edge
 from quincepath.fleet.messages import Rejected
+from quincepath.fleet.replicated_log import ReplicatedLog
+from quincepath.fleet.transport import Transport
 from quincepath.net.loop import Loop, Timer
 
 FEED_EVERY = 500 * MS  # between words of the log to the relay while nothing is new
@@ -319,8 +319,8 @@
     config: Config,
     entry: FleetEntry,
     section: DistributionEntry,
-    agreed: Agreed,
-    edge: Edge,
+    agreed: ReplicatedLog,
+    edge: Transport,
     boot: int,
     seed: int,
     expected: Callable[[], int],
@@ -332,10 +332,10 @@
     rules = Rules(frozenset(frozenset(names) for names in config.shards.sets().values()))
     members = frozenset({entry.member, *(peer.name for peer in entry.peers)})
     ports = Ports(
-        tell=edge.tell,
+        tell=edge.send_log_message,
         history=lambda: agreed.machine.configuration,
-        age=agreed.age,
-        keepers=lambda: agreed.keepers,
+        age=agreed.staleness_ns,
+        keepers=lambda: agreed.voters,
         expected=expected,
         dropped=dropped,
     )
--- a/quincepath/fleet/orders.py
+++ b/quincepath/fleet/operator_requests.py
@@ -8,16 +8,16 @@
 from quincepath.fleet.adoption import AdoptMap, AwayMap, BackMap, Map, ProposeMap
 from quincepath.fleet.permits import DRAIN, Back, Close, Command, Grant, Halt, Resume
 
-ORDERS = ("drain", "undrain", "close", "halt", "resume", "propose", "adopt", "back")
-NAMELESS = ("halt", "resume", "propose", "adopt", "back")
-OF_MAPS = ("propose", "adopt", "back")
+ACTIONS = ("drain", "undrain", "close", "halt", "resume", "propose", "adopt", "back")
+ACTIONS_WITHOUT_NAMES = ("halt", "resume", "propose", "adopt", "back")
+MAP_ACTIONS = ("propose", "adopt", "back")
 
 
-class OrderError(ValueError):
+class OperatorRequestError(ValueError):
     """A command that is not taken: what is wrong and what was expected."""
 
 
-class Order(msgspec.Struct, forbid_unknown_fields=True):
+class OperatorRequest(msgspec.Struct, forbid_unknown_fields=True):
     """The body of a command. ``id`` is the asker's: the same one again does nothing twice."""
 
     id: Annotated[str, Meta(min_length=1, max_length=100)]
@@ -28,22 +28,22 @@
     may_lose: Annotated[list[str], Meta(max_length=1000)] = []
 
 
-def read_order(what: str, body: bytes) -> Order:
+def decode_operator_request(what: str, body: bytes) -> OperatorRequest:
     """The body of the command ``what``. Raises ``OrderError``."""
     try:
-        order = msgspec.json.decode(body, type=Order)
+        order = msgspec.json.decode(body, type=OperatorRequest)
     except msgspec.MsgspecError as error:
-        raise OrderError(str(error)) from None
-    if what not in ORDERS:
-        raise OrderError(f"{what!r}: expected one of {', '.join(ORDERS)}")
-    if not order.names and what not in NAMELESS:
-        raise OrderError("names: expected at least one")
+        raise OperatorRequestError(str(error)) from None
+    if what not in ACTIONS:
+        raise OperatorRequestError(f"{what!r}: expected one of {', '.join(ACTIONS)}")
+    if not order.names and what not in ACTIONS_WITHOUT_NAMES:
+        raise OperatorRequestError("names: expected at least one")
     if (order.map is None) is (what == "propose"):
-        raise OrderError("map: expected with propose, and with nothing else")
+        raise OperatorRequestError("map: expected with propose, and with nothing else")
     return order
 
 
-def command_of(what: str, order: Order, name: str, now: int, overdue: int) -> Command:
+def to_command(what: str, order: OperatorRequest, name: str, now: int, overdue: int) -> Command:
     """For the log; of one name. ``now``: ms of the wall clock, ``overdue``: ms that a drain may last."""
     id = f"{order.id} {what} {name}"
     match what:
--- a/quincepath/fleet/permits.py
+++ b/quincepath/fleet/permits.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from quincepath.fleet.adoption import MAP_COMMANDS, MapCommand, Topology, closed, disturbed, do
-from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.budget import Check, Reason, refusals
 from quincepath.fleet.configuration.commands import ChangeConfiguration, apply_command
 from quincepath.fleet.configuration.history import History
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.messages import Millis, Name, Text
 
 HISTORY_MOST = 2000
--- a/quincepath/fleet/proposals.py
+++ b/quincepath/fleet/proposals.py
@@ -8,11 +8,11 @@
 
 from quincepath.fleet.permits import Command
 
-PROPOSALS_MOST = 64  # at once
-TIME = 10_000_000_000  # ns until a command is given up, as not known to be done
+MAX_PROPOSALS = 64  # at once
+PROPOSAL_TIMEOUT_NS = 10_000_000_000  # ns until a command is given up, as not known to be done
 TOO_MANY = "too many commands wait"
-NOT_KNOWN = "not known to be done: no majority of the keepers answered in time"
-NOT_FOUND = "not found among what was agreed"
+OUTCOME_UNKNOWN = "not known to be done: no majority of the keepers answered in time"
+RESULT_NOT_FOUND = "not found among what was agreed"
 
 
 @dataclass(slots=True)
@@ -36,11 +36,11 @@
 
     def add(self, now: int, command: Command, done: Callable[[str], None]) -> Proposal | None:
         """Begin one; None where there are too many, which ``done`` is told."""
-        if len(self._open) >= PROPOSALS_MOST:
+        if len(self._open) >= MAX_PROPOSALS:
             done(TOO_MANY)
             return None
         self._numbers += 1
-        proposal = Proposal(self._numbers, command, done, now + TIME)
+        proposal = Proposal(self._numbers, command, done, now + PROPOSAL_TIMEOUT_NS)
         self._open[proposal.number] = proposal
         return proposal
 
@@ -48,13 +48,13 @@
         """One that has not ended."""
         return self._open.get(number)
 
-    def stands_at(self, number: int, index: int) -> None:
+    def set_index(self, number: int, index: int) -> None:
         """A proposal has a place in the log."""
         proposal = self._open.get(number)
         if proposal is not None:
             proposal.index = index
 
-    def any_of(self, kind: type) -> bool:
+    def has_pending(self, kind: type) -> bool:
         """Whether a command of this kind is on its way."""
         return any(type(proposal.command) is kind for proposal in self._open.values())
 
@@ -63,15 +63,15 @@
         if self._open.pop(proposal.number, None) is not None:
             proposal.done(why)
 
-    def settle(self, applied: int, results: Mapping[str, str]) -> None:
+    def complete_applied(self, applied: int, results: Mapping[str, str]) -> None:
         """End those that have taken effect here. ``results``: what came of each command, by its id."""
         for proposal in list(self._open.values()):
             if proposal.index and applied >= proposal.index:
-                self.end(proposal, results.get(proposal.command.id, NOT_FOUND))
+                self.end(proposal, results.get(proposal.command.id, RESULT_NOT_FOUND))
 
-    def overdue(self, now: int) -> list[Proposal]:
+    def expire(self, now: int) -> list[Proposal]:
         """End those whose time is over; returns the others that have no place in the log yet."""
         for proposal in list(self._open.values()):
             if now >= proposal.until:
-                self.end(proposal, NOT_KNOWN)
+                self.end(proposal, OUTCOME_UNKNOWN)
         return [proposal for proposal in self._open.values() if not proposal.index]
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -14,10 +14,15 @@
 
 from quincepath.config.schema import Config, DistributionEntry, FleetEntry
 from quincepath.fleet.budget import Limit, Limits, Reason, Unit, checks
-from quincepath.fleet.edge import Edge
-from quincepath.fleet.orders import OF_MAPS, OrderError, command_of, read_order
+from quincepath.fleet.operator_requests import (
+    MAP_ACTIONS,
+    OperatorRequestError,
+    decode_operator_request,
+    to_command,
+)
 from quincepath.fleet.pages import explain_page, history_page, view_page
 from quincepath.fleet.permits import Command, Grant, Permits
+from quincepath.fleet.transport import Transport
 from quincepath.fleet.view.core import Drain, Leave, Told, View
 from quincepath.fleet.view.facts import Change, Phase, ViewSettings
 from quincepath.membership.state import HolderInfo
@@ -25,10 +30,10 @@
 from quincepath.net.server import Exchange
 
 if TYPE_CHECKING:
-    from quincepath.fleet.agreed import Agreed, OpenStore
     from quincepath.fleet.configuration.commands import ChangeConfiguration
     from quincepath.fleet.configuration_requests import ConfigurationRequests
     from quincepath.fleet.distribution import Distribution
+    from quincepath.fleet.replicated_log import OpenStore, ReplicatedLog
     from quincepath.fleet.shared import Shared
     from quincepath.fleet.topology import Maps
 
@@ -91,7 +96,7 @@
         registry: CollectorRegistry,
         base: Path,
         open_store: "OpenStore",
-        make_edge: type[Edge] = Edge,
+        make_edge: type[Transport] = Transport,
     ) -> None:
         self.loop, self.entry, self.configured = loop, entry, config.broker.brokers
         self.ramp = config.rules.ramp_time
@@ -131,14 +136,14 @@
         self._closed = False
         self._shown: tuple[Counts[str], Counts[str]] = (Counts(), Counts())  # what the metrics have by now
         self.edge = make_edge(loop, self.view, places, entry.host, entry.port, self._told)
-        self.agreed: Agreed | None = None
+        self.agreed: ReplicatedLog | None = None
         self.distribution: Distribution | None = None
         self.requests: ConfigurationRequests | None = None
         if entry.keepers:
-            from quincepath.fleet import agreed  # only where there is a log
+            from quincepath.fleet import replicated_log  # only where there is a log
 
-            hooks = agreed.Hooks(
-                self.edge.tell,
+            hooks = replicated_log.Hooks(
+                self.edge.send_log_message,
                 self._judge,
                 self._applied,
                 lambda: self.out_at(),
@@ -146,9 +151,9 @@
                 self._drop,
                 self._maps(config, boot),
             )
-            self.agreed = agreed.Agreed(loop, entry, base, seed, hooks, self.log)
-            self.agreed.refuses_change = self._refuses_change
-            self.edge.on_agreed = self.agreed.receive
+            self.agreed = replicated_log.ReplicatedLog(loop, entry, base, seed, hooks, self.log)
+            self.agreed.change_refusal = self._refuses_change
+            self.edge.on_log_message = self.agreed.receive
             if entry.configuration is not None:
                 self._distribute(config, entry.configuration, boot, seed, registry)
         self.shared: Shared | None = None
@@ -237,8 +242,8 @@
             self.log, registry,
         )  # fmt: skip
         self.requests = ConfigurationRequests(self.distribution, self.agreed)
-        self.edge.on_agreed = routed(self.agreed.receive, self.distribution.receive)
-        self.edge.on_way_lost = self.distribution.lost
+        self.edge.on_log_message = routed(self.agreed.receive, self.distribution.receive)
+        self.edge.on_connection_lost = self.distribution.lost
 
     def _expected(self) -> int:
         """Brokers that should have the newest configuration: all members but those that left."""
@@ -262,7 +267,7 @@
         if names != self._drained:
             for name in sorted(names ^ self._drained):
                 said = "drain agreed" if name in names else "drain is over"
-                self.log.info(f"fleet: {said}", node=name, index=self.agreed.applied)
+                self.log.info(f"fleet: {said}", node=name, index=self.agreed.applied_index)
             self._drained = names
             self.on_drained(names)
 
@@ -329,15 +334,15 @@
     def _order(self, exchange: Exchange, what: str, body: bytes) -> None:
         """A command of people: ``drain``, ``undrain``, ``close``, ``halt`` or ``resume``, by JSON."""
         try:
-            order = read_order(what, body)
-        except OrderError as error:
+            order = decode_operator_request(what, body)
+        except OperatorRequestError as error:
             exchange.respond(400, JSON, json.dumps({"error": str(error)}).encode())
             return
         if self.agreed is None:
             said = {"error": "this broker's fleet: section names no keepers: nothing is agreed"}
             exchange.respond(409, JSON, json.dumps(said).encode())
             return
-        if what in OF_MAPS and self.agreed.maps is None:
+        if what in MAP_ACTIONS and self.agreed.maps is None:
             said = {"error": "this broker's fleet: section has no topology: the configured map stays"}
             exchange.respond(409, JSON, json.dumps(said).encode())
             return
@@ -352,8 +357,8 @@
 
         now, overdue = self.loop.system.wall_ms(), self.entry.overdue // 1_000_000
         for name in names:
-            command = command_of(what, order, name, now, overdue)
-            self.agreed.command(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
+            command = to_command(what, order, name, now, overdue)
+            self.agreed.submit(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
 
     def page(self, path: str) -> Page:
         """The answer to a path under ``/fleet/``."""
@@ -368,7 +373,7 @@
             found = self.agreed.status(brokers, left)
         elif what == "topology" and self.agreed is not None and self.agreed.maps is not None:
             maps, agreed = self.agreed.maps, self.agreed
-            found = maps.status(now, self.loop.system.wall_ms(), agreed.keeper is not None, agreed.leader)
+            found = maps.status(now, self.loop.system.wall_ms(), agreed.voter is not None, agreed.leader)
         elif what == "agreed" and self.agreed is not None:
             found = [msgspec.to_builtins(line) for line in self.agreed.machine.state.history]
         elif what == "history":
--- a/quincepath/fleet/shared.py
+++ b/quincepath/fleet/shared.py
@@ -12,12 +12,12 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from quincepath.config.schema import Config, FleetEntry, LedgerEntry
-from quincepath.fleet.edge import Edge
 from quincepath.fleet.ledger.facts import Count, LedgerSettings, Totals
 from quincepath.fleet.ledger.told import Living
 from quincepath.fleet.overload import Arrival, OverloadSettings, Shed
 from quincepath.fleet.overload.facts import Out
 from quincepath.fleet.sharing import Sharing
+from quincepath.fleet.transport import Transport
 from quincepath.fleet.view.core import View
 from quincepath.net.loop import Loop, Timer
 
@@ -53,7 +53,7 @@
     """One broker's. ``on_out`` gets what is decided, ``on_totals`` what is known of the fleet."""
 
     def __init__(
-        self, config: Config, entry: FleetEntry, loop: Loop, view: View, edge: Edge, seed: int,
+        self, config: Config, entry: FleetEntry, loop: Loop, view: View, edge: Transport, seed: int,
         log: Any, registry: CollectorRegistry,
     ) -> None:  # fmt: skip
         if entry.ledger is None:
@@ -96,7 +96,7 @@
         self.spending = Gauge(
             "quincepath_overload_spending", "What this broker may spend a second", ["what"], registry=registry
         )
-        edge.on_other = self._heard
+        edge.on_other_datagram = self._heard
         self._step()
 
     # --- queries ---
@@ -132,7 +132,7 @@
         # The order among equals changes with the hour of the wall clock; a clock that is off changes no more.
         news = self.sharing.step(now, data, self._living(), self.loop.system.wall_ns())
         for packet in news.packets:
-            self.edge.post(packet.to, packet.data)
+            self.edge.send_datagram(packet.to, packet.data)
         if news.totals is not None:
             self.on_totals(news.totals)
         if news.out is not None:
--- a/quincepath/fleet/topology.py
+++ b/quincepath/fleet/topology.py
@@ -32,7 +32,7 @@
 )
 from quincepath.fleet.adoption.commands import FIGURES_MOST, Held
 from quincepath.fleet.adoption.gathering import Measured
-from quincepath.fleet.agreement.entries import COMMAND_MOST
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES
 from quincepath.fleet.forecast import Kind, Limit, Rules, Sample, World, forecast, record_of, verdict
 from quincepath.fleet.permits import Permits, encode
 from quincepath.fleet.sampling import Samples
@@ -121,8 +121,8 @@
             case UseMap():
                 command = self.gathered.filled(command, self.topology, now)
         size = len(encode(command))
-        if size > COMMAND_MOST and not why:
-            why = f"{type(command).__name__}: {size} bytes; expected at most {COMMAND_MOST} in an entry"
+        if size > MAX_COMMAND_BYTES and not why:
+            why = f"{type(command).__name__}: {size} bytes; expected at most {MAX_COMMAND_BYTES} in an entry"
         return command, why
 
     def _needs(self, new: MapVersion) -> dict[str, tuple[str, ...]]:
--- a/quincepath/fleet/edge.py
+++ b/quincepath/fleet/transport.py
@@ -28,18 +28,20 @@
 from quincepath.net.loop import READ, Loop, Timer
 from quincepath.net.stream import Listener, Stream
 
-HEAD = 4
-DATAGRAMS = 64  # read in one go; the rest waits for the next turn
-LONGEST = 65_535
-_ROOM = memoryview(bytearray(LONGEST))  # where datagrams are read to; see net/stream.py
-CONNECTIONS = 1200  # taken at once: one a member for the log, and exchanges
-LINGER = 1_000_000_000  # ns that a line may take to send its last words
-BIND_TRIES = 16
-OTHER = b"\xc1"  # the first byte of a datagram that is not the view's: it begins no msgpack value
-AGREED = 1 << 31  # in a message's length: it is of the keepers' log, not of the view
-WAITING_MOST = 256  # messages of the log that wait for a connection; more are lost, as on a bad way
-REDIAL = 250_000_000  # ns until a member that could not be reached is dialled again
-IDLE = 60_000_000_000  # ns until a connection for the log that carries nothing is closed
+LENGTH_PREFIX_BYTES = 4
+MAX_DATAGRAMS_PER_TURN = 64  # read in one go; the rest waits for the next turn
+MAX_DATAGRAM_BYTES = 65_535
+_RECEIVE_BUFFER = memoryview(bytearray(MAX_DATAGRAM_BYTES))  # where datagrams are read to; see net/stream.py
+MAX_CONNECTIONS = 1200  # taken at once: one a member for the log, and exchanges
+LINGER_NS = 1_000_000_000  # ns that a line may take to send its last words
+MAX_BIND_ATTEMPTS = 16
+OTHER_DATAGRAM_PREFIX = (
+    b"\xc1"  # the first byte of a datagram that is not the view's: it begins no msgpack value
+)
+LOG_MESSAGE_FLAG = 1 << 31  # in a message's length: it is of the keepers' log, not of the view
+MAX_WAITING_MESSAGES = 256  # messages of the log that wait for a connection; more are lost, as on a bad way
+REDIAL_DELAY_NS = 250_000_000  # ns until a member that could not be reached is dialled again
+IDLE_TIMEOUT_NS = 60_000_000_000  # ns until a connection for the log that carries nothing is closed
 
 
 class _Way:
@@ -65,28 +67,30 @@
         self.heard_at = 0
 
 
-class Edge:
-    """Sockets of one view. ``on_told`` gets what is for people."""
+class Transport:
+    """Sockets of one view. ``on_notice`` gets what is for people."""
 
     def __init__(
         self,
         loop: Loop,
         view: View,
-        places: dict[str, tuple[str, int]],
+        peer_addresses: dict[str, tuple[str, int]],
         host: str,
         port: int,
-        on_told: Callable[[Change | Told], None],
+        on_notice: Callable[[Change | Told], None],
     ) -> None:
-        self.loop, self.view, self.places, self.on_told = loop, view, places, on_told
+        self.loop, self.view, self.peer_addresses, self.on_notice = loop, view, peer_addresses, on_notice
         # Messages and bytes that went out, by kind. "frames" and "bytes" are of all mechanisms together;
         # the ledger's ("posted") and the log's also stand apart: what is left is the view's.
         self.sent: Counter[str] = Counter()
         self.unsent = 0  # datagrams that the system did not take
         self._lines: dict[int, _Line] = {}
-        self._ways: dict[str, _Way] = {}
-        self.on_agreed: Callable[[bytes], None] | None = None
-        self.on_way_lost: Callable[[str], None] | None = None  # to a member: it ended, or could not be had
-        self.on_other: Callable[[bytes], None] | None = None
+        self._outbound: dict[str, _Way] = {}
+        self.on_log_message: Callable[[bytes], None] | None = None
+        self.on_connection_lost: Callable[[str], None] | None = (
+            None  # to a member: it ended, or could not be had
+        )
+        self.on_other_datagram: Callable[[bytes], None] | None = None
         self._taken = 0
         self._timer: Timer | None = None
         self._closed = False
@@ -94,22 +98,22 @@
         self.udp.setblocking(False)
         loop.watch(self.udp, READ, self._readable)
         self.step([])
-        loop.call_in(IDLE, self._sweep)
+        loop.call_in(IDLE_TIMEOUT_NS, self._sweep)
 
     def _sweep(self) -> None:
         """Connections for the log whose other end has said nothing for long."""
         if self._closed:
             return
-        self.loop.call_in(IDLE, self._sweep)
+        self.loop.call_in(IDLE_TIMEOUT_NS, self._sweep)
         for number, line in list(self._lines.items()):
-            if line.agreed and self.loop.now > line.heard_at + IDLE:
+            if line.agreed and self.loop.now > line.heard_at + IDLE_TIMEOUT_NS:
                 self._drop(number)
 
     def _bind(self, host: str, port: int) -> None:
         """One number for both; a free one is looked for where none is asked for."""
-        for attempt in range(BIND_TRIES):
+        for attempt in range(MAX_BIND_ATTEMPTS):
             self.listener = Listener(
-                self.loop, host, port, self._accepted, lambda: len(self._lines), CONNECTIONS
+                self.loop, host, port, self._accepted, lambda: len(self._lines), MAX_CONNECTIONS
             )
             self.udp = self.loop.system.datagram_socket()
             try:
@@ -117,7 +121,7 @@
             except OSError:
                 self.listener.close()
                 self.udp.close()
-                if port or attempt == BIND_TRIES - 1:
+                if port or attempt == MAX_BIND_ATTEMPTS - 1:
                     raise
             else:
                 self.address = f"{host}:{self.listener.port}"
@@ -152,18 +156,18 @@
                 else:
                     self._hang_up(line)
             case Change() | Told():
-                self.on_told(out)
+                self.on_notice(out)
 
     # --- datagrams ---
 
-    def post(self, to: str, data: bytes) -> None:
-        """A datagram of others than the view; it begins with ``OTHER``."""
-        if not self._closed and to in self.places:
+    def send_datagram(self, to: str, data: bytes) -> None:
+        """A datagram of others than the view; it begins with ``OTHER_DATAGRAM_PREFIX``."""
+        if not self._closed and to in self.peer_addresses:
             self._datagram(to, data, "posted")
 
     def _datagram(self, to: str, data: bytes, what: str = "datagrams") -> None:
         try:
-            self.udp.sendto(data, self.places[to])
+            self.udp.sendto(data, self.peer_addresses[to])
         except OSError:  # as good as lost on the way
             self.unsent += 1
             return
@@ -173,15 +177,15 @@
 
     def _readable(self, _: int) -> None:
         inputs: list[Input] = []
-        for _ in range(DATAGRAMS):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data = bytes(_ROOM[: self.udp.recv_into(_ROOM)])
+                data = bytes(_RECEIVE_BUFFER[: self.udp.recv_into(_RECEIVE_BUFFER)])
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:  # an error of an earlier datagram of ours, told here
                 continue
-            if data[:1] == OTHER and self.on_other is not None:
-                self.on_other(data)
+            if data[:1] == OTHER_DATAGRAM_PREFIX and self.on_other_datagram is not None:
+                self.on_other_datagram(data)
             else:
                 inputs.append(Heard(data))
         self.step(inputs)
@@ -206,7 +210,7 @@
             self._ended(number, describe_connect_error(code))
 
         timeout = self.view.settings.exchange_time
-        line.dial = Dial(self.loop, self.places[to], timeout, opened, failed)
+        line.dial = Dial(self.loop, self.peer_addresses[to], timeout, opened, failed)
 
     def _accepted(self, sock: socket.socket) -> None:
         self._taken += 1
@@ -226,19 +230,19 @@
     def _data(self, number: int, line: _Line, data: bytes) -> None:
         line.data += data
         inputs: list[Input] = []
-        while len(line.data) >= HEAD:
-            length = int.from_bytes(line.data[:HEAD])
-            agreed, length = bool(length & AGREED), length & ~AGREED
+        while len(line.data) >= LENGTH_PREFIX_BYTES:
+            length = int.from_bytes(line.data[:LENGTH_PREFIX_BYTES])
+            agreed, length = bool(length & LOG_MESSAGE_FLAG), length & ~LOG_MESSAGE_FLAG
             if length > FRAME:
                 self.view.dropped["too large"] += 1
                 if line.stream is not None:
                     line.stream.close()
                 self._ended(number, "a message over the limit")
                 return
-            if len(line.data) < HEAD + length:
+            if len(line.data) < LENGTH_PREFIX_BYTES + length:
                 break
-            message = bytes(line.data[HEAD : HEAD + length])
-            del line.data[: HEAD + length]
+            message = bytes(line.data[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + length])
+            del line.data[: LENGTH_PREFIX_BYTES + length]
             if not agreed:
                 inputs.append(Framed(number, message))
                 continue
@@ -246,8 +250,8 @@
                 line.agreed = True
                 inputs.append(Lost(number, "carries the keepers' log"))  # no exchange of the view's
             line.heard_at = self.loop.now
-            if self.on_agreed is not None:
-                self.on_agreed(message)
+            if self.on_log_message is not None:
+                self.on_log_message(message)
         if inputs:
             self.step(inputs)
 
@@ -255,7 +259,7 @@
         line = self._lines.get(number)
         if line is None:
             return
-        chunk = len(data).to_bytes(HEAD) + data
+        chunk = len(data).to_bytes(LENGTH_PREFIX_BYTES) + data
         self.sent["frames"] += 1
         self.sent["bytes"] += len(chunk)
         if line.stream is not None:
@@ -276,7 +280,7 @@
 
     def _finish(self, number: int, line: _Line) -> None:
         assert line.stream is not None
-        timer = self.loop.call_in(LINGER, lambda: self._drop(number))
+        timer = self.loop.call_in(LINGER_NS, lambda: self._drop(number))
 
         def done() -> None:
             timer.cancel()
@@ -299,11 +303,11 @@
 
     # --- the keepers' log ---
 
-    def tell(self, to: str, data: bytes) -> None:
+    def send_log_message(self, to: str, data: bytes) -> None:
         """Send a message of the log; it may be lost, like any."""
-        way = self._ways.setdefault(to, _Way())
-        chunk = (len(data) | AGREED).to_bytes(HEAD) + data
-        if self._closed or to not in self.places or len(data) > FRAME:
+        way = self._outbound.setdefault(to, _Way())
+        chunk = (len(data) | LOG_MESSAGE_FLAG).to_bytes(LENGTH_PREFIX_BYTES) + data
+        if self._closed or to not in self.peer_addresses or len(data) > FRAME:
             return
         self.sent["frames"] += 1
         self.sent["bytes"] += len(chunk)
@@ -313,7 +317,7 @@
             if way.stream.pending < FRAME * 4:
                 way.stream.write(chunk)
             return
-        if len(way.waiting) < WAITING_MOST:
+        if len(way.waiting) < MAX_WAITING_MESSAGES:
             way.waiting.append(chunk)
         if way.dial is None and self.loop.now >= way.not_before:
             self._dial_way(to, way)
@@ -330,21 +334,21 @@
         def failed(_: int) -> None:
             way.dial = None
             way.waiting.clear()
-            way.not_before = self.loop.now + REDIAL
+            way.not_before = self.loop.now + REDIAL_DELAY_NS
             self._way_lost(to)
 
         def lost(_: str) -> None:
             way.stream = None
             self._way_lost(to)
 
-        way.dial = Dial(self.loop, self.places[to], self.view.settings.exchange_time, opened, failed)
+        way.dial = Dial(self.loop, self.peer_addresses[to], self.view.settings.exchange_time, opened, failed)
 
     def _way_lost(self, to: str) -> None:
-        """Tell it in a turn of its own: the connection may have ended within a call of ``tell``."""
+        """Reports it in a later turn: the connection may have ended within ``send_log_message``."""
 
         def told() -> None:
-            if self.on_way_lost is not None and not self._closed:
-                self.on_way_lost(to)
+            if self.on_connection_lost is not None and not self._closed:
+                self.on_connection_lost(to)
 
         self.loop.call_in(0, told)
 
@@ -357,7 +361,7 @@
             self._timer.cancel()
         for number in list(self._lines):
             self._drop(number)
-        for way in self._ways.values():
+        for way in self._outbound.values():
             if way.dial is not None:
                 way.dial.close()
             if way.stream is not None:
--- a/quincepath/lab/fleet/configuration_world/baselines.py
+++ b/quincepath/lab/fleet/configuration_world/baselines.py
@@ -1,15 +1,15 @@
 """What else could carry the configuration, in the same network: the leader tells all, or all brokers poll.
 
-Both go to the one leader of the log. The first is what the followers of ``fleet/agreed.py`` do today: each
-asks twice a second, the leader pushes to the first thousand of them. Only revisions are played; sizes are
-those of the scenery's deltas and of an envelope.
+Both go to the one leader of the log. The first is what the followers of ``fleet/replicated_log.py`` do today:
+each asks twice a second, the leader pushes to the first thousand of them. Only revisions are played; sizes
+are those of the scenery's deltas and of an envelope.
 """
 
 from dataclasses import dataclass, field
 
-from quincepath.fleet.agreement.core.committed import FOLLOWERS_MOST
 from quincepath.fleet.configuration.changes import encoded_size
 from quincepath.fleet.configuration.history import History
+from quincepath.fleet.consensus.core.committed import MAX_LEARNERS
 from quincepath.lab.fleet.configuration_world.measures import Measures, Traffic
 from quincepath.lab.fleet.configuration_world.network import HEAD_BYTES, MS, SECOND, Network, VirtualNetwork
 from quincepath.lab.fleet.configuration_world.scenery import Scenery, initial_change
@@ -27,7 +27,7 @@
     told_most: int
 
 
-TELLS_EVERYBODY = Way("leader tells everybody", 500 * MS, FOLLOWERS_MOST)
+TELLS_EVERYBODY = Way("leader tells everybody", 500 * MS, MAX_LEARNERS)
 EVERYBODY_POLLS = Way("every broker polls", 5 * SECOND, 0)
 
 
--- a/quincepath/lab/fleet/configuration_world/voters.py
+++ b/quincepath/lab/fleet/configuration_world/voters.py
@@ -1,6 +1,6 @@
 """The voters as a script: a committed log, a leader that tells the others, an election after its death.
 
-The log's own core is tested elsewhere (fleet/agreement); here only what a relay sees of it counts: which
+The log's own core is tested elsewhere (fleet/consensus); here only what a relay sees of it counts: which
 voter knows of which revision when, and how old that voter's word is. Committed means: a majority of the
 voters has it, so a later leader knows it, too.
 """
--- a/quincepath/lab/fleet/configuration_world/world.py
+++ b/quincepath/lab/fleet/configuration_world/world.py
@@ -37,7 +37,7 @@
 from quincepath.lab.fleet.configuration_world.voters import Voters
 
 FLEET = "lab"
-ASK_EVERY = 500 * MS  # a follower of the log, as fleet/agreed.py has it
+ASK_EVERY = 500 * MS  # a follower of the log, as fleet/replicated_log.py has it
 VOTER_SILENT = 1500 * MS
 VOTER_REGIONS = (0, 0, 1, 1, 2)
 ASK_BYTES = 64
--- a/quincepath/lab/fleet/injected.py
+++ b/quincepath/lab/fleet/injected.py
@@ -14,15 +14,15 @@
 import sys
 from pathlib import Path
 
-from quincepath.fleet.agreed import Agreed
-from quincepath.fleet.agreement.core.committed import Committed
-from quincepath.fleet.agreement.core.state import Role
-from quincepath.fleet.agreement.messages import Followed, Whole
-from quincepath.fleet.agreement.post import unpack as unpack_log
 from quincepath.fleet.configuration.messages import Deltas, unpack
+from quincepath.fleet.consensus.core.committed import Committed
+from quincepath.fleet.consensus.core.state import Role
+from quincepath.fleet.consensus.envelope import unpack as unpack_log
+from quincepath.fleet.consensus.messages import LearnerEntries, LearnerSnapshotChunk
 from quincepath.fleet.distribution import Distribution
 from quincepath.fleet.messages import Rejected
 from quincepath.fleet.permits import Permits
+from quincepath.fleet.replicated_log import ReplicatedLog
 
 
 def _die_once(file: Path) -> None:
@@ -64,17 +64,17 @@
 
 def be_deaf(file: Path) -> None:
     """Committed entries that others tell are dropped, as if lost on the way."""
-    receive = Agreed.receive
+    receive = ReplicatedLog.receive
 
-    def deaf(self: Agreed, data: bytes) -> None:
+    def deaf(self: ReplicatedLog, data: bytes) -> None:
         try:
             body = unpack_log(data, self.entry.name, self.entry.member)[1]
         except Rejected:
             body = None
-        if not (isinstance(body, Followed | Whole) and file.exists()):
+        if not (isinstance(body, LearnerEntries | LearnerSnapshotChunk) and file.exists()):
             receive(self, data)
 
-    Agreed.receive = deaf  # type: ignore[method-assign]
+    ReplicatedLog.receive = deaf  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/quincepath/lab/fleet/links.py
+++ b/quincepath/lab/fleet/links.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from quincepath.fleet.edge import OTHER
+from quincepath.fleet.transport import OTHER_DATAGRAM_PREFIX
 from quincepath.lab.fleet.script import Links
 
 KEPT = 64  # datagrams of each way that a replay may take from
@@ -58,7 +58,7 @@
         draw = self.random.random
         if self.keep:
             way.kept.append(data)
-        met = not way.ledger_only or data[:1] == OTHER
+        met = not way.ledger_only or data[:1] == OTHER_DATAGRAM_PREFIX
         if way.cut or draw() < max(way.lose if met else 0.0, self.links.lose):
             return []
         waits = [self.wait(way)]
--- a/quincepath/lab/fleet/relay.py
+++ b/quincepath/lab/fleet/relay.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from quincepath.fleet.edge import OTHER
 from quincepath.fleet.messages import Envelope
+from quincepath.fleet.transport import OTHER_DATAGRAM_PREFIX
 from quincepath.lab.fleet.links import Ways
 from quincepath.net.dial import Dial
 from quincepath.net.loop import READ, Loop
@@ -90,7 +90,7 @@
             except OSError:
                 return
             digest: int | None = None
-            if data[:1] != OTHER:
+            if data[:1] != OTHER_DATAGRAM_PREFIX:
                 try:
                     digest = _envelopes.decode(data).digest
                 except msgspec.MsgspecError:
--- a/quincepath/store/check.py
+++ b/quincepath/store/check.py
@@ -8,7 +8,7 @@
 
 import lmdb
 
-from quincepath.fleet.agreement.storing import StoreError
+from quincepath.fleet.consensus.storage import StoreError
 from quincepath.store.consensus import META, load, to_store_error
 
 
--- a/quincepath/store/consensus.py
+++ b/quincepath/store/consensus.py
@@ -14,9 +14,9 @@
 import lmdb
 import msgspec
 
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Entry, Log, Snapshot, Stable
-from quincepath.fleet.agreement.storing import StoreError, Trouble
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import Entry, Log, Snapshot, StableState
+from quincepath.fleet.consensus.storage import StoreError, StoreErrorCause
 
 SCHEMA = 1
 SIZE = 256 << 20  # bytes that the environment may grow to: the log is compacted long before
@@ -55,13 +55,13 @@
 def decode_record(data: bytes | None, kind: type[T], what: str) -> T:
     """Back again. Raises ``StoreError`` where the checksum or the shape is wrong."""
     if data is None:
-        raise StoreError(Trouble.DAMAGED, f"{what} is missing")
+        raise StoreError(StoreErrorCause.DAMAGED, f"{what} is missing")
     if zlib.crc32(data[SUM:]).to_bytes(SUM) != data[:SUM]:
-        raise StoreError(Trouble.DAMAGED, f"{what}: its checksum is wrong")
+        raise StoreError(StoreErrorCause.DAMAGED, f"{what}: its checksum is wrong")
     try:
         return msgspec.msgpack.decode(data[SUM:], type=kind)
     except msgspec.MsgspecError as error:
-        raise StoreError(Trouble.DAMAGED, f"{what}: {error}") from None
+        raise StoreError(StoreErrorCause.DAMAGED, f"{what}: {error}") from None
 
 
 def entry_key(index: int) -> bytes:
@@ -73,12 +73,12 @@
     """What an error of LMDB or of the system means."""
     text = f"{path}: {error}"
     if isinstance(error, lmdb.MapFullError) or "No space left" in str(error):
-        return StoreError(Trouble.FULL, text)
+        return StoreError(StoreErrorCause.FULL, text)
     if isinstance(error, lmdb.ReadonlyError) or "Read-only file system" in str(error):
-        return StoreError(Trouble.READ_ONLY, text)
+        return StoreError(StoreErrorCause.READ_ONLY, text)
     if isinstance(error, BROKEN):
-        return StoreError(Trouble.DAMAGED, text)
-    return StoreError(Trouble.UNREACHABLE, text)
+        return StoreError(StoreErrorCause.DAMAGED, text)
+    return StoreError(StoreErrorCause.UNREACHABLE, text)
 
 
 def verify_in_subprocess(path: Path) -> None:
@@ -89,21 +89,27 @@
     try:
         found = subprocess.run(words, capture_output=True, text=True, timeout=CHECK_TIME)
     except subprocess.TimeoutExpired:
-        raise StoreError(Trouble.DAMAGED, f"{path}: looking through it took {CHECK_TIME:g} s") from None
+        raise StoreError(
+            StoreErrorCause.DAMAGED, f"{path}: looking through it took {CHECK_TIME:g} s"
+        ) from None
     if found.returncode < 0:
-        raise StoreError(Trouble.DAMAGED, f"{path}: reading it ended a process (signal {-found.returncode})")
+        raise StoreError(
+            StoreErrorCause.DAMAGED, f"{path}: reading it ended a process (signal {-found.returncode})"
+        )
     if found.returncode:
         cause, _, text = found.stdout.strip().partition(": ")
-        known = {trouble.value: trouble for trouble in Trouble}
-        raise StoreError(known.get(cause, Trouble.DAMAGED), text or found.stderr.strip()[-300:])
+        known = {trouble.value: trouble for trouble in StoreErrorCause}
+        raise StoreError(known.get(cause, StoreErrorCause.DAMAGED), text or found.stderr.strip()[-300:])
 
 
-def load(env: lmdb.Environment) -> tuple[Owner, Stable]:
+def load(env: lmdb.Environment) -> tuple[Owner, StableState]:
     """All that a store holds. Raises ``StoreError`` where it does not hold together."""
     with env.begin() as txn:
         owner = decode_record(txn.get(META), Owner, "owner")
         if owner.schema > SCHEMA:
-            raise StoreError(Trouble.NEWER, f"schema {owner.schema}, this program reads up to {SCHEMA}")
+            raise StoreError(
+                StoreErrorCause.NEWER, f"schema {owner.schema}, this program reads up to {SCHEMA}"
+            )
         hard = decode_record(txn.get(HARD), Hard, "term and vote")
         snapshot = decode_record(txn.get(SNAPSHOT), Snapshot, "snapshot")
         entries: list[Entry] = []
@@ -115,16 +121,16 @@
                 entry = decode_record(bytes(value), Entry, f"entry {int.from_bytes(key[len(ENTRY) :])}")
                 wanted = snapshot.index + len(entries) + 1
                 if entry.index != wanted or key != entry_key(wanted):
-                    raise StoreError(Trouble.DAMAGED, f"entry {wanted} is missing")
+                    raise StoreError(StoreErrorCause.DAMAGED, f"entry {wanted} is missing")
                 entries.append(entry)
-    return owner, Stable(Log(snapshot, entries), hard.term, hard.vote, hard.epoch)
+    return owner, StableState(Log(snapshot, entries), hard.term, hard.vote, hard.epoch)
 
 
 class ConsensusStore:
     """One broker's store. ``stable`` is what a keeper begins with; each opening is a start of its own."""
 
     def __init__(
-        self, path: Path, fleet: str, member: str, first: Stable, size: int = SIZE, check: bool = True
+        self, path: Path, fleet: str, member: str, first: StableState, size: int = SIZE, check: bool = True
     ) -> None:
         self.path = path
         if check:
@@ -140,7 +146,7 @@
             self.env.close()
             raise
 
-    def _begin(self, owner: Owner, first: Stable) -> Stable:
+    def _begin(self, owner: Owner, first: StableState) -> StableState:
         with self.env.begin() as txn:
             new = txn.get(META) is None
         if new:
@@ -150,7 +156,7 @@
             if (found.fleet, found.member) != (owner.fleet, owner.member):
                 whose = f"{found.member!r} of fleet {found.fleet!r}"
                 text = f"{self.path} is of {whose}, expected {owner.member!r} of fleet {owner.fleet!r}"
-                raise StoreError(Trouble.FOREIGN, text)
+                raise StoreError(StoreErrorCause.FOREIGN, text)
             stable.epoch += 1
         try:
             with self.env.begin(write=True) as txn:
@@ -170,8 +176,8 @@
                 if order.snapshot is not None:
                     self._cut(txn, 0)
                     txn.put(SNAPSHOT, encode_record(order.snapshot))
-                elif order.cut:
-                    self._cut(txn, order.cut)
+                elif order.truncate_from:
+                    self._cut(txn, order.truncate_from)
                 if order.entries:
                     self._cut(txn, order.entries[0].index)
                 for entry in order.entries:
--- a/tests/fleet/adoption/made.py
+++ b/tests/fleet/adoption/made.py
@@ -14,7 +14,7 @@
     Topology,
     UseMap,
 )  # fmt: skip
-from quincepath.fleet.agreement.entries import Entry
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.permits import Command, Permits, encode
 
 BROKERS = ("b1", "b2", "b3")
--- a/tests/fleet/adoption/small_world.py
+++ b/tests/fleet/adoption/small_world.py
@@ -12,7 +12,7 @@
 
 from quincepath.fleet.adoption import Gathered, MapReport, Member, Step, Topology
 from quincepath.fleet.adoption.commands import AdoptMap, AwayMap, BackMap, MapCommand, ProposeMap
-from quincepath.fleet.agreement.entries import Entry
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.permits import Command, Permits, Resume, encode
 from quincepath.shards.versions import MapVersions
 from tests.fleet.adoption.made import (
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -13,7 +13,7 @@
 from quincepath.config.load import parse
 from quincepath.config.schema import Config
 from quincepath.fleet.adoption import AdoptMap, Map, ProposeMap, UseMap
-from quincepath.fleet.agreement.entries import Entry
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.permits import Permits, encode
 from quincepath.fleet.topology import Maps, Ports, configured_map
 from quincepath.fronts.remote_read.plan import Plan, Planner
--- a/tests/fleet/adoption/test_wiring.py
+++ b/tests/fleet/adoption/test_wiring.py
@@ -16,7 +16,7 @@
 from quincepath.config.schema.topology import TopologyEntry
 from quincepath.fleet.adoption import AdoptMap, AwayMap, BackMap, Map, MapCommand, ProposeMap
 from quincepath.fleet.adoption.gathering import FRESH, Measured
-from quincepath.fleet.agreement.entries import Entry
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.forecast import Kind, Sample, World, forecast, record_of
 from quincepath.fleet.permits import Permits, encode
 from quincepath.fleet.topology import MILLI, Maps, Ports, configured_map
--- a/tests/fleet/configuration/test_fuzz.py
+++ b/tests/fleet/configuration/test_fuzz.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.configuration.changes import ChangeError, Delta, Edit, decode_change, encode_change
 from quincepath.fleet.configuration.choice import MS
 from quincepath.fleet.configuration.messages import (
@@ -24,6 +23,7 @@
 )
 from quincepath.fleet.configuration.ports import Committed, Received
 from quincepath.fleet.configuration.snapshots import Image, make_image, read_image
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.permits import Permits
 from tests.fleet.configuration.ends import FLEET, RelayEnd, SubscriberEnd
 from tests.fleet.configuration.made import change, tenant, weights
--- a/tests/fleet/configuration/test_wiring.py
+++ b/tests/fleet/configuration/test_wiring.py
@@ -6,15 +6,15 @@
 import pytest
 
 from quincepath.fleet.adoption import MapCommand
-from quincepath.fleet.agreed import FINAL, Agreed
-from quincepath.fleet.agreement.core.follower import Follower
-from quincepath.fleet.agreement.entries import COMMAND_MOST, Entry
-from quincepath.fleet.agreement.messages import Followed, Whole
 from quincepath.fleet.configuration.changes import CHANGE_BYTES_MOST, Change, Edit, encode_change
 from quincepath.fleet.configuration.commands import ChangeConfiguration, news_for_relay, refusal_before
 from quincepath.fleet.configuration.ports import Committed, Loaded
 from quincepath.fleet.configuration.relay import Relay, RelayMembership
+from quincepath.fleet.consensus.core.learner import Learner
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES, Entry
+from quincepath.fleet.consensus.messages import LearnerEntries, LearnerSnapshotChunk
 from quincepath.fleet.permits import SCHEMA, Back, Begun, Close, Command, Grant, Halt, Permits, Resume, encode
+from quincepath.fleet.replicated_log import FINAL_REFUSAL, ReplicatedLog
 from tests.fleet.configuration.made import change, tenant
 
 
@@ -83,7 +83,7 @@
     edits: list[Edit] = []
     while len(encode_change(change("big", *edits, Edit("tenant/x", None, b"")))) < CHANGE_BYTES_MOST - 4200:
         edits.append(Edit(f"tenant/{len(edits)}", None, b"x" * 4096))
-    assert len(encode(command(change("big", *edits)))) <= COMMAND_MOST
+    assert len(encode(command(change("big", *edits)))) <= MAX_COMMAND_BYTES
 
 
 def test_what_is_wrong_with_a_command_is_proposed() -> None:
@@ -109,22 +109,22 @@
 
 
 def test_the_leader_proposes_what_it_should_refuse() -> None:
-    leader = Agreed.__new__(Agreed)
+    leader = ReplicatedLog.__new__(ReplicatedLog)
     leader.machine = machine(weight("one", None, 1.0))
     good, bad = encode(weight("two", 1.0, 2.0)), encode(weight("three", 7.0, 2.0))
-    assert leader._judged(good) == (good, "")
-    data, why = leader._judged(bad)
-    assert data == bad and why.startswith(f"{FINAL}tenant/a: ")
+    assert leader._prepare_command(good) == (good, "")
+    data, why = leader._prepare_command(bad)
+    assert data == bad and why.startswith(f"{FINAL_REFUSAL}tenant/a: ")
 
 
 def test_one_that_follows_the_log_has_another_configuration() -> None:
     log: list[Command] = [weight("one", None, 1.0), Halt("h", "ann", 1, "so"), weight("two", 1.0, 2.0)]
-    follower = Follower(Permits(), ("v1",))
-    follower.hear(0, Followed(tuple(entries(*log)), 3, "v1"))
+    follower = Learner(Permits(), ("v1",))
+    follower.receive(0, LearnerEntries(tuple(entries(*log)), 3, "v1"))
     assert isinstance(follower.machine, Permits) and values(follower.machine) == values(machine(*log))
-    late = Follower(Permits(), ("v1",))
+    late = Learner(Permits(), ("v1",))
     data = machine(*log).dump()
-    late.hear(0, Whole(3, 0, len(data), data))
+    late.receive(0, LearnerSnapshotChunk(3, 0, len(data), data))
     assert isinstance(late.machine, Permits) and late.machine.configuration.revision == 2
 
 
--- a/tests/fleet/distribution/inside.py
+++ b/tests/fleet/distribution/inside.py
@@ -11,10 +11,10 @@
 
 from quincepath.broker.service import Broker
 from quincepath.config.schema import Config
-from quincepath.fleet.agreed import Agreed
 from quincepath.fleet.configuration.messages import MARK
 from quincepath.fleet.configuration.subscriber import Subscriber
 from quincepath.fleet.distribution import Distribution
+from quincepath.fleet.replicated_log import ReplicatedLog
 from quincepath.fleet.service import Fleet
 from quincepath.lab.demo import demo_config
 from quincepath.lab.virtual_loop import ExactLoop
@@ -110,7 +110,7 @@
 
         distribution._apply = noted  # type: ignore[method-assign]
         edge = self.fleet(name).edge
-        heard = edge.on_agreed
+        heard = edge.on_log_message
         assert heard is not None
 
         def gate(data: bytes) -> None:
@@ -119,7 +119,7 @@
             if not lost:
                 heard(data)
 
-        edge.on_agreed = gate
+        edge.on_log_message = gate
 
     def kill(self, name: str) -> None:
         """At once: nothing of it is said any more."""
@@ -138,7 +138,7 @@
     def subscriber(self, name: str) -> Subscriber:
         return self.distribution(name).subscriber
 
-    def agreed(self, name: str) -> Agreed:
+    def agreed(self, name: str) -> ReplicatedLog:
         found = self.fleet(name).agreed
         assert found is not None
         return found
@@ -174,7 +174,7 @@
         return leading[0] if len(leading) == 1 else ""
 
     def _leads(self, name: str) -> bool:
-        return self.agreed(name).leads
+        return self.agreed(name).is_leader
 
     # --- requests ---
 
--- a/tests/fleet/distribution/test_inside.py
+++ b/tests/fleet/distribution/test_inside.py
@@ -309,7 +309,7 @@
     with running(tmp_path) as world:
         begun(world)
         for name in KEEPERS:  # as if a leader of another version let it through
-            world.agreed(name).refuses_change = lambda command: ""
+            world.agreed(name).change_refusal = lambda command: ""
         bad = {"node/m1": node("m1", "a", 9500)}
         assert world.propose("m5", "second", 1, set=bad, remove=["node/a1"]).content == {"revision": 2}
         world.until(lambda: world.ask("m0", "GET", "status").content["fleet"]["refused"] == 8)
@@ -401,7 +401,7 @@
         begun(world)
         leader = world.leader
         agreed = world.agreed(leader)
-        post = agreed.hooks.post
+        post = agreed.hooks.send
         dead: list[str] = []
 
         def dying(to: str, data: bytes) -> None:
@@ -411,7 +411,7 @@
                 dead.append(leader)
                 world.loop.call_in(0, lambda: world.kill(leader))
 
-        agreed.hooks.post = dying
+        agreed.hooks.send = dying
         answer = world.propose("m7", "second", 1, remove=["node/a1"])
         assert leader not in world.brokers and answer.content == {"revision": 2}
         world.until_all_at(2, IN_FORCE)
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_consensus.py
@@ -13,42 +13,42 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from quincepath.fleet.agreement import core
-from quincepath.fleet.agreement.core import (
-    Came,
-    Change,
+from quincepath.fleet.consensus import core
+from quincepath.fleet.consensus.core import (
+    ChangeVoters,
+    ConsensusSettings,
     Done,
-    Follower,
     Input,
-    Keeper,
+    Learner,
+    Notice,
     Output,
     Persist,
     Propose,
-    Read,
+    ReadIndex,
+    Received,
     Refused,
     Role,
     Send,
-    Times,
-    Told,
+    Voter,
 )  # fmt: skip
-from quincepath.fleet.agreement.entries import COMMAND_MOST, Entry, Stable, first
-from quincepath.fleet.agreement.messages import (
-    PIECE,
-    Answer,
-    Append,
-    Appended,
-    AskVote,
-    Followed,
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES, Entry, StableState, initial_state
+from quincepath.fleet.consensus.messages import (
+    SNAPSHOT_CHUNK_BYTES,
+    AppendRequest,
+    AppendResponse,
+    LearnerEntries,
+    LearnerSnapshotChunk,
     Message,
-    Piece,
-    Request,
-    Voted,
-    Whole,
+    ProposalRequest,
+    ProposalResponse,
+    SnapshotChunk,
+    VoteRequest,
+    VoteResponse,
 )  # fmt: skip
 
 MS = 1_000_000
 SECOND = 1000 * MS
-TIMES = Times()
+TIMES = ConsensusSettings()
 
 
 class Lines:
@@ -67,36 +67,36 @@
         self.lines = data.split(b"\n") if data else []
 
 
-def write(disk: Stable, order: Persist) -> None:
+def write(disk: StableState, order: Persist) -> None:
     """What a store does with ``Persist``."""
     disk.term, disk.vote = order.term, order.vote
     if order.snapshot is not None:
         disk.log.snapshot = order.snapshot
         disk.log.entries = list(order.entries)
         return
-    if order.cut:
-        disk.log.cut(order.cut)
+    if order.truncate_from:
+        disk.log.truncate(order.truncate_from)
     for entry in order.entries:
-        disk.log.cut(entry.index)
-        assert entry.index == disk.log.last + 1, "a hole in the log on disk"
+        disk.log.truncate(entry.index)
+        assert entry.index == disk.log.last_index + 1, "a hole in the log on disk"
         disk.log.entries.append(entry)
 
 
 class World:
     """Keepers, their disks, and what is on its way between them."""
 
-    def __init__(self, count: int, seed: int = 1, times: Times = TIMES) -> None:
+    def __init__(self, count: int, seed: int = 1, times: ConsensusSettings = TIMES) -> None:
         self.now, self.seed, self.times = 0, seed, times
         self.names = tuple(f"k{n}" for n in range(count))
-        self.disks = {name: first(self.names) for name in self.names}
-        self.up: dict[str, Keeper] = {}
+        self.disks = {name: initial_state(self.names) for name in self.names}
+        self.up: dict[str, Voter] = {}
         self.flight: list[tuple[str, str, Message]] = []
         self.starts = 0
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, tuple[int, bytes]] = {}
         self.done: dict[int, int] = {}
         self.refused: list[Refused] = []
-        self.told: list[Told] = []
+        self.told: list[Notice] = []
         self.reads: dict[int, int] = {}  # by id, what was committed when it was asked
         self.ids = 0
         self.followed: list[tuple[str, Message]] = []
@@ -107,7 +107,7 @@
         self.starts += 1
         disk = self.disks[name]
         disk.epoch += 1
-        self.up[name] = Keeper(
+        self.up[name] = Voter(
             name, copy.deepcopy(disk), Lines(), self.seed * 1000 + self.starts, self.now, self.times
         )
 
@@ -141,25 +141,25 @@
                     assert index >= self.reads[id], "a read missed what had been committed before it"
             case Refused():
                 self.refused.append(out)
-            case Told():
+            case Notice():
                 self.told.append(out)
 
     def on_disk(self, name: str, to: str, message: Message) -> None:
         """What a message promises must be written when it leaves."""
         disk = self.disks[name]
         match message:
-            case Voted(term, True, False):
+            case VoteResponse(term, True, False):
                 assert (disk.term, disk.vote) == (term, to), "a vote left before it was on disk"
-            case Appended(_, True, match) | Append(_, match):
-                assert match <= disk.log.last, "entries were confirmed or sent before they were on disk"
-            case AskVote(term, _, _, False):
+            case AppendResponse(_, True, match) | AppendRequest(_, match):
+                assert match <= disk.log.last_index, "entries were confirmed or sent before they were on disk"
+            case VoteRequest(term, _, _, False):
                 assert (disk.term, disk.vote) == (term, name), "a candidacy left before it was on disk"
 
     def check(self) -> None:
         for name, keeper in self.up.items():
             if keeper.role == Role.LEADER:
                 assert self.leaders.setdefault(keeper.stable.term, name) == name, "two leaders of one term"
-            for index in range(keeper.log.snapshot.index + 1, keeper.commit + 1):
+            for index in range(keeper.log.snapshot.index + 1, keeper.commit_index + 1):
                 entry = keeper.log.get(index)
                 assert entry is not None
                 known = self.committed.setdefault(index, (entry.term, entry.data))
@@ -167,7 +167,7 @@
         logs = [disk.log for disk in self.disks.values()]
         for one in logs:
             for other in logs:
-                for index in range(min(one.last, other.last), 0, -1):
+                for index in range(min(one.last_index, other.last_index), 0, -1):
                     if one.term(index) is not None and one.term(index) == other.term(index):
                         for below in range(index, 0, -1):
                             mine, theirs = one.get(below), other.get(below)
@@ -181,7 +181,7 @@
     def deliver(self, at: int, keep: bool = False) -> None:
         sender, to, message = self.flight[at] if keep else self.flight.pop(at)
         if to in self.up:
-            self.step(to, [Came(sender, self.disks[sender].epoch, message)])
+            self.step(to, [Received(sender, self.disks[sender].epoch, message)])
 
     def propose(self, name: str, data: bytes) -> int:
         self.ids += 1
@@ -191,7 +191,7 @@
     def read(self, name: str) -> int:
         self.ids += 1
         self.reads[self.ids] = max(self.committed, default=0)
-        self.step(name, [Read(self.ids)])
+        self.step(name, [ReadIndex(self.ids)])
         return self.ids
 
     def wake(self, name: str, by: int) -> None:
@@ -207,14 +207,14 @@
             waiting, self.flight = self.flight, []
             for sender, to, message in waiting:
                 if to in self.up and sender not in cut and to not in cut:
-                    self.step(to, [Came(sender, self.disks[sender].epoch, message)])
+                    self.step(to, [Received(sender, self.disks[sender].epoch, message)])
             due = min((keeper.due for keeper in self.up.values()), default=end)
             self.now = self.now + MS if self.flight else max(self.now + MS, min(due, end))
             for name in list(self.up):
                 if self.up[name].due <= self.now:
                     self.step(name, [])
 
-    def leader(self) -> Keeper:
+    def leader(self) -> Voter:
         found = [keeper for keeper in self.up.values() if keeper.role == Role.LEADER]
         assert found, "nobody leads"
         return max(found, key=lambda keeper: keeper.stable.term)
@@ -228,17 +228,17 @@
         id = self.propose(self.leader().name, b"last")
         self.sound(2 * SECOND)
         assert id in self.done
-        keepers = [keeper for name, keeper in self.up.items() if name in self.leader().keepers]
+        keepers = [keeper for name, keeper in self.up.items() if name in self.leader().voters]
         assert len({tuple(machine.lines) for k in keepers if isinstance(machine := k.machine, Lines)}) == 1
-        assert len({keeper.commit for keeper in keepers}) == 1
+        assert len({keeper.commit_index for keeper in keepers}) == 1
 
 
-def lines(keeper: Keeper) -> list[bytes]:
+def lines(keeper: Voter) -> list[bytes]:
     assert isinstance(keeper.machine, Lines)
     return keeper.machine.lines
 
 
-def ready(count: int = 3, seed: int = 1, times: Times = TIMES) -> World:
+def ready(count: int = 3, seed: int = 1, times: ConsensusSettings = TIMES) -> World:
     world = World(count, seed, times)
     world.sound(5 * SECOND)
     return world
@@ -334,14 +334,14 @@
     keeper._lead()
     for out in keeper._out:
         world.carry_out("k0", out)
-    world.step("k0", [Came("k1", 1, Appended(4, True, 1, 1))])  # a majority has the old one
-    assert keeper.commit == 0
-    world.step("k0", [Came("k1", 1, Appended(4, True, 2, 1))])
-    assert keeper.commit == 2
+    world.step("k0", [Received("k1", 1, AppendResponse(4, True, 1, 1))])  # a majority has the old one
+    assert keeper.commit_index == 0
+    world.step("k0", [Received("k1", 1, AppendResponse(4, True, 2, 1))])
+    assert keeper.commit_index == 2
 
 
 def test_a_log_that_grows_is_compacted_and_one_that_is_behind_gets_it_in_pieces() -> None:
-    times = replace(TIMES, compact=50)
+    times = replace(TIMES, entries_before_compaction=50)
     world = ready(3, times=times)
     away = next(name for name in world.names if world.up[name].role != Role.LEADER)
     del world.up[away]
@@ -350,7 +350,7 @@
         if number % 20 == 19:
             world.sound(SECOND)
     assert world.leader().log.snapshot.index > 40
-    assert len(world.leader().log.snapshot.data) > 2 * PIECE
+    assert len(world.leader().log.snapshot.data) > 2 * SNAPSHOT_CHUNK_BYTES
     world.start(away)
     world.sound(5 * SECOND)
     assert lines(world.up[away]) == lines(world.leader()) and len(lines(world.up[away])) == 120
@@ -366,18 +366,18 @@
     gone = next(name for name in world.names if world.up[name].role != Role.LEADER)
     del world.up[gone]
     world.names = (*world.names, "k9")
-    world.disks["k9"] = first(())
+    world.disks["k9"] = initial_state(())
     world.start("k9")
     leader = world.leader()
-    world.step(leader.name, [Change(900, (*leader.keepers, "k9", "k8"))])
+    world.step(leader.name, [ChangeVoters(900, (*leader.voters, "k9", "k8"))])
     assert world.refused[-1].id == 900 and "one keeper more or one fewer" in world.refused[-1].why
-    world.step(leader.name, [Change(901, (*leader.keepers, "k9"))])
-    world.step(leader.name, [Change(902, tuple(n for n in leader.keepers if n != gone))])
+    world.step(leader.name, [ChangeVoters(901, (*leader.voters, "k9"))])
+    world.step(leader.name, [ChangeVoters(902, tuple(n for n in leader.voters if n != gone))])
     assert "not committed yet" in world.refused[-1].why
     world.sound(2 * SECOND)
-    world.step(leader.name, [Change(903, tuple(n for n in leader.keepers if n != gone))])
+    world.step(leader.name, [ChangeVoters(903, tuple(n for n in leader.voters if n != gone))])
     world.sound(2 * SECOND)
-    assert {901, 903} <= set(world.done) and set(leader.keepers) == (set(world.names) - {gone})
+    assert {901, 903} <= set(world.done) and set(leader.voters) == (set(world.names) - {gone})
     assert lines(world.up["k9"]) == [b"x"]
     del world.up[leader.name]
     world.sound(5 * SECOND)
@@ -397,7 +397,7 @@
     old.epoch += 2
     world.start(away)
     world.sound(2 * SECOND)
-    assert away in leader.shut_out and any("its disk went back" in told.text for told in world.told)
+    assert away in leader.excluded_voters and any("its disk went back" in told.text for told in world.told)
     third = next(name for name in world.names if name not in (leader.name, away))
     del world.up[third]
     id = world.propose(leader.name, b"x")
@@ -418,28 +418,28 @@
     world.disks[away] = old
     world.start(away)
     world.sound(5 * SECOND)
-    assert away in leader.shut_out
+    assert away in leader.excluded_voters
 
 
 def test_others_follow_the_committed_log_from_any_keeper() -> None:
-    world = ready(3, times=replace(TIMES, compact=20))
+    world = ready(3, times=replace(TIMES, entries_before_compaction=20))
     for number in range(30):
         world.propose(world.leader().name, b"%d" % number)
         world.sound(100 * MS)
     world.sound(SECOND)
     machine = Lines()
-    follower = Follower(machine, world.names)
+    follower = Learner(machine, world.names)
     keeper = next(name for name in world.names if world.up[name].role != Role.LEADER)
 
     def hear() -> None:
         told, world.followed = world.followed, []
         for to, message in told:
-            assert to == "b7" and isinstance(message, Followed | Whole)
-            follower.hear(world.now, message)
+            assert to == "b7" and isinstance(message, LearnerEntries | LearnerSnapshotChunk)
+            follower.receive(world.now, message)
 
-    world.step(keeper, [Came("b7", 0, follower.ask())])
+    world.step(keeper, [Received("b7", 0, follower.poll())])
     hear()
-    world.step(keeper, [Came("b7", 0, follower.ask())])
+    world.step(keeper, [Received("b7", 0, follower.poll())])
     hear()
     assert machine.lines == [b"%d" % number for number in range(30)]
     assert follower.leader == world.leader().name
@@ -447,25 +447,25 @@
     world.sound(300 * MS)  # with the next heartbeat at the latest, unasked
     hear()
     assert machine.lines[-1] == b"new"
-    world.sound(TIMES.follow)
+    world.sound(TIMES.learner_lease_ns)
     world.propose(world.leader().name, b"newer")
     world.sound(SECOND)
-    assert "b7" not in world.up[keeper].followers  # it did not ask again
+    assert "b7" not in world.up[keeper].learners  # it did not ask again
 
 
 def test_a_command_from_afar_is_answered_with_its_index_or_who_may_lead() -> None:
     world = ready(3)
     leader = world.leader().name
     other = next(name for name in world.names if name != leader)
-    world.step(other, [Came("b7", 0, Request(5, b"x"))])
-    assert world.followed.pop() == ("b7", Answer(5, 0, "not the leader", leader))
-    world.step(leader, [Came("b7", 0, Request(6, b"x"))])
+    world.step(other, [Received("b7", 0, ProposalRequest(5, b"x"))])
+    assert world.followed.pop() == ("b7", ProposalResponse(5, 0, "not the leader", leader))
+    world.step(leader, [Received("b7", 0, ProposalRequest(6, b"x"))])
     world.sound(SECOND)
     to, answer = world.followed.pop()
-    assert to == "b7" and isinstance(answer, Answer) and answer.id == 6 and answer.index > 0
-    world.propose(leader, b"y" * (COMMAND_MOST + 1))
-    assert f"at most {COMMAND_MOST}" in world.refused[-1].why
-    for _ in range(core.OPEN_MOST + 1):
+    assert to == "b7" and isinstance(answer, ProposalResponse) and answer.id == 6 and answer.index > 0
+    world.propose(leader, b"y" * (MAX_COMMAND_BYTES + 1))
+    assert f"at most {MAX_COMMAND_BYTES}" in world.refused[-1].why
+    for _ in range(core.MAX_OPEN_REQUESTS + 1):
         world.propose(leader, b"z")
     assert world.refused[-1].why == "too many commands wait"
 
@@ -517,7 +517,7 @@
         name = up[number % len(up)]
         world.now += 3 * SECOND
         inputs: list[Input] = [Propose(10_000 + number, b"h%d" % number)]
-        inputs += [Came(s, world.disks[s].epoch, m) for s, to, m in world.flight if to == name][:1]
+        inputs += [Received(s, world.disks[s].epoch, m) for s, to, m in world.flight if to == name][:1]
         world.step(name, inputs, crash_after=number % 5)
     elif kind == "propose":
         world.propose(up[number % len(up)], b"p%d" % number)
@@ -526,7 +526,7 @@
 
 
 def survives(acts: list[tuple[str, int]], count: int, seed: int) -> None:
-    world = World(count, seed, replace(TIMES, compact=8))
+    world = World(count, seed, replace(TIMES, entries_before_compaction=8))
     for kind, number in acts:
         act(world, kind, number)
     world.settle()
@@ -574,7 +574,7 @@
             act(after, kind, number)
             mark = (
                 level, after.now, tuple(after.flight),
-                tuple((n, k.role, k.stable.term, k.stable.vote, k.commit, tuple(k.log.entries))
+                tuple((n, k.role, k.stable.term, k.stable.vote, k.commit_index, tuple(k.log.entries))
                       for n, k in sorted(after.up.items())),
             )  # fmt: skip
             if mark not in seen:
@@ -590,30 +590,30 @@
 def plant_forgotten_vote(monkeypatch: pytest.MonkeyPatch) -> None:
     """A bug: a vote leaves before it is on disk."""
 
-    def wrong(self: Keeper, term: int, vote: str = "") -> None:
+    def wrong(self: Voter, term: int, vote: str = "") -> None:
         self.stable.term, self.stable.vote = term, vote
 
-    monkeypatch.setattr(Keeper, "_set_term", wrong)
+    monkeypatch.setattr(Voter, "_set_term", wrong)
 
 
 def plant_vote_for_all(monkeypatch: pytest.MonkeyPatch) -> None:
     """A bug: a vote does not look at whose log is newer."""
-    ask = Keeper._ask_vote
+    ask = Voter._ask_vote
 
-    def wrong(self: Keeper, sender: str, message: AskVote) -> None:
-        ask(self, sender, AskVote(message.term, 1 << 30, 1 << 30, message.trial))
+    def wrong(self: Voter, sender: str, message: VoteRequest) -> None:
+        ask(self, sender, VoteRequest(message.term, 1 << 30, 1 << 30, message.trial))
 
-    monkeypatch.setattr(Keeper, "_ask_vote", wrong)
+    monkeypatch.setattr(Voter, "_ask_vote", wrong)
 
 
 def plant_answer_before_disk(monkeypatch: pytest.MonkeyPatch) -> None:
     """A bug: what is sent goes first, what is written after."""
-    step = Keeper.step
+    step = Voter.step
 
-    def wrong(self: Keeper, now: int, inputs: Any) -> list[Output]:
+    def wrong(self: Voter, now: int, inputs: Any) -> list[Output]:
         return sorted(step(self, now, inputs), key=lambda out: isinstance(out, Persist))
 
-    monkeypatch.setattr(Keeper, "step", wrong)
+    monkeypatch.setattr(Voter, "step", wrong)
 
 
 @pytest.mark.parametrize("plant", [plant_forgotten_vote, plant_vote_for_all, plant_answer_before_disk])
@@ -633,16 +633,20 @@
     term, peer = leader.stable.term, leader.peers[other]
     world.propose(leader.name, b"x")
     world.sound(SECOND)
-    world.step(leader.name, [Came(other, 2, Appended(term, False, 0, peer.confirmed))])
-    assert not leader.shut_out and leader.peers[other].match == leader.log.last
-    world.step(leader.name, [Came(other, 2, Appended(term, False, 0, leader.round + 1))])
-    assert other in leader.shut_out
+    world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, peer.confirmed))])
+    assert not leader.excluded_voters and leader.peers[other].match == leader.log.last_index
+    world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, leader.round + 1))])
+    assert other in leader.excluded_voters
 
 
 def test_void_kinds_of_messages_change_nothing() -> None:
     world = ready(3)
     leader = world.leader()
-    before = (leader.stable.term, leader.commit, leader.role)
-    for message in (Voted(0, True, False, 0), Append(0, 0, 0, (), 0, 0), Piece(0, 1, 1, (), 0, 0, b"", 0)):
-        world.step(leader.name, [Came("k1", 5, message)])
-    assert (leader.stable.term, leader.commit, leader.role) == before
+    before = (leader.stable.term, leader.commit_index, leader.role)
+    for message in (
+        VoteResponse(0, True, False, 0),
+        AppendRequest(0, 0, 0, (), 0, 0),
+        SnapshotChunk(0, 1, 1, (), 0, 0, b"", 0),
+    ):
+        world.step(leader.name, [Received("k1", 5, message)])
+    assert (leader.stable.term, leader.commit_index, leader.role) == before
--- a/tests/test_fleet_permits.py
+++ b/tests/test_fleet_permits.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.budget import Limit, Limits, Reason, Refusal, Unit, checks, refusals
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.permits import (
     HISTORY_MOST,
     IDS_MOST,
--- a/tests/test_fleet_edge.py
+++ b/tests/test_fleet_transport.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from quincepath.fleet.edge import HEAD, WAITING_MOST, Edge
 from quincepath.fleet.messages import FRAME, Compare, pack
+from quincepath.fleet.transport import LENGTH_PREFIX_BYTES, MAX_WAITING_MESSAGES, Transport
 from quincepath.fleet.view.core import HangUp, View
 from quincepath.fleet.view.facts import Phase, ViewSettings
 from quincepath.net.loop import Loop
@@ -23,15 +23,17 @@
         self.loop = Loop()
         self.ports = free_ports(2)
         self.places = {f"b{n}": ("127.0.0.1", port) for n, port in enumerate(self.ports)}
-        self.edges: dict[str, Edge] = {}
+        self.edges: dict[str, Transport] = {}
         self.agreed: list[bytes] = []
 
-    def start(self, name: str) -> Edge:
+    def start(self, name: str) -> Transport:
         other = "b1" if name == "b0" else "b0"
         view = View(ViewSettings("lab", name, (other,)), 5 + int(name[1:]), 1, self.loop.clock())
         port = self.places[name][1]
-        edge = self.edges[name] = Edge(self.loop, view, self.places, "127.0.0.1", port, lambda told: None)
-        edge.on_agreed = self.agreed.append
+        edge = self.edges[name] = Transport(
+            self.loop, view, self.places, "127.0.0.1", port, lambda told: None
+        )
+        edge.on_log_message = self.agreed.append
         return edge
 
     def until(self, true: object) -> None:
@@ -60,8 +62,8 @@
         sock.sendto(b"nonsense", pair.places["b0"])
         pair.until(lambda: one.view.dropped["unreadable"] == 1)
     for first, cause in (
-        ((FRAME + 1).to_bytes(HEAD), "too large"),
-        ((3).to_bytes(HEAD) + b"abc", "unreadable"),
+        ((FRAME + 1).to_bytes(LENGTH_PREFIX_BYTES), "too large"),
+        ((3).to_bytes(LENGTH_PREFIX_BYTES) + b"abc", "unreadable"),
     ):
         before = one.view.dropped[cause]
         with socket.create_connection(pair.places["b0"]) as sock:
@@ -84,7 +86,7 @@
     me = view.own.belief(0).about(0)
     data = pack("lab", "b0", me, 1, 1, Compare())
     with socket.create_connection(pair.places["b0"]) as sock:
-        for byte in len(data).to_bytes(HEAD) + data:
+        for byte in len(data).to_bytes(LENGTH_PREFIX_BYTES) + data:
             sock.sendall(bytes([byte]))
             pair.loop.turn(0.001)
         sock.setblocking(False)
@@ -95,7 +97,7 @@
                 answer.extend(sock.recv(65536))
             except BlockingIOError:
                 pass
-            return len(answer) > HEAD
+            return len(answer) > LENGTH_PREFIX_BYTES
 
         pair.until(answered)
         assert pair.edges["b0"].view.dropped == {}
@@ -103,32 +105,32 @@
 
 def test_messages_of_the_log_wait_for_a_connection_and_are_lost_without_harm(pair: Pair) -> None:
     one = pair.start("b0")
-    for number in range(WAITING_MOST + 10):
-        one.tell("b1", b"%d" % number)
+    for number in range(MAX_WAITING_MESSAGES + 10):
+        one.send_log_message("b1", b"%d" % number)
     pair.loop.run_until(lambda: False, 0.6)  # nobody is there; it is dialled, refused, and left for a while
     assert pair.agreed == []
     pair.start("b1")
     for _ in range(200):
-        one.tell("b1", b"now")
+        one.send_log_message("b1", b"now")
         if pair.loop.run_until(lambda: b"now" in pair.agreed, 0.05):
             break
-    assert b"now" in pair.agreed and len(pair.agreed) <= WAITING_MOST + 201
-    one.tell("nobody", b"x")
-    one.tell("b1", b"x" * (FRAME + 1))
-    one.tell("b1", b"last")
+    assert b"now" in pair.agreed and len(pair.agreed) <= MAX_WAITING_MESSAGES + 201
+    one.send_log_message("nobody", b"x")
+    one.send_log_message("b1", b"x" * (FRAME + 1))
+    one.send_log_message("b1", b"last")
     pair.until(lambda: pair.agreed[-1] == b"last")
 
 
 def test_a_member_that_cannot_be_reached_or_whose_connection_ends_is_not_told_of(pair: Pair) -> None:
     one = pair.start("b0")
     lost: list[str] = []
-    one.on_way_lost = lost.append
-    one.tell("b1", b"x")
+    one.on_connection_lost = lost.append
+    one.send_log_message("b1", b"x")
     pair.until(lambda: lost == ["b1"])  # refused
     two = pair.start("b1")
 
     def arrived() -> bool:
-        one.tell("b1", b"y")
+        one.send_log_message("b1", b"y")
         return b"y" in pair.agreed
 
     pair.until(arrived)
@@ -179,15 +181,15 @@
     one = pair.start("b0")
     pair.start("b1")
     lost: list[str] = []
-    one.on_way_lost = lost.append
+    one.on_connection_lost = lost.append
     monkeypatch.setattr(Stream, "write", lambda self, data: self.fail("reset"))
-    one.tell("b1", b"first")
-    one.tell("b1", b"second")
+    one.send_log_message("b1", b"first")
+    one.send_log_message("b1", b"second")
     pair.until(lambda: lost == ["b1"])
     monkeypatch.undo()
 
     def arrived() -> bool:
-        one.tell("b1", b"again")
+        one.send_log_message("b1", b"again")
         return b"again" in pair.agreed
 
     pair.until(arrived)
--- a/tests/test_pinned.py
+++ b/tests/test_pinned.py
@@ -14,11 +14,16 @@
 from msgspec.json import encode
 
 from quincepath.config.load import load
-from quincepath.fleet.agreement.core import Came, Change, Follower, Input, Output, Role
-from quincepath.fleet.agreement.messages import Follow, Followed, Request, Whole
+from quincepath.fleet.consensus.core import ChangeVoters, Input, Learner, Output, Received, Role
+from quincepath.fleet.consensus.messages import (
+    LearnerEntries,
+    LearnerPoll,
+    LearnerSnapshotChunk,
+    ProposalRequest,
+)
 from quincepath.lab.emulator.rehearsal import rehearse
 from quincepath.lab.emulator.script import Script
-from tests.test_fleet_agreement import SECOND, TIMES, Lines, World, act
+from tests.test_fleet_consensus import SECOND, TIMES, Lines, World, act
 
 HELD = Path(__file__).with_name("pinned.json")
 DAYS = HELD.parent.parent / "examples" / "incidents"
@@ -32,14 +37,16 @@
 
     def __init__(self, count: int, seed: int, compact: int) -> None:
         self.digest = hashlib.sha256()
-        self.brokers: dict[str, Follower] = {}
-        super().__init__(count, seed, replace(TIMES, compact=compact))
+        self.brokers: dict[str, Learner] = {}
+        super().__init__(count, seed, replace(TIMES, entries_before_compaction=compact))
 
     def step(self, name: str, inputs: list[Input], crash_after: int = -1) -> None:
         keeper = self.up[name]
         self.note(self.now, name, inputs)
         super().step(name, inputs, crash_after)
-        self.note(keeper.due, keeper.role, keeper.leader, keeper.commit, keeper.applied, keeper.stable)
+        self.note(
+            keeper.due, keeper.role, keeper.leader, keeper.commit_index, keeper.applied_index, keeper.stable
+        )
 
     def carry_out(self, name: str, out: Output) -> None:
         self.note(out)
@@ -57,21 +64,23 @@
         for name in names[:1]:
             who, keeper = f"b{number % 5}", self.up[name]
             if kind == "follow":
-                one = self.brokers.setdefault(who, Follower(Lines(), self.names))
-                self.step(name, [Came(who, 0, one.ask() if number % 3 else Follow(number % 40))])
+                one = self.brokers.setdefault(who, Learner(Lines(), self.names))
+                self.step(name, [Received(who, 0, one.poll() if number % 3 else LearnerPoll(number % 40))])
                 told, self.followed = self.followed, []
                 for to, message in told:
-                    if to in self.brokers and isinstance(message, Followed | Whole):
+                    if to in self.brokers and isinstance(message, LearnerEntries | LearnerSnapshotChunk):
                         one = self.brokers[to]
-                        self.note(to, one.hear(self.now, message), one.applied, one.leader, one.keepers)
+                        self.note(
+                            to, one.receive(self.now, message), one.applied_index, one.leader, one.voters
+                        )
             elif kind == "ask":
                 self.read(name) if number % 3 else self.propose(name, b"a%d" % number)
             elif kind == "request":
-                self.step(name, [Came(who, 0, Request(50_000 + number, b"r%d" % number))])
+                self.step(name, [Received(who, 0, ProposalRequest(50_000 + number, b"r%d" % number))])
             elif keeper.role == Role.LEADER:
-                have = keeper.keepers
+                have = keeper.voters
                 new = have[:-1] if number % 2 and len(have) > 1 else (*have, f"x{number}")
-                self.step(name, [Change(20_000 + number, new)])
+                self.step(name, [ChangeVoters(20_000 + number, new)])
 
 
 def schedule(seed: int) -> str:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,19 +10,19 @@
 import lmdb
 import pytest
 
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Entry, Snapshot, Stable, first
-from quincepath.fleet.agreement.storing import StoreError, Trouble
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import Entry, Snapshot, StableState, initial_state
+from quincepath.fleet.consensus.storage import StoreError, StoreErrorCause
 from quincepath.store.consensus import META, ConsensusStore, Owner, encode_record
 
 KEEPERS = ("k0", "k1", "k2")
 
 
 def store(path: Path, member: str = "k0", fleet: str = "lab", size: int = 1 << 24) -> ConsensusStore:
-    return ConsensusStore(path, fleet, member, first(KEEPERS, b"begin"), size)
+    return ConsensusStore(path, fleet, member, initial_state(KEEPERS, b"begin"), size)
 
 
-def again(path: Path) -> Stable:
+def again(path: Path) -> StableState:
     one = store(path)
     one.close()
     return one.stable
@@ -46,7 +46,7 @@
     one.write(Persist(3, "k2", 0, entries(5, 6, 3)))
     one.close()
     stable = again(tmp_path / "s")
-    assert stable.log.snapshot.data == b"three" and stable.log.last == 6 and stable.epoch == 4
+    assert stable.log.snapshot.data == b"three" and stable.log.last_index == 6 and stable.epoch == 4
     assert [entry.index for entry in stable.log.entries] == [4, 5, 6]
 
 
@@ -62,11 +62,11 @@
 WRITER = """
 import sys
 from pathlib import Path
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Entry, Snapshot, first
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import Entry, Snapshot, initial_state
 from quincepath.store.consensus import ConsensusStore
-one = ConsensusStore(Path(sys.argv[1]), "lab", "k0", first(("k0",)), check=False)
-index = one.stable.log.last
+one = ConsensusStore(Path(sys.argv[1]), "lab", "k0", initial_state(("k0",)), check=False)
+index = one.stable.log.last_index
 while True:
     index += 1
     one.write(Persist(index, "k0", 0, (Entry(index, index, b"%d" % index * 200),)))
@@ -91,11 +91,11 @@
         rest = writer.stdout.read().split("\n")
         writer.stdout.close()
         last = max([last, *(int(line) for line in rest[:-1])])
-        one = ConsensusStore(tmp_path / "s", "lab", "k0", first(("k0",)))
+        one = ConsensusStore(tmp_path / "s", "lab", "k0", initial_state(("k0",)))
         one.close()
         # The one that was being written may be there or not; a snapshot of it, too.
-        assert last <= one.stable.log.last <= last + 1
-        assert one.stable.term == one.stable.log.last
+        assert last <= one.stable.log.last_index <= last + 1
+        assert one.stable.term == one.stable.log.last_index
 
 
 def test_a_store_of_another_broker_or_fleet_is_refused_by_name(tmp_path: Path) -> None:
@@ -103,7 +103,7 @@
     for member, fleet in (("k1", "lab"), ("k0", "orchard")):
         with pytest.raises(StoreError) as error:
             store(tmp_path / "s", member, fleet)
-        assert error.value.trouble is Trouble.FOREIGN and "'k0' of fleet 'lab'" in str(error.value)
+        assert error.value.cause is StoreErrorCause.FOREIGN and "'k0' of fleet 'lab'" in str(error.value)
 
 
 def test_a_store_of_a_later_program_is_refused(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
     one.close()
     with pytest.raises(StoreError) as error:
         store(tmp_path / "s")
-    assert error.value.trouble is Trouble.NEWER and "schema 9" in str(error.value)
+    assert error.value.cause is StoreErrorCause.NEWER and "schema 9" in str(error.value)
 
 
 def test_a_full_store_says_so_and_keeps_what_it_had(tmp_path: Path) -> None:
@@ -122,9 +122,11 @@
         for index in range(1, 2000):
             one.write(Persist(1, "", 0, (Entry(index, 1, b"x" * 1000),)))
     one.close()
-    assert error.value.trouble is Trouble.FULL
+    assert error.value.cause is StoreErrorCause.FULL
     kept = again(tmp_path / "s").log
-    assert kept.last > 20 and [entry.index for entry in kept.entries] == list(range(1, kept.last + 1))
+    assert kept.last_index > 20 and [entry.index for entry in kept.entries] == list(
+        range(1, kept.last_index + 1)
+    )
 
 
 @pytest.mark.parametrize("how", ["value", "hole", "missing", "cut", "garbage", "zeros"])
@@ -154,14 +156,14 @@
             file.write(random.Random(2).randbytes(size - 8192) if how == "garbage" else bytes(size - 8192))
     with pytest.raises(StoreError) as error:
         store(path)
-    assert error.value.trouble is Trouble.DAMAGED and str(error.value).startswith("damaged: ")
+    assert error.value.cause is StoreErrorCause.DAMAGED and str(error.value).startswith("damaged: ")
 
 
 def test_a_place_that_is_none_is_told(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x")
     with pytest.raises(StoreError) as error:
         store(tmp_path / "file" / "s")
-    assert error.value.trouble is Trouble.UNREACHABLE
+    assert error.value.cause is StoreErrorCause.UNREACHABLE
 
 
 def test_a_store_that_may_only_be_read_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,5 +172,5 @@
     one.env = lmdb.open(str(tmp_path / "s"), readonly=True)
     with pytest.raises(StoreError) as error:
         one.write(Persist(1, "", 0, entries(1, 1)))
-    assert error.value.trouble is Trouble.READ_ONLY
+    assert error.value.cause is StoreErrorCause.READ_ONLY
     one.close()
