--- a/quincepath/fleet/consensus/__init__.py
+++ b/quincepath/fleet/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet agrees on: a log of few entries among configured keepers, and what it says."""
+"""Consensus of a fleet: a Raft-like replicated log of few entries among the configured voters."""
--- a/quincepath/fleet/consensus/core/__init__.py
+++ b/quincepath/fleet/consensus/core/__init__.py
@@ -1,13 +1,14 @@
-"""The keepers' log as a machine without I/O: one keeper of it, and a broker that follows it.
+"""The replicated log as a state machine without I/O: one voter, and a learner that follows the log.
 
-Raft with pre-vote, a leader that steps down without a majority, reads confirmed by a round, snapshots in
-pieces, and keepers changed one at a time. ``Keeper.step(now, inputs)`` takes ``Came``, ``Propose``,
-``Change`` and ``Read``; its outputs are carried out in order: a ``Persist`` is on disk before anything behind
-it leaves. Times are ns. What the committed entries mean is the ``Machine``'s.
+Raft with pre-vote, a leader that steps down without a majority, reads confirmed by a round of messages,
+snapshots in chunks, and voters added or removed one at a time. ``Voter.step(now, inputs)`` takes
+``Received``, ``Propose``, ``ChangeVoters`` and ``ReadIndex``. Its outputs are carried out in order: a
+``Persist`` is on disk before any output after it is sent. Times are ns. The ``StateMachine`` gives the
+committed entries their meaning.
 
-A keeper is one class in layers, each of which knows only those under it: ``state``; ``committed``;
-``replication`` (the leader's side of the log) and ``following``; on replication ``elections`` and
-``requests``; ``keeper`` on all.
+A voter is one class in layers, each of which knows only those below it: ``state``; ``committed``;
+``replication`` (the leader's side of the log) and ``follower_log``; on replication ``elections`` and
+``requests``; ``voter`` on all.
 """
 
 from quincepath.fleet.consensus.core.committed import MAX_LEARNERS
--- a/quincepath/fleet/consensus/core/learner.py
+++ b/quincepath/fleet/consensus/core/learner.py
@@ -1,4 +1,4 @@
-"""A broker that is no keeper: what it asks for and what it does with the answers."""
+"""A broker that is not a voter: it polls the voters and applies what they send."""
 
 from dataclasses import dataclass, field
 
@@ -8,28 +8,28 @@
 
 @dataclass(slots=True)
 class Learner:
-    """A broker that is no keeper: it asks any keeper for what is committed and applies it in order."""
+    """A non-voting member: it polls any voter for committed entries and applies them in order."""
 
     machine: StateMachine
     voters: tuple[str, ...]
     applied_index: int = 0
     leader: str = ""
     heard_at: int = -NEVER
-    _whole: bytearray = field(default_factory=bytearray)
-    _whole_at: int = 0
+    _snapshot_data: bytearray = field(default_factory=bytearray)
+    _snapshot_index: int = 0
 
     def poll(self) -> LearnerPoll:
-        """To send to one keeper, now and then."""
+        """The message to send periodically to one voter."""
         return LearnerPoll(self.applied_index)
 
     def receive(self, now: int, message: LearnerEntries | LearnerSnapshotChunk) -> bool:
-        """What a keeper told; whether anything was applied."""
+        """Handle a voter's message; returns whether anything was applied."""
         self.heard_at = now
         if isinstance(message, LearnerSnapshotChunk):
-            return self._piece(message)
+            return self._on_snapshot_chunk(message)
         if message.leader:
             self.leader = message.leader
-        done = False
+        applied_any = False
         for entry in message.entries:
             if entry.index == self.applied_index + 1:
                 self.applied_index = entry.index
@@ -37,19 +37,19 @@
                     self.voters = entry.keepers
                 if entry.data:
                     self.machine.apply(entry)
-                done = True
-        return done
+                applied_any = True
+        return applied_any
 
-    def _piece(self, piece: LearnerSnapshotChunk) -> bool:
-        if piece.index <= self.applied_index:
+    def _on_snapshot_chunk(self, chunk: LearnerSnapshotChunk) -> bool:
+        if chunk.index <= self.applied_index:
             return False
-        if piece.offset == 0 or piece.index != self._whole_at:
-            self._whole, self._whole_at = bytearray(), piece.index
-        if piece.offset != len(self._whole):
+        if chunk.offset == 0 or chunk.index != self._snapshot_index:
+            self._snapshot_data, self._snapshot_index = bytearray(), chunk.index
+        if chunk.offset != len(self._snapshot_data):
             return False
-        self._whole += piece.data
-        if len(self._whole) < piece.total:
+        self._snapshot_data += chunk.data
+        if len(self._snapshot_data) < chunk.total:
             return False
-        self.machine.load(bytes(self._whole))
-        self.applied_index, self._whole = piece.index, bytearray()
+        self.machine.load(bytes(self._snapshot_data))
+        self.applied_index, self._snapshot_data = chunk.index, bytearray()
         return True
--- a/quincepath/fleet/consensus/core/ports.py
+++ b/quincepath/fleet/consensus/core/ports.py
@@ -1,4 +1,4 @@
-"""What a keeper takes in and what it asks for; what the log means is the ``Machine``'s."""
+"""Inputs and outputs of a voter. The ``StateMachine`` gives the log's entries their meaning."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,25 +12,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ConsensusSettings:
-    """ns. An election begins between ``election`` and twice that after the last word of a leader."""
+    """Timing and compaction.
+
+    An election starts after one to two times ``election_timeout_ns`` without a message from a leader.
+    """
 
     heartbeat_interval_ns: int = 200 * MS
     election_timeout_ns: int = 1000 * MS
-    learner_lease_ns: int = 3000 * MS  # one that follows is told of commits for so long after it asked
-    entries_before_compaction: int = 500  # entries until a snapshot takes their place
+    learner_lease_ns: int = 3000 * MS  # how long after its last poll a learner is sent new commits
+    entries_before_compaction: int = 500  # applied entries until a snapshot replaces them
 
 
 class StateMachine(Protocol):
-    """What the log means. Pure: the same entries, the same state."""
+    """The meaning of the log. Deterministic: the same entries lead to the same state."""
 
     def apply(self, entry: Entry) -> None:
-        """Take in one committed entry."""
+        """Apply one committed entry."""
 
     def dump(self) -> bytes:
-        """All state, for a snapshot."""
+        """The whole state, for a snapshot."""
 
     def load(self, data: bytes) -> None:
-        """State from a snapshot; empty data is the beginning."""
+        """Replace the state by that of a snapshot; empty data is the initial state."""
 
 
 # --- inputs ---
@@ -38,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """A message of another broker; ``epoch`` is its store's count of starts (0: it keeps no store)."""
+    """A message from another broker; ``epoch``: the start count of its store (0: it has no store)."""
 
     sender: str
     epoch: int
@@ -47,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Propose:
-    """Commit this command; the answer is ``Done`` or ``Refused`` with the same id."""
+    """Commit a command; the answer is ``Done`` or ``Refused`` with the same id."""
 
     id: int
     data: bytes
@@ -55,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeVoters:
-    """Let these be the keepers: one more, or one fewer, than now."""
+    """Replace the set of voters by one with one voter more or one voter fewer."""
 
     id: int
     voters: tuple[str, ...]
@@ -63,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadIndex:
-    """Make sure that everything committed by now is applied here; the leader only."""
+    """``Done`` once everything committed so far is applied here; only the leader accepts it."""
 
     id: int
 
@@ -76,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Persist:
-    """Write and sync before anything that follows. ``cut``: entries from there on are void (0: none are)."""
+    """Write and sync before any later output. Entries from ``truncate_from`` on are void (0: none)."""
 
     term: int
     vote: str
@@ -87,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A message for a broker."""
+    """A message to a broker."""
 
     to: str
     message: Message
@@ -95,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Done:
-    """A command is committed at an index, or a read may be answered from what is applied."""
+    """A command is committed at an index, or a read may be answered from the applied state."""
 
     id: int
     index: int
@@ -103,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Not taken, or not known to be committed: ``why``. ``leader`` may know more."""
+    """Rejected, or not known to be committed: ``why``. ``leader``: the broker to ask instead, if known."""
 
     id: int
     why: str
@@ -112,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """Something for people."""
+    """A message for operators."""
 
     kind: str
     text: str
--- a/quincepath/fleet/consensus/core/state.py
+++ b/quincepath/fleet/consensus/core/state.py
@@ -1,4 +1,4 @@
-"""What a keeper knows, and the few steps that all else is made of: term, role, what is written and sent."""
+"""State of a voter, and the steps that all other layers use: terms, roles, persisting and sending."""
 
 import random
 from dataclasses import dataclass
@@ -17,36 +17,36 @@
 
 
 @dataclass(slots=True)
-class Peer:
-    """What a leader knows of another keeper."""
+class PeerProgress:
+    """What a leader knows of another voter."""
 
-    next: int
-    match: int = 0
+    next_index: int
+    match_index: int = 0
     heard_at: int = 0
-    round: int = 0
-    confirmed: int = 0  # the round in which ``match`` grew last
-    offset: int = -1  # of the snapshot that is being sent; -1: none is
+    acked_round: int = 0
+    match_round: int = 0  # the round in which ``match_index`` last grew
+    snapshot_offset: int = -1  # into the snapshot that is being sent; -1: none is
     asked_at: int = -NEVER
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A command or read that waits at the leader; ``asker`` is a broker that asked from afar."""
+class PendingRequest:
+    """A command or read that waits at the leader; ``requester``: the remote broker that sent it, or empty."""
 
     id: int
     index: int
-    asker: str = ""
+    requester: str = ""
     round: int = 0  # of a read
 
 
 class Role:
-    """What a keeper is at the moment."""
+    """The current role of a voter."""
 
-    FOLLOWER, TRIAL, CANDIDATE, LEADER = "follower", "trial", "candidate", "leader"
+    FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follower", "trial", "candidate", "leader"
 
 
 class State:
-    """A keeper's state. ``due`` is when it is to be called without input (ns)."""
+    """State of a voter. ``due``: when to call it next without input (ns)."""
 
     def __init__(
         self,
@@ -55,97 +55,97 @@
         machine: StateMachine,
         seed: int,
         now: int,
-        times: ConsensusSettings,
+        settings: ConsensusSettings,
     ) -> None:
-        self.name, self.stable, self.machine, self.times = name, stable, machine, times
+        self.name, self.stable, self.machine, self.settings = name, stable, machine, settings
         self.random = random.Random(seed)
         self.log = stable.log
         self.now = now
         self.role = Role.FOLLOWER
         self.leader = ""
         self.commit_index = self.applied_index = self.log.snapshot.index
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, PeerProgress] = {}
         self.votes: set[str] = set()
-        self.waiting: list[Waiting] = []
-        self.reads: list[Waiting] = []
+        self.pending: list[PendingRequest] = []
+        self.pending_reads: list[PendingRequest] = []
         self.round = 0
-        self.learners: dict[str, tuple[int, int]] = {}  # by name, what it has applied, and until when
-        self.excluded_voters: dict[str, str] = {}  # keepers whose disk went back, and how that showed
+        self.learners: dict[str, tuple[int, int]] = {}  # by name: its applied index, and the end of its lease
+        self.excluded_voters: dict[str, str] = {}  # voters whose disk was rolled back, and the evidence
         self.epochs: dict[str, int] = {}
         self.leader_heard_at = -NEVER
-        self._piece = bytearray()
-        self._piece_of = (0, 0)
-        self._out: list[Output] = []
-        self._dirty_from = 0  # entries from there on are to be persisted
-        self._cut = 0
-        self._meta = False
-        self._beat_at = NEVER
+        self._snapshot_data = bytearray()
+        self._snapshot_id = (0, 0)
+        self._outputs: list[Output] = []
+        self._unpersisted_from = 0  # index of the first entry to be persisted
+        self._truncated_from = 0
+        self._term_or_vote_changed = False
+        self._heartbeat_at = NEVER
         machine.load(self.log.snapshot.data)
-        self._elect_at = self._election_time()
+        self._election_at = self._next_election_time()
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The newest known."""
+        """The newest set of voters known here."""
         return self.log.voters()
 
     @property
     def due(self) -> int:
-        """When it is to be called without input."""
-        return self._beat_at if self.role == Role.LEADER else self._elect_at
+        """When to call ``step`` next without input."""
+        return self._heartbeat_at if self.role == Role.LEADER else self._election_at
 
-    # --- what is written, and sent after it ---
+    # --- persisting and sending ---
 
     def _send(self, to: str, message: Message) -> None:
-        """What a message tells of must be on disk before it leaves."""
+        """Send a message, after the state on which it rests is on disk."""
         self._persist()
-        self._out.append(Send(to, message))
+        self._outputs.append(Send(to, message))
 
     def _persist(self) -> None:
-        if not (self._meta or self._cut or self._dirty_from):
+        if not (self._term_or_vote_changed or self._truncated_from or self._unpersisted_from):
             return
-        entries = self.log.entries_from(self._dirty_from, 1 << 30) if self._dirty_from else ()
-        self._out.append(Persist(self.stable.term, self.stable.vote, self._cut, entries))
-        self._meta, self._cut, self._dirty_from = False, 0, 0
+        entries = self.log.entries_from(self._unpersisted_from, 1 << 30) if self._unpersisted_from else ()
+        self._outputs.append(Persist(self.stable.term, self.stable.vote, self._truncated_from, entries))
+        self._term_or_vote_changed, self._truncated_from, self._unpersisted_from = False, 0, 0
 
-    def _to_all(self, message: Message) -> None:
+    def _broadcast(self, message: Message) -> None:
         for name in self.voters:
             if name != self.name:
                 self._send(name, message)
 
-    # --- the role ---
+    # --- terms and roles ---
 
-    def _election_time(self) -> int:
-        return self.now + int(self.times.election_timeout_ns * (1 + self.random.random()))
+    def _next_election_time(self) -> int:
+        return self.now + int(self.settings.election_timeout_ns * (1 + self.random.random()))
 
-    def _majority(self, names: set[str]) -> bool:
-        keepers = self.voters
-        return 2 * len(names & set(keepers)) > len(keepers)
+    def _is_majority(self, names: set[str]) -> bool:
+        voters = self.voters
+        return 2 * len(names & set(voters)) > len(voters)
 
     def _set_term(self, term: int, vote: str = "") -> None:
         if term != self.stable.term or vote != self.stable.vote:
             self.stable.term, self.stable.vote = term, vote
-            self._meta = True
+            self._term_or_vote_changed = True
 
     def _become_follower(self, term: int, leader: str) -> None:
         if term > self.stable.term:
             self._set_term(term)
         if self.role == Role.LEADER:
-            self._give_up("another term has begun")
+            self._fail_pending("another term has begun")
         self.role, self.leader = Role.FOLLOWER, leader
-        self._beat_at = NEVER
-        self._elect_at = self._election_time()
-
-    def _give_up(self, why: str) -> None:
-        """What waited here may have been committed or not: its askers ask again, with the same id inside."""
-        for one in [*self.waiting, *self.reads]:
-            self._refuse(one.id, one.asker, why)
-        self.waiting.clear()
-        self.reads.clear()
+        self._heartbeat_at = NEVER
+        self._election_at = self._next_election_time()
+
+    def _fail_pending(self, why: str) -> None:
+        """Fail all pending requests. They may or may not be committed: requesters retry with the same id."""
+        for request in [*self.pending, *self.pending_reads]:
+            self._refuse(request.id, request.requester, why)
+        self.pending.clear()
+        self.pending_reads.clear()
         self.peers.clear()
 
-    def _refuse(self, id: int, asker: str, why: str) -> None:
+    def _refuse(self, id: int, requester: str, why: str) -> None:
         leader = "" if self.leader == self.name else self.leader
-        if asker:
-            self._send(asker, ProposalResponse(id, 0, why, leader))
+        if requester:
+            self._send(requester, ProposalResponse(id, 0, why, leader))
         else:
-            self._out.append(Refused(id, why, leader))
+            self._outputs.append(Refused(id, why, leader))
--- a/quincepath/fleet/consensus/core/voter.py
+++ b/quincepath/fleet/consensus/core/voter.py
@@ -1,9 +1,9 @@
-"""One keeper as a machine: messages, commands and the time in; what to persist, then send, out."""
+"""One voter as a state machine: messages, commands and time in; what to persist, then to send, out."""
 
 from collections.abc import Iterable
 
 from quincepath.fleet.consensus.core.elections import Elections
-from quincepath.fleet.consensus.core.follower_log import Following
+from quincepath.fleet.consensus.core.follower_log import FollowerLog
 from quincepath.fleet.consensus.core.ports import ChangeVoters, Input, Output, Propose, ReadIndex, Received
 from quincepath.fleet.consensus.core.requests import Requests
 from quincepath.fleet.consensus.core.state import Role
@@ -20,54 +20,56 @@
 )
 
 
-class Voter(Elections, Requests, Following):
-    """One keeper. ``due`` is when it is to be called without input (ns)."""
+class Voter(Elections, Requests, FollowerLog):
+    """One voter. ``due``: when to call ``step`` next without input (ns)."""
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]:
-        """Take in what came, do what is due. The outputs are in the order to carry them out."""
+        """Handle inputs and whatever is due. The outputs are to be carried out in order."""
         self.now = now
-        self._out = out = list[Output]()
+        self._outputs = outputs = list[Output]()
         for item in inputs:
             match item:
                 case Received(sender, epoch, message):
-                    self._came(sender, epoch, message)
+                    self._on_message(sender, epoch, message)
                 case Propose(id, data):
                     self._propose(id, data, "")
-                case ChangeVoters(id, keepers):
-                    self._change(id, keepers)
+                case ChangeVoters(id, voters):
+                    self._change_voters(id, voters)
                 case ReadIndex(id):
-                    self._read(id)
+                    self._read_index(id)
         if self.role == Role.LEADER:
-            if now >= self._beat_at:
-                self._beat()
-        elif now >= self._elect_at:
-            self._begin_trial()
+            if now >= self._heartbeat_at:
+                self._send_heartbeat()
+        elif now >= self._election_at:
+            self._start_pre_vote()
         self._compact()
         self._persist()
-        return out
+        return outputs
 
-    def _came(self, sender: str, epoch: int, message: Message) -> None:
+    def _on_message(self, sender: str, epoch: int, message: Message) -> None:
         if epoch:
             known = self.epochs.get(sender, 0)
             if epoch < known:
-                self._shut_out(sender, f"started {epoch} times by its disk, and {known} times before")
+                self._exclude_voter(
+                    sender, f"was started {epoch} times by its disk, but {known} times before"
+                )
             self.epochs[sender] = max(known, epoch)
         if sender in self.excluded_voters and not isinstance(message, LearnerPoll | ProposalRequest):
             return
         match message:
             case VoteRequest():
-                self._ask_vote(sender, message)
+                self._on_vote_request(sender, message)
             case VoteResponse():
-                self._voted(sender, message)
+                self._on_vote_response(sender, message)
             case AppendRequest():
-                self._append(sender, message)
+                self._on_append_request(sender, message)
             case AppendResponse():
-                self._appended(sender, message)
+                self._on_append_response(sender, message)
             case SnapshotChunk():
-                self._take_piece(sender, message)
+                self._on_snapshot_chunk(sender, message)
             case SnapshotChunkResponse():
-                self._piece_taken(sender, message)
+                self._on_snapshot_chunk_response(sender, message)
             case LearnerPoll(applied):
-                self._follow(sender, applied)
+                self._on_learner_poll(sender, applied)
             case ProposalRequest(id, data):
                 self._propose(id, data, sender)
--- a/quincepath/fleet/consensus/entries.py
+++ b/quincepath/fleet/consensus/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the log, the log with its snapshot, and what stands on disk. Indices begin at 1."""
+"""Entries of the log, the log with its snapshot, and a voter's persistent state. Indices begin at 1."""
 
 from dataclasses import dataclass, field
 from typing import Annotated
@@ -8,23 +8,23 @@
 
 from quincepath.fleet.messages import Counter, Name
 
-MAX_COMMAND_BYTES = 128 * 1024  # bytes of one command
+MAX_COMMAND_BYTES = 128 * 1024
 MAX_VOTERS = 7
 
-Data = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
+CommandData = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry. ``keepers``: not empty where it changes who the keepers are; then ``data`` is empty."""
+    """One log entry. ``keepers``: the new set of voters if the entry changes it; ``data`` is then empty."""
 
     index: Counter
     term: Counter
-    data: Data = b""
+    data: CommandData = b""
     keepers: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What all entries up to ``index`` came to."""
+    """The state of voters and state machine after all entries up to ``index``."""
 
     index: Counter
     term: Counter
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """Entries after a snapshot."""
+    """A snapshot and the entries after it."""
 
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
@@ -46,47 +46,49 @@
 
     @property
     def last_term(self) -> int:
-        """Its term."""
+        """Term of the newest entry."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term(self, index: int) -> int | None:
-        """Of one entry; None where it is not known here (any more)."""
+        """Term of the entry at ``index``; None if the log does not hold it, or no longer does."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        found = self.get(index)
-        return None if found is None else found.term
+        entry = self.get(index)
+        return None if entry is None else entry.term
 
     def get(self, index: int) -> Entry | None:
-        """One entry, where it is held."""
-        at = index - self.snapshot.index - 1
-        return self.entries[at] if 0 <= at < len(self.entries) else None
+        """The entry at ``index``, if the log holds it."""
+        position = index - self.snapshot.index - 1
+        return self.entries[position] if 0 <= position < len(self.entries) else None
 
-    def entries_from(self, index: int, most: int) -> tuple[Entry, ...]:
-        """Entries from ``index`` on, at most so many."""
-        at = index - self.snapshot.index - 1
-        return tuple(self.entries[at : at + most]) if at >= 0 else ()
+    def entries_from(self, index: int, limit: int) -> tuple[Entry, ...]:
+        """At most ``limit`` entries, beginning at ``index``."""
+        position = index - self.snapshot.index - 1
+        return tuple(self.entries[position : position + limit]) if position >= 0 else ()
 
     def truncate(self, index: int) -> None:
-        """Drop entries from ``index`` on."""
+        """Remove the entry at ``index`` and all after it."""
         del self.entries[max(index - self.snapshot.index - 1, 0) :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Keep what comes after a snapshot; nothing where it is not of this log."""
-        held = self.term(snapshot.index)
+        """Keep only the entries after a snapshot; none if the snapshot is not of this log."""
+        held_term = self.term(snapshot.index)
         self.entries = (
-            list(self.entries_from(snapshot.index + 1, len(self.entries))) if held == snapshot.term else []
+            list(self.entries_from(snapshot.index + 1, len(self.entries)))
+            if held_term == snapshot.term
+            else []
         )
         self.snapshot = snapshot
 
     def voters(self) -> tuple[str, ...]:
-        """The newest ones, committed or not: a change counts from when it is in the log."""
+        """The newest set of voters, committed or not: a change is effective once it is in the log."""
         for entry in reversed(self.entries):
             if entry.keepers:
                 return entry.keepers
         return self.snapshot.keepers
 
     def voters_index(self) -> int:
-        """Index of the entry that set them."""
+        """Index of the entry that set the current voters."""
         for entry in reversed(self.entries):
             if entry.keepers:
                 return entry.index
@@ -95,7 +97,7 @@
 
 @dataclass(slots=True)
 class StableState:
-    """What stands on disk: the only part of a keeper that survives. ``epoch`` counts its starts."""
+    """The state on disk, all that a voter keeps over a restart. ``epoch`` counts how often it was started."""
 
     log: Log
     term: int = 0
@@ -104,5 +106,5 @@
 
 
 def initial_state(voters: tuple[str, ...], data: bytes = b"") -> StableState:
-    """A keeper that has never run. All first keepers must be given the same names."""
+    """State of a voter that has never run. All initial voters must be given the same names."""
     return StableState(Log(Snapshot(0, 0, voters, data)))
--- a/quincepath/fleet/consensus/envelope.py
+++ b/quincepath/fleet/consensus/envelope.py
@@ -1,4 +1,4 @@
-"""Messages of the keepers' log as they travel: in an envelope, beside those of the view, by connections."""
+"""Envelope of the log's messages. They travel over connections, beside the membership view's messages."""
 
 from typing import Annotated
 
@@ -14,14 +14,14 @@
 
 
 class ProgressReport(msgspec.Struct, array_like=True, frozen=True, tag=20):
-    """What a broker has applied, and what it has out at holders that are to be drained, by name."""
+    """What a broker has applied, and its attempts in flight at holders to be drained, by holder name."""
 
     applied: Counter
     out: Annotated[dict[Name, Counter], Meta(max_length=1000)]
 
 
 class FootprintSample(msgspec.Struct, array_like=True, frozen=True, tag=22):
-    """A part of a broker's sample of footprints, as the forecast's room encodes it."""
+    """A part of a broker's sample of query footprints, as encoded by ``quincepath.fleet.forecast``."""
 
     data: Annotated[bytes, Meta(max_length=32_768)]
 
@@ -30,7 +30,7 @@
 
 
 class LogEnvelope(msgspec.Struct, array_like=True, frozen=True):
-    """Around every message. ``epoch``: how often the speaker's store was opened; 0 without one."""
+    """Wraps every message. ``epoch``: how often the sender's store was opened; 0 if it has no store."""
 
     schema: Annotated[int, Meta(ge=0, le=1 << 16)]
     least: Annotated[int, Meta(ge=0, le=1 << 16)]
@@ -42,18 +42,18 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_posts = msgspec.msgpack.Decoder(LogEnvelope)
-_bodies: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
+_envelope_decoder = msgspec.msgpack.Decoder(LogEnvelope)
+_body_decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
 
 
 def pack(fleet: str, sender: str, to: str, epoch: int, body: Body) -> bytes:
-    """One message, ready to go."""
+    """Encode one message with its envelope."""
     return _encoder.encode(
         LogEnvelope(SCHEMA, SCHEMA, fleet, sender, to, epoch, msgspec.Raw(_encoder.encode(body)))
     )
 
 
 def unpack(data: bytes, fleet: str, to: str) -> tuple[LogEnvelope, Body]:
-    """A message to this broker. Raises ``Rejected``, with the causes of the view's messages."""
-    post = opened(data, _posts, VERSIONS, fleet, to, FRAME)
-    return post, body_in(post.body, _bodies)
+    """Decode a message to this broker. Raises ``Rejected``, with the causes of the view's messages."""
+    envelope = opened(data, _envelope_decoder, VERSIONS, fleet, to, FRAME)
+    return envelope, body_in(envelope.body, _body_decoder)
--- a/quincepath/fleet/consensus/messages.py
+++ b/quincepath/fleet/consensus/messages.py
@@ -1,21 +1,21 @@
-"""What keepers say to each other, and to those that follow the log. Every size is bounded."""
+"""Messages between the voters of the log, and between voters and learners. Every size is bounded."""
 
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES, MAX_VOTERS, Data, Entry
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES, MAX_VOTERS, CommandData, Entry
 from quincepath.fleet.messages import Counter, Name
 
-MAX_ENTRIES_PER_MESSAGE = 64  # in one message
-SNAPSHOT_CHUNK_BYTES = 32 * 1024  # bytes of a snapshot in one message
+MAX_ENTRIES_PER_MESSAGE = 64
+SNAPSHOT_CHUNK_BYTES = 32 * 1024
 MAX_SNAPSHOT_BYTES = 64 << 20
 Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES_PER_MESSAGE)]
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Vote for me in ``term``. ``trial``: would you? (pre-vote); nobody's term changes by it."""
+    """A candidate's request for a vote in ``term``. ``trial``: a pre-vote, which changes no voter's term."""
 
     term: Counter
     last: Counter
@@ -24,16 +24,19 @@
 
 
 class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The answer to ``AskVote`` of that term."""
+    """The answer to a ``VoteRequest``."""
 
     term: Counter
     granted: bool
     trial: bool
-    asked: Counter  # the term that was asked for
+    asked: Counter  # the term of the request
 
 
 class AppendRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The leader's entries after ``before``; none: a sign of life. ``round`` confirms reads."""
+    """The leader's entries after index ``before``; without entries a heartbeat.
+
+    A voter echoes ``round``; a majority of echoes confirms pending reads.
+    """
 
     term: Counter
     before: Counter
@@ -44,7 +47,10 @@
 
 
 class AppendResponse(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """``match``: up to there the logs are equal; where ``done`` is false, where to try next."""
+    """``match``: the index up to which both logs are equal.
+
+    Where ``done`` is false, it is the index after which the leader should try next.
+    """
 
     term: Counter
     done: bool
@@ -53,7 +59,7 @@
 
 
 class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A part of the leader's snapshot, from byte ``offset`` of ``total``."""
+    """A chunk of the leader's snapshot, at byte ``offset`` of ``total``."""
 
     term: Counter
     index: Counter
@@ -66,7 +72,7 @@
 
 
 class SnapshotChunkResponse(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """So many bytes of the snapshot at ``index`` are here."""
+    """``have``: how many bytes of the snapshot at ``index`` the voter has received."""
 
     term: Counter
     index: Counter
@@ -75,13 +81,13 @@
 
 
 class LearnerPoll(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Tell me what is committed after ``applied``, now and for a while as it comes."""
+    """A learner asks for what is committed after ``applied``, and for new commits until its lease ends."""
 
     applied: Counter
 
 
 class LearnerEntries(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Committed entries, for one that follows; ``leader`` as far as is known."""
+    """Committed entries for a learner. ``leader``: the leader that the voter knows of; may be empty."""
 
     entries: Entries
     commit: Counter
@@ -89,7 +95,7 @@
 
 
 class LearnerSnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """A snapshot for one that follows and is too far behind for entries, in pieces."""
+    """A chunk of a snapshot, for a learner that lacks entries which the log no longer holds."""
 
     index: Counter
     offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
@@ -98,14 +104,14 @@
 
 
 class ProposalRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """A command for the leader; ``id`` is the asker's own, for the answer."""
+    """A command for the leader to propose. ``id``: chosen by the sender, echoed in the response."""
 
     id: Counter
-    data: Data
+    data: CommandData
 
 
 class ProposalResponse(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """What came of a request: the index that it was committed at, or why not, and who may lead."""
+    """``index``: where the command was committed. If 0: ``why`` not, and the ``leader`` to ask, if known."""
 
     id: Counter
     index: Counter
--- a/quincepath/fleet/consensus/storage.py
+++ b/quincepath/fleet/consensus/storage.py
@@ -1,4 +1,4 @@
-"""What a keeper needs of its store, and what may be wrong with one, by name."""
+"""What a voter needs of its store, and the causes for which a store cannot be used."""
 
 from enum import Enum
 from typing import Protocol
@@ -8,18 +8,18 @@
 
 
 class StoreErrorCause(Enum):
-    """The cause of a ``StoreError``; for logs, metrics and what is done about it."""
+    """The cause of a ``StoreError``; used in logs and metrics, and to choose the reaction."""
 
-    FULL = "full"  # the disk, or the size that the store may have
+    FULL = "full"  # the disk is full, or the store has reached its size limit
     READ_ONLY = "read-only"
     DAMAGED = "damaged"
-    FOREIGN = "foreign"  # of another fleet or another broker
-    NEWER = "newer"  # written by a later program
-    UNREACHABLE = "unreachable"  # no such place, or not allowed
+    FOREIGN = "foreign"  # belongs to another fleet or another broker
+    NEWER = "newer"  # written by a later version of the program
+    UNREACHABLE = "unreachable"  # the path does not exist or access is denied
 
 
 class StoreError(Exception):
-    """The store cannot be used; the broker serves queries all the same, without being a keeper."""
+    """The store cannot be used. The broker then serves queries without being a voter."""
 
     def __init__(self, cause: StoreErrorCause, text: str) -> None:
         super().__init__(f"{cause.value}: {text}")
@@ -27,14 +27,14 @@
 
 
 class Storage(Protocol):
-    """A keeper's store, open. ``stable`` is what the keeper begins with."""
+    """A voter's open store. ``stable``: the state with which the voter starts."""
 
     stable: StableState
 
     def write(self, order: Persist) -> None:
-        """Carry out one ``Persist``; on disk when this returns. Raises ``StoreError``: nothing changed."""
+        """Carry out a ``Persist``, durable on return. On ``StoreError`` nothing has changed."""
         ...
 
     def close(self) -> None:
-        """Give it back."""
+        """Release the store."""
         ...
--- a/quincepath/fleet/operator_requests.py
+++ b/quincepath/fleet/operator_requests.py
@@ -1,4 +1,4 @@
-"""Commands of people as they come over HTTP, and the commands of the log that they become. Pure."""
+"""Operators' requests over HTTP, and the commands of the log that they are translated to. Pure."""
 
 from typing import Annotated
 
@@ -14,52 +14,52 @@
 
 
 class OperatorRequestError(ValueError):
-    """A command that is not taken: what is wrong and what was expected."""
+    """A rejected request: what is wrong and what was expected."""
 
 
 class OperatorRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a command. ``id`` is the asker's: the same one again does nothing twice."""
+    """The body of a request. ``id`` is chosen by the client: the same id again does nothing twice."""
 
     id: Annotated[str, Meta(min_length=1, max_length=100)]
     by: Annotated[str, Meta(min_length=1, max_length=100)]
     names: Annotated[list[str], Meta(max_length=64)] = []
     why: Annotated[str, Meta(max_length=200)] = ""
-    map: Map | None = None  # of a proposal
+    map: Map | None = None  # for propose only
     may_lose: Annotated[list[str], Meta(max_length=1000)] = []
 
 
-def decode_operator_request(what: str, body: bytes) -> OperatorRequest:
-    """The body of the command ``what``. Raises ``OrderError``."""
+def decode_operator_request(action: str, body: bytes) -> OperatorRequest:
+    """Decode and check the body of a request for ``action``. Raises ``OperatorRequestError``."""
     try:
-        order = msgspec.json.decode(body, type=OperatorRequest)
+        request = msgspec.json.decode(body, type=OperatorRequest)
     except msgspec.MsgspecError as error:
         raise OperatorRequestError(str(error)) from None
-    if what not in ACTIONS:
-        raise OperatorRequestError(f"{what!r}: expected one of {', '.join(ACTIONS)}")
-    if not order.names and what not in ACTIONS_WITHOUT_NAMES:
+    if action not in ACTIONS:
+        raise OperatorRequestError(f"{action!r}: expected one of {', '.join(ACTIONS)}")
+    if not request.names and action not in ACTIONS_WITHOUT_NAMES:
         raise OperatorRequestError("names: expected at least one")
-    if (order.map is None) is (what == "propose"):
+    if (request.map is None) is (action == "propose"):
         raise OperatorRequestError("map: expected with propose, and with nothing else")
-    return order
+    return request
 
 
-def to_command(what: str, order: OperatorRequest, name: str, now: int, overdue: int) -> Command:
-    """For the log; of one name. ``now``: ms of the wall clock, ``overdue``: ms that a drain may last."""
-    id = f"{order.id} {what} {name}"
-    match what:
+def to_command(action: str, request: OperatorRequest, name: str, now: int, overdue: int) -> Command:
+    """The command for one of the names. ``now``: wall clock in ms; ``overdue``: ms that a drain may last."""
+    id = f"{request.id} {action} {name}"
+    match action:
         case "drain":
-            return Grant(id, order.by, now, name, DRAIN, now + overdue)
+            return Grant(id, request.by, now, name, DRAIN, now + overdue)
         case "undrain":
-            return Back(id, order.by, now, name)
+            return Back(id, request.by, now, name)
         case "close":
-            return Close(id, order.by, now, name, order.why)
+            return Close(id, request.by, now, name, request.why)
         case "propose":
-            assert order.map is not None
-            return ProposeMap(id, order.by, now, order.map, tuple(order.may_lose))
+            assert request.map is not None
+            return ProposeMap(id, request.by, now, request.map, tuple(request.may_lose))
         case "adopt":
-            return AwayMap(id, order.by, now, name) if name else AdoptMap(id, order.by, now)
+            return AwayMap(id, request.by, now, name) if name else AdoptMap(id, request.by, now)
         case "back":
-            return BackMap(id, order.by, now)
+            return BackMap(id, request.by, now)
         case "halt":
-            return Halt(id, order.by, now, order.why)
-    return Resume(id, order.by, now)
+            return Halt(id, request.by, now, request.why)
+    return Resume(id, request.by, now)
--- a/quincepath/fleet/replicated_log.py
+++ b/quincepath/fleet/replicated_log.py
@@ -1,7 +1,7 @@
-"""What the fleet agrees on, on one broker: a keeper with its store, or one that follows; and its commands.
+"""The fleet's replicated log on one broker: a voter with its store, or a learner; and the broker's proposals.
 
-Carries out what the machines say, in their order. A keeper whose store fails goes on as one that follows, and
-the broker serves queries all the same.
+Carries out the outputs of voter and learner in order. A voter whose store fails goes on as a learner, and the
+broker serves queries all the same.
 """
 
 from collections.abc import Callable
@@ -47,43 +47,39 @@
 if TYPE_CHECKING:
     from quincepath.fleet.topology import Maps
 
-POLL_INTERVAL_NS = 500_000_000  # ns between asks of one that follows, reports, and tries of a command
-VOTER_SILENCE_NS = 1_500_000_000  # ns without a word until another keeper is asked
-OpenStore = Callable[
-    [Path, str, str, StableState], Storage
-]  # in a folder for (fleet, member); Stable: of a new one
-FINAL_REFUSAL = "refused: "  # begins the reason of a refusal that no other keeper would give otherwise
+POLL_INTERVAL_NS = 500_000_000  # between a learner's polls, progress reports, and retries of a proposal
+VOTER_SILENCE_NS = 1_500_000_000  # without a useful answer until a learner polls another voter
+# Arguments: the folder, the fleet, the member, and the state of a new store.
+OpenStore = Callable[[Path, str, str, StableState], Storage]
+FINAL_REFUSAL = "refused: "  # prefix of a reason with which any other leader would refuse, too
 
 
 @dataclass(slots=True)
 class Hooks:
-    """What the broker does for it."""
-
-    send: Callable[[str, bytes], None]  # send to a member
-    prepare_command: Callable[
-        [Command], tuple[Command, str]
-    ]  # the leader's word on a command, and why it is refused
-    on_applied: Callable[[], None]  # something has been agreed
-    attempts_in_flight: Callable[[], dict[str, int]]  # attempts that are out, by holder's name
-    open_store: OpenStore  # called once, where this broker is a keeper
+    """What the broker provides for the log."""
+
+    send: Callable[[str, bytes], None]  # to a member
+    prepare_command: Callable[[Command], tuple[Command, str]]  # as leader: the command to propose, or why not
+    on_applied: Callable[[], None]  # new entries have been applied
+    attempts_in_flight: Callable[[], dict[str, int]]  # by holder name
+    open_store: OpenStore  # called once, if this broker is a voter
     on_dropped: Callable[[str], None] = field(default=lambda cause: None)
-    make_maps: Callable[[Permits], "Maps | None"] = field(
-        default=lambda machine: None
-    )  # with a topology: only
+    # Returns something only where the configuration has a topology: section.
+    make_maps: Callable[[Permits], "Maps | None"] = field(default=lambda machine: None)
 
 
-def _refuses_none(command: ChangeConfiguration) -> str:
+def _refuse_none(command: ChangeConfiguration) -> str:
     return ""
 
 
 class ReplicatedLog:
     """One broker's part in the log.
 
-    ``change_refusal``: why this member as leader does not propose a change of the configuration that the
-    state machine would take; empty where it does.
+    ``change_refusal``: why this member, as leader, does not propose a change of the configuration that the
+    state machine would accept; empty if it proposes it.
     """
 
-    change_refusal: Callable[[ChangeConfiguration], str] = staticmethod(_refuses_none)
+    change_refusal: Callable[[ChangeConfiguration], str] = staticmethod(_refuse_none)
 
     def __init__(self, loop: Loop, entry: FleetEntry, base: Path, seed: int, hooks: Hooks, log: Any) -> None:
         self.loop, self.entry, self.hooks, self.log = loop, entry, hooks, log
@@ -98,36 +94,36 @@
         self.proposals = Proposals()
         self._timer: Timer | None = None
         self._closed = False
-        self._asked = 0
-        self._shown = -1
+        self._poll_turn = 0
+        self._notified_index = -1
         self._heard_at = loop.clock()
-        self._confirmed_at = -NEVER  # when a keeper that knew a leader had no newer entry, by its word
+        self._confirmed_at = -NEVER  # when a voter that knew a leader last reported no newer entry
         if entry.member in entry.keepers:
-            self._open(base, seed)
+            self._open_store(base, seed)
         loop.call_in(POLL_INTERVAL_NS, self._tick)
-        self._arm()
+        self._arm_timer()
         if self.maps is not None:
-            loop.call_in(0, self._read)
+            loop.call_in(0, self._submit_read_mark)
 
-    def _read(self) -> None:
-        """Have a mark committed: when it takes effect here, all that was committed before it has."""
+    def _submit_read_mark(self) -> None:
+        """Commit a mark: once it is applied here, everything committed before it is applied, too."""
         if self._closed or self.maps is None:
             return
         wall = self.loop.system.wall_ms()
         mark = ReadMap(f"read {self.entry.member} {self.maps.boot} {wall}", self.entry.member, wall)
-        self.submit(mark, self._was_read)
+        self.submit(mark, self._on_read_mark)
 
-    def _was_read(self, why: str) -> None:
+    def _on_read_mark(self, why: str) -> None:
         if self.maps is None or self._closed:
             return
         if why:
-            self.log.warning("fleet: log not read yet, no query is taken", cause=why)
-            self.loop.call_in(POLL_INTERVAL_NS, self._read)
+            self.log.warning("fleet: log not read yet; no query is accepted", cause=why)
+            self.loop.call_in(POLL_INTERVAL_NS, self._submit_read_mark)
             return
         self.log.info("fleet: log read", index=self.applied_index)
         self.maps.read()
 
-    def _open(self, base: Path, seed: int) -> None:
+    def _open_store(self, base: Path, seed: int) -> None:
         assert self.entry.store is not None
         stable = initial_state(tuple(self.entry.keepers))
         try:
@@ -142,7 +138,7 @@
 
     def _lose_store(self, error: StoreError) -> None:
         self.store_error = str(error)
-        self.log.error("fleet: store unusable, this broker keeps the log no more", cause=str(error))
+        self.log.error("fleet: store unusable; this broker is no longer a voter", cause=str(error))
         if self.store is not None:
             self.store.close()
             self.store = None
@@ -154,88 +150,95 @@
 
     @property
     def applied_index(self) -> int:
-        """Index of the newest entry that has taken effect here."""
+        """Index of the newest entry that is applied here."""
         return self.voter.applied_index if self.voter is not None else self.learner.applied_index
 
     @property
     def leader(self) -> str:
-        """As far as is known here."""
+        """The leader that this broker knows of; may be empty."""
         return self.voter.leader if self.voter is not None else self.learner.leader
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The newest known."""
+        """The newest set of voters known here."""
         return self.voter.voters if self.voter is not None else self.learner.voters
 
     @property
     def is_leader(self) -> bool:
-        """Whether this broker's keeper leads."""
+        """Whether this broker's voter is the leader."""
         return self.voter is not None and self.voter.role == Role.LEADER
 
     # --- messages ---
 
     def receive(self, data: bytes) -> None:
-        """A message of another broker."""
+        """Handle a message of another broker."""
         try:
-            post, body = unpack(data, self.entry.name, self.entry.member)
-            if post.sender not in self._peers:
+            envelope, body = unpack(data, self.entry.name, self.entry.member)
+            if envelope.sender not in self._peers:
                 raise Rejected("unknown member")
         except Rejected as error:
             self.hooks.on_dropped(error.cause)
             return
         match body:
             case ProgressReport(applied, out):
-                self.progress.hear(post.sender, self.loop.clock(), applied, out)
+                self.progress.hear(envelope.sender, self.loop.clock(), applied, out)
             case MapReport():
                 if self.maps is not None:
-                    self.maps.gathered.hear(post.sender, self.loop.clock(), body)
+                    self.maps.gathered.hear(envelope.sender, self.loop.clock(), body)
             case FootprintSample():
                 if self.maps is not None:
-                    why = self.maps.samples.take(post.sender, body.data)
+                    why = self.maps.samples.take(envelope.sender, body.data)
                     if why:
-                        self.log.debug("fleet: sample not taken", cause=why)
+                        self.log.debug("fleet: footprint sample rejected", cause=why)
             case ProposalResponse():
-                self._answered(body)
+                self._on_proposal_response(body)
             case LearnerEntries() | LearnerSnapshotChunk():
-                self._hear(body)
+                self._on_learner_message(body)
             case ProposalRequest(id, data_):
                 if self.is_leader:
                     data_, why = self._prepare_command(data_)
                     if why:
-                        self._post(post.sender, ProposalResponse(id, 0, why, ""))
+                        self._send_body(envelope.sender, ProposalResponse(id, 0, why, ""))
                         return
                     body = ProposalRequest(id, data_)
-                self._step([Received(post.sender, post.epoch, body)])
+                self._step([Received(envelope.sender, envelope.epoch, body)])
             case _:
-                self._step([Received(post.sender, post.epoch, body)])
+                self._step([Received(envelope.sender, envelope.epoch, body)])
+
+    def _on_learner_message(self, message: LearnerEntries | LearnerSnapshotChunk) -> None:
+        """Handle a voter's message to a learner.
 
-    def _hear(self, told: LearnerEntries | LearnerSnapshotChunk) -> None:
-        """News for one that follows. A keeper that knows no leader has none: another one is asked in time."""
+        A voter that knows no leader has nothing new to tell: it counts as silent, so another one is polled.
+        """
         now = self.loop.clock()
-        knows = isinstance(told, LearnerSnapshotChunk) or bool(told.leader or told.entries)
-        if knows:
+        informed = isinstance(message, LearnerSnapshotChunk) or bool(message.leader or message.entries)
+        if informed:
             self._heard_at = now
         if self.voter is not None:
             return
-        applied = self.learner.receive(now, told)
-        if isinstance(told, LearnerEntries) and told.leader and self.learner.applied_index >= told.commit:
+        applied = self.learner.receive(now, message)
+        if (
+            isinstance(message, LearnerEntries)
+            and message.leader
+            and self.learner.applied_index >= message.commit
+        ):
             self._confirmed_at = now
         if applied:
-            self._after()
+            self._after_step()
 
     def staleness_ns(self) -> int:
-        """ns since the newest entry here was known to be the newest: by the leader, or by who heard it."""
+        """ns since the leader, or a voter that heard it, last confirmed that no newer entry was committed."""
         if self.is_leader:
             return 0
         heard = self._confirmed_at if self.voter is None else self.voter.leader_heard_at
         return self.loop.clock() - heard
 
-    def _post(self, to: str, body: Body) -> None:
+    def _send_body(self, to: str, body: Body) -> None:
         epoch = 0 if self.store is None else self.store.stable.epoch
         self.hooks.send(to, pack(self.entry.name, self.entry.member, to, epoch, body))
 
     def _step(self, inputs: list[Input]) -> None:
-        """One step of the keeper; a failing disk ends it in the middle, as a crash would."""
+        """Run one step of the voter; a failing disk ends it between two outputs, as a crash would."""
         if self.voter is None or self._closed:
             return
         for out in self.voter.step(self.loop.clock(), inputs):
@@ -248,20 +251,20 @@
                         self._lose_store(error)
                         return
                 case Send(to, message):
-                    self._send(to, message)
+                    self._send_message(to, message)
                 case Done(number, index):
                     self.proposals.set_index(number, index)
                 case Refused(number, why, leader):
-                    self._refused(number, why, leader)
+                    self._on_refused(number, why, leader)
                 case _:
-                    self.log.warning("fleet: keepers", cause=out.text, kind=out.kind)
-        self._after()
-        self._arm()
+                    self.log.warning("fleet: notice of the replicated log", cause=out.text, kind=out.kind)
+        self._after_step()
+        self._arm_timer()
 
-    def _send(self, to: str, message: Message) -> None:
-        self._post(to, message)
+    def _send_message(self, to: str, message: Message) -> None:
+        self._send_body(to, message)
 
-    def _arm(self) -> None:
+    def _arm_timer(self) -> None:
         if self.voter is None or self._closed:
             return
         due = self.voter.due
@@ -270,17 +273,17 @@
                 self._timer.cancel()
             self._timer = self.loop.call_at(due, lambda: self._step([]))
 
-    def _after(self) -> None:
-        """Something may have been applied."""
-        if self.applied_index == self._shown:
+    def _after_step(self) -> None:
+        """Notify proposals, shard maps and hooks if entries have been applied."""
+        if self.applied_index == self._notified_index:
             return
-        self._shown = self.applied_index
+        self._notified_index = self.applied_index
         self.proposals.complete_applied(self.applied_index, self.machine.state.results)
         if self.maps is not None:
             self.maps.applied()
         self.hooks.on_applied()
 
-    # --- now and then ---
+    # --- periodic work ---
 
     def _tick(self) -> None:
         if self._closed:
@@ -290,43 +293,46 @@
         others = [name for name in self.voters if name != self.entry.member]
         if self.voter is None and others:
             if now > self._heard_at + VOTER_SILENCE_NS:
-                self._asked += 1
+                self._poll_turn += 1
                 self._heard_at = now
-            self._post(others[self._asked % len(others)], self.learner.poll())
+            self._send_body(others[self._poll_turn % len(others)], self.learner.poll())
         if self.machine.drained():
             out = {name: count for name, count in self.hooks.attempts_in_flight().items() if count}
             self.progress.hear(self.entry.member, now, self.applied_index, out)
             for name in others:
-                self._post(name, ProgressReport(self.applied_index, out))
-        self._change_maps(now, others)
+                self._send_body(name, ProgressReport(self.applied_index, out))
+        self._advance_map_change(now, others)
         for proposal in self.proposals.expire(now):
-            self._try(proposal)
+            self._send_proposal(proposal)
 
-    def _change_maps(self, now: int, others: list[str]) -> None:
-        """Say how far this broker is with a new shard map; propose the next step while it leads."""
+    def _advance_map_change(self, now: int, others: list[str]) -> None:
+        """Report how far this broker is with a new shard map; as leader, propose the next step."""
         if self.maps is None:
             return
-        said = self.maps.report(now)
-        if said is not None:
+        report = self.maps.report(now)
+        if report is not None:
             for name in others:
-                self._post(name, said)
+                self._send_body(name, report)
         wall = self.loop.system.wall_ms()
         for data in self.maps.sampled(now, wall, self.leader):
-            self._post(self.leader, FootprintSample(data))
+            self._send_body(self.leader, FootprintSample(data))
         step = self.maps.next(now, wall) if self.is_leader else None
         if step is not None and not self.proposals.has_pending(type(step)):
-            self.submit(step, lambda why: self.log.info("fleet: step of a shard map", refused=why))
+            self.submit(step, lambda why: self.log.info("fleet: shard map step proposed", refused=why))
 
     # --- commands ---
 
     def submit(self, command: Command, done: Callable[[str], None]) -> None:
-        """Have a command committed; ``done`` gets why not, or nothing where it took effect."""
+        """Propose a command; ``done`` gets the reason why it was not committed, or "" once it took effect."""
         proposal = self.proposals.add(self.loop.clock(), command, done)
         if proposal is not None:
-            self._try(proposal)
+            self._send_proposal(proposal)
 
     def _prepare_command(self, data: bytes) -> tuple[bytes, str]:
-        """The leader's word: its own belief and limits go into a grant."""
+        """Check a command as the leader, and fill in the leader's own view and limits where it needs them.
+
+        Returns the encoded command and the reason of a refusal, or "".
+        """
         try:
             command = msgspec.msgpack.decode(data, type=Command)
         except msgspec.MsgspecError as error:
@@ -342,7 +348,7 @@
         command, why = self.hooks.prepare_command(command)
         return encode(command), f"{FINAL_REFUSAL}{why}"[:200] if why else ""
 
-    def _try(self, proposal: Proposal, at: str = "") -> None:
+    def _send_proposal(self, proposal: Proposal, at: str = "") -> None:
         if self.is_leader:
             data, why = self._prepare_command(encode(proposal.command))
             if why:
@@ -350,28 +356,28 @@
                 return
             self._step([Propose(proposal.number, data)])
         elif at or self.leader:
-            self._post(at or self.leader, ProposalRequest(proposal.number, encode(proposal.command)))
+            self._send_body(at or self.leader, ProposalRequest(proposal.number, encode(proposal.command)))
 
-    def _answered(self, answer: ProposalResponse) -> None:
+    def _on_proposal_response(self, answer: ProposalResponse) -> None:
         if answer.index:
             self.proposals.set_index(answer.id, answer.index)
             self.proposals.complete_applied(self.applied_index, self.machine.state.results)
         else:
-            self._refused(answer.id, answer.why, answer.leader)
+            self._on_refused(answer.id, answer.why, answer.leader)
 
-    def _refused(self, number: int, why: str, leader: str) -> None:
+    def _on_refused(self, number: int, why: str, leader: str) -> None:
         proposal = self.proposals.get(number)
         if proposal is None:
             return
         if why.startswith(FINAL_REFUSAL):
             self.proposals.end(proposal, why)
         elif leader and leader != self.entry.member and not self.is_leader:
-            self._try(proposal, leader)
+            self._send_proposal(proposal, leader)
 
-    # --- for people ---
+    # --- for operators ---
 
     def status(self, brokers: list[str], left: set[str]) -> dict[str, Any]:
-        """Permits, drains and how far they are, and who keeps the log."""
+        """Permits, drains with their progress, and the state of the log."""
         now = self.loop.clock()
         drains = []
         if self.voter is not None:
@@ -391,7 +397,7 @@
         }
 
     def close(self) -> None:
-        """Give back the store."""
+        """Release the store."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
--- a/tests/test_fleet_consensus.py
+++ b/tests/test_fleet_consensus.py
@@ -330,9 +330,9 @@
     keeper = world.up["k0"]
     keeper.stable.term, keeper.role = 4, Role.CANDIDATE
     world.disks["k0"].term = 4
-    keeper._out = []
-    keeper._lead()
-    for out in keeper._out:
+    keeper._outputs = []
+    keeper._become_leader()
+    for out in keeper._outputs:
         world.carry_out("k0", out)
     world.step("k0", [Received("k1", 1, AppendResponse(4, True, 1, 1))])  # a majority has the old one
     assert keeper.commit_index == 0
@@ -370,7 +370,7 @@
     world.start("k9")
     leader = world.leader()
     world.step(leader.name, [ChangeVoters(900, (*leader.voters, "k9", "k8"))])
-    assert world.refused[-1].id == 900 and "one keeper more or one fewer" in world.refused[-1].why
+    assert world.refused[-1].id == 900 and "one voter more or one fewer" in world.refused[-1].why
     world.step(leader.name, [ChangeVoters(901, (*leader.voters, "k9"))])
     world.step(leader.name, [ChangeVoters(902, tuple(n for n in leader.voters if n != gone))])
     assert "not committed yet" in world.refused[-1].why
@@ -397,7 +397,9 @@
     old.epoch += 2
     world.start(away)
     world.sound(2 * SECOND)
-    assert away in leader.excluded_voters and any("its disk went back" in told.text for told in world.told)
+    assert away in leader.excluded_voters and any(
+        "its disk was rolled back" in told.text for told in world.told
+    )
     third = next(name for name in world.names if name not in (leader.name, away))
     del world.up[third]
     id = world.propose(leader.name, b"x")
@@ -598,12 +600,12 @@
 
 def plant_vote_for_all(monkeypatch: pytest.MonkeyPatch) -> None:
     """A bug: a vote does not look at whose log is newer."""
-    ask = Voter._ask_vote
+    ask = Voter._on_vote_request
 
     def wrong(self: Voter, sender: str, message: VoteRequest) -> None:
         ask(self, sender, VoteRequest(message.term, 1 << 30, 1 << 30, message.trial))
 
-    monkeypatch.setattr(Voter, "_ask_vote", wrong)
+    monkeypatch.setattr(Voter, "_on_vote_request", wrong)
 
 
 def plant_answer_before_disk(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -633,8 +635,8 @@
     term, peer = leader.stable.term, leader.peers[other]
     world.propose(leader.name, b"x")
     world.sound(SECOND)
-    world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, peer.confirmed))])
-    assert not leader.excluded_voters and leader.peers[other].match == leader.log.last_index
+    world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, peer.match_round))])
+    assert not leader.excluded_voters and leader.peers[other].match_index == leader.log.last_index
     world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, leader.round + 1))])
     assert other in leader.excluded_voters
 
