--- a/quincepath/asks/__init__.py
+++ b/quincepath/asks/__init__.py
@@ -1,1 +1,1 @@
-"""Asks and tries: which requests of clients are one ask, and who gets its one answer."""
+"""Asks and tries: which client requests belong to one ask, and which of them get its answer."""
--- a/quincepath/asks/intake.py
+++ b/quincepath/asks/intake.py
@@ -1,6 +1,7 @@
-"""Where a request is received: first whether it belongs to a known ask, then whether there is room. Pure.
+"""Intake of requests: first matched to a known ask, then subject to admission. Pure.
 
-A try that joins a running ask, or gets a remembered answer, brings no work: it passes while the door is shut.
+A try that joins a running ask or gets a remembered answer adds no work, so it is accepted even while the
+admission gate rejects new asks.
 """
 
 from typing import Generic, TypeVar
@@ -14,38 +15,39 @@
 
 
 class AskIntake(Generic[R]):
-    """Book and admission of one broker."""
+    """Registry of asks and admission of one broker."""
 
     def __init__(self, limits: RegistryLimits, bounds: AdmissionBounds, seed: int) -> None:
         self.registry: AskRegistry[R] = AskRegistry(limits)
         self.admission = Admission(bounds, seed)
         self.door = self.admission.door
 
-    def find(self, now: int, attempt: Try) -> int | None:
-        """The ask that this try belongs to, running or remembered."""
-        return self.registry.find(now, attempt)
+    def find(self, now: int, request: Try) -> int | None:
+        """The ask, running or remembered, that this try belongs to; None if there is none."""
+        return self.registry.find(now, request)
 
-    def arrive(self, now: int, attempt: Try, cost: Cost | None, lingering: int) -> Decision[R] | TurnAway:
-        """``cost`` is what it brings as an ask of its own, None where it is known to belong to one.
+    def arrive(self, now: int, request: Try, cost: Cost | None, lingering: int) -> Decision[R] | TurnAway:
+        """Match a try to an ask, or admit it as a new one.
 
-        ``lingering``: parts of ended queries that are still out.
+        ``cost`` is the cost of a new ask, None if the try is known to belong to an existing one.
+        ``lingering``: parts of ended queries that still have open attempts.
         """
-        if cost is not None and self.registry.find(now, attempt) is None:
-            away = self.admission.admit(now, self.registry.next_ask(), cost, lingering)
-            if away is not None:
-                return away
-            decision = self.registry.arrive(now, attempt)
+        if cost is not None and self.registry.find(now, request) is None:
+            rejection = self.admission.admit(now, self.registry.next_ask(), cost, lingering)
+            if rejection is not None:
+                return rejection
+            decision = self.registry.arrive(now, request)
             if not isinstance(decision, Begin):
                 self.admission.ended(self.registry.next_ask())
             return decision
-        return self.registry.arrive(now, attempt)
+        return self.registry.arrive(now, request)
 
     def set_pressure(self, pressure: Pressure) -> None:
-        """How pressed for memory the process is: remembered answers go first."""
+        """Set the memory pressure of the process; remembered answers are dropped first."""
         self.admission.pressure = pressure
         self.registry.remembers = pressure is Pressure.NONE
         if not self.registry.remembers:
             self.registry.forget_all()
 
 
-__all__ = ["Begin", "AskIntake", "Try", "TurnAway"]
+__all__ = ["AskIntake", "Begin", "Try", "TurnAway"]
--- a/quincepath/asks/registry/__init__.py
+++ b/quincepath/asks/registry/__init__.py
@@ -1,19 +1,21 @@
-"""Which requests are tries of one ask, and what each of them is owed. Pure: no clock, no chance, no socket.
+"""Matches requests that are tries of one ask. Pure: no clock, no random source, no socket.
 
-A *try* is a request on a connection; it is owed exactly one final answer. An *ask* is what a client wants to
-know; it is run once by the driver, whatever the number of its tries:
+A *try* is a request on a connection; it gets exactly one final answer. An *ask* is the question behind it;
+the driver runs it once, whatever the number of its tries:
 
-    no ask of this key       -> Begin: the edge gives the ask to the driver
-    the ask is running       -> Join: this try waits for its answer with the others
-    the ask was answered     -> ReplayAnswer: the same answer at once, for as long as it is remembered
-    the key, another body    -> Conflict, where the client vouched for its keys; else a separate ask
+    no ask with this key       -> Begin: the I/O layer passes the ask to the driver
+    the ask is running         -> Join: the try waits for its answer with the others
+    the ask was answered       -> ReplayAnswer: the same answer at once, for as long as it is remembered
+    the key with another body  -> Conflict if the client guarantees one body per key, else a separate ask
 
-An ask that ended without an answer is forgotten: a later try runs it anew. A request may also join an equal
-one of its scope in flight (single flight): it is a *stranger* there. It shares the answer; another ending it
-shares only if it had no more time than the run: else strangers run the ask once more, together.
+An ask that ended without an answer is forgotten, and a later try runs it again. A request may also be
+coalesced with an equal one of its scope in flight (single flight). It shares that run's answer. It shares a
+failure or refusal only if it had no more time than the run; otherwise the coalesced requests run the ask once
+more, together.
 
-When the last client of a marked ask has gone, the ask runs on for ``linger``, because its retry is probably
-on the way and what is in need not be fetched again. Design and what was weighed: docs/design/asks.md.
+When the last client of a keyed ask disconnects, the ask continues for ``linger``, because a retry is probably
+on the way and parts already received then need not be fetched again. Design and alternatives:
+docs/design/asks.md.
 """
 
 from quincepath.asks.registry.core import AskRegistry
@@ -35,19 +37,19 @@
 )
 
 __all__ = [
-    "ReplayAnswer",
-    "Begin",
     "AskRegistry",
-    "RegistryLimits",
+    "Begin",
+    "ClientKey",
     "Conflict",
-    "TooManyTries",
     "Decision",
     "Deliver",
     "DropAsk",
-    "MatchKind",
     "Join",
-    "ClientKey",
+    "MatchKind",
+    "RegistryLimits",
+    "ReplayAnswer",
     "Restart",
-    "TryExpired",
+    "TooManyTries",
     "Try",
+    "TryExpired",
 ]
--- a/quincepath/asks/registry/core.py
+++ b/quincepath/asks/registry/core.py
@@ -1,4 +1,4 @@
-"""The book itself: which tries wait for which ask, and which answers are remembered."""
+"""The registry itself: which tries wait for which ask, and which answers are remembered."""
 
 import heapq
 from collections import Counter, OrderedDict
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _WaitingTry:
     deadline: int
     kind: MatchKind
     name: str
@@ -37,71 +37,71 @@
     scope: str
     digest: bytes
     began: int
-    deadline: int  # of the try that it runs for
+    deadline: int  # of the try that started it
     keys: list[tuple[str, str]] = field(default_factory=list)
     keyed: bool = False
-    waiting: dict[int, _Waiting] = field(default_factory=dict)
-    orphaned: int | None = None  # since when nobody waits for it
+    waiting: dict[int, _WaitingTry] = field(default_factory=dict)
+    orphaned_at: int | None = None  # since when no try waits for it
     reply: R | None = None
     size: int = 0
-    until: int = 0
+    expires_at: int = 0
 
 
 class AskRegistry(Generic[R]):
-    """One a broker. ``R`` is a reply as the edge has it: kept, never looked into."""
+    """Tracks all asks of one broker. ``R`` is the I/O layer's type of a reply, stored but not interpreted."""
 
     def __init__(self, limits: RegistryLimits) -> None:
         self.limits = limits
         self.counts: Counter[str] = Counter()
-        self.remembers = True  # not while memory is short
+        self.remembers = True  # False under memory pressure
         self.bytes = 0
-        self._ids = 0
+        self._last_id = 0
         self._asks: dict[int, _Ask[R]] = {}  # running
         self._answered: OrderedDict[int, _Ask[R]] = OrderedDict()  # remembered, oldest first
-        self._keys: dict[tuple[str, str], _Ask[R]] = {}
-        self._flights: dict[tuple[str, bytes], _Ask[R]] = {}
-        self._handles: dict[int, _Ask[R]] = {}
-        self._dues: list[tuple[int, int, int]] = []  # when, number in the order of making, handle or -ask
-        self._made = 0
+        self._ask_by_key: dict[tuple[str, str], _Ask[R]] = {}
+        self._shared_runs: dict[tuple[str, bytes], _Ask[R]] = {}
+        self._ask_by_handle: dict[int, _Ask[R]] = {}
+        self._timers: list[tuple[int, int, int]] = []  # time, sequence number, handle or -ask id
+        self._timer_count = 0
 
-    # --- what is open ---
+    # --- state ---
 
     def running(self) -> int:
-        """Asks that the driver has."""
+        """Number of asks that the driver runs."""
         return len(self._asks)
 
     def waiting(self) -> int:
-        """Tries that are owed an answer."""
-        return len(self._handles)
+        """Number of tries that wait for an answer."""
+        return len(self._ask_by_handle)
 
     def remembered(self) -> int:
-        """Answers that are kept."""
+        """Number of remembered answers."""
         return len(self._answered)
 
     def next_ask(self) -> int:
-        """The number that the next ask gets."""
-        return self._ids + 1
+        """The id that the next ask gets."""
+        return self._last_id + 1
 
     def next_due(self) -> int | None:
-        """When ``expire`` must be called at the latest."""
-        return self._dues[0][0] if self._dues else None
+        """The latest time at which ``expire`` must be called."""
+        return self._timers[0][0] if self._timers else None
 
     # --- tries ---
 
-    def find(self, now: int, attempt: Try) -> int | None:
-        """The ask, running or remembered, that this try belongs to, if there is one; nothing changes."""
-        found = self._belongs(now, attempt)
+    def find(self, now: int, request: Try) -> int | None:
+        """The id of the ask, running or remembered, that this try belongs to. Changes nothing."""
+        found = self._match(now, request)
         return found[0].id if isinstance(found, tuple) else None
 
-    def arrive(self, now: int, attempt: Try) -> "Decision[R]":
-        """A request came in. After ``Begin`` and ``Join`` the try is owed an answer."""
-        self._forget(now)
-        found = self._belongs(now, attempt)
+    def arrive(self, now: int, request: Try) -> "Decision[R]":
+        """Process a new request. After ``Begin`` and ``Join`` the try must get an answer."""
+        self._forget_expired(now)
+        found = self._match(now, request)
         if isinstance(found, Conflict):
             self.counts["conflict"] += 1
             return found
         if found is None:
-            return Begin(self._begin(now, attempt).id)
+            return Begin(self._begin(now, request).id)
         ask, kind = found
         if ask.reply is not None:
             self.counts[MatchKind.REPLAYED.value] += 1
@@ -110,81 +110,81 @@
             self.counts["crowded"] += 1
             return TooManyTries()
         self.counts[kind.value] += 1
-        if ask.orphaned is not None:
-            ask.orphaned = None
+        if ask.orphaned_at is not None:
+            ask.orphaned_at = None
             self.counts["rescued"] += 1
-        self._name(ask, attempt)
-        self._wait(ask, attempt.handle, _Waiting(attempt.deadline, kind, attempt.name))
-        self._due(attempt.deadline - self.limits.reserve, attempt.handle)
+        self._register_keys(ask, request)
+        self._add_waiting(ask, request.handle, _WaitingTry(request.deadline, kind, request.name))
+        self._set_timer(request.deadline - self.limits.reserve, request.handle)
         return Join(ask.id, kind)
 
-    def _belongs(self, now: int, attempt: Try) -> "tuple[_Ask[R], MatchKind] | Conflict | None":
-        for key, strict in self._names(attempt):
-            ask = self._keys.get(key)
-            if ask is None or (ask.reply is not None and ask.until <= now):
+    def _match(self, now: int, request: Try) -> "tuple[_Ask[R], MatchKind] | Conflict | None":
+        for key, strict in self._keys_of(request):
+            ask = self._ask_by_key.get(key)
+            if ask is None or (ask.reply is not None and ask.expires_at <= now):
                 continue
-            if ask.digest != attempt.digest:
+            if ask.digest != request.digest:
                 if strict:
                     return Conflict()
-                continue  # an id that is used twice: two asks
-            if attempt.client_key is None and now > ask.began + attempt.retry_window:
+                continue  # an id that was reused: two separate asks
+            if request.client_key is None and now > ask.began + request.retry_window:
                 continue
             return ask, MatchKind.RETRY
-        if attempt.shared:
-            ask = self._flights.get((attempt.scope, attempt.digest))
+        if request.shared:
+            ask = self._shared_runs.get((request.scope, request.digest))
             if ask is not None:
                 return ask, MatchKind.EQUAL
         return None
 
     @staticmethod
-    def _names(attempt: Try) -> list[tuple[tuple[str, str], bool]]:
-        """The keys under which a try is known."""
-        names = []
-        if attempt.client_key is not None:
-            names.append(
-                ((attempt.client_key.scope, f"key {attempt.client_key.key}"), attempt.client_key.strict)
+    def _keys_of(request: Try) -> list[tuple[tuple[str, str], bool]]:
+        """The keys that identify a try, each with whether it is strict."""
+        keys = []
+        if request.client_key is not None:
+            keys.append(
+                ((request.client_key.scope, f"key {request.client_key.key}"), request.client_key.strict)
             )
-        elif attempt.retry_window:
-            names.append(((attempt.scope, f"body {attempt.digest.hex()}"), False))
-        return names
+        elif request.retry_window:
+            keys.append(((request.scope, f"body {request.digest.hex()}"), False))
+        return keys
 
-    def _begin(self, now: int, attempt: Try) -> _Ask[R]:
-        self._ids += 1
-        ask: _Ask[R] = _Ask(self._ids, attempt.scope, attempt.digest, now, attempt.deadline)
+    def _begin(self, now: int, request: Try) -> _Ask[R]:
+        self._last_id += 1
+        ask: _Ask[R] = _Ask(self._last_id, request.scope, request.digest, now, request.deadline)
         self._asks[ask.id] = ask
-        self._name(ask, attempt)
-        if attempt.shared:
-            self._flights.setdefault((attempt.scope, attempt.digest), ask)
+        self._register_keys(ask, request)
+        if request.shared:
+            self._shared_runs.setdefault((request.scope, request.digest), ask)
         self.counts[MatchKind.BEGAN.value] += 1
-        self._wait(ask, attempt.handle, _Waiting(attempt.deadline, MatchKind.BEGAN, attempt.name))
+        self._add_waiting(ask, request.handle, _WaitingTry(request.deadline, MatchKind.BEGAN, request.name))
         return ask
 
-    def _name(self, ask: _Ask[R], attempt: Try) -> None:
-        """From now on tries with this one's key belong to the ask, a stranger's own retries among them."""
-        for key, _ in self._names(attempt):
-            old = self._keys.get(key)
-            if old is not None and old.reply is not None and old is not ask:
-                self._drop_answer(old)
-            if len(ask.keys) < self.limits.most_tries and self._keys.setdefault(key, ask) is ask:
+    def _register_keys(self, ask: _Ask[R], request: Try) -> None:
+        """Assign a try's keys to the ask, so that its retries match it, also if the try was coalesced."""
+        for key, _ in self._keys_of(request):
+            other = self._ask_by_key.get(key)
+            if other is not None and other.reply is not None and other is not ask:
+                self._drop_answer(other)
+            if len(ask.keys) < self.limits.most_tries and self._ask_by_key.setdefault(key, ask) is ask:
                 if key not in ask.keys:
                     ask.keys.append(key)
-                ask.keyed = ask.keyed or attempt.client_key is not None
+                ask.keyed = ask.keyed or request.client_key is not None
 
-    def _wait(self, ask: _Ask[R], handle: int, waiting: _Waiting) -> None:
+    def _add_waiting(self, ask: _Ask[R], handle: int, waiting: _WaitingTry) -> None:
         ask.waiting[handle] = waiting
-        self._handles[handle] = ask
+        self._ask_by_handle[handle] = ask
 
     def client_left(self, now: int, handle: int) -> DropAsk | None:
-        """The client of a try has gone. ``Drop``: so has the last of its ask, and no retry is waited for."""
-        ask = self._handles.pop(handle, None)
+        """The client of a try left. ``DropAsk``: it was the last one of its ask and no retry is awaited."""
+        ask = self._ask_by_handle.pop(handle, None)
         if ask is None:
             return None
         del ask.waiting[handle]
         if ask.waiting:
             return None
         if ask.keyed and self.limits.linger:
-            ask.orphaned = now
-            self._due(now + self.limits.linger, -ask.id)
+            ask.orphaned_at = now
+            self._set_timer(now + self.limits.linger, -ask.id)
             return None
         return self._abandon(ask)
 
@@ -196,93 +196,97 @@
     # --- time ---
 
     def expire(self, now: int) -> list[TryExpired | DropAsk]:
-        """Tries and orphaned asks whose time is up by now; in the order of their times."""
-        found: list[TryExpired | DropAsk] = []
-        while self._dues and self._dues[0][0] <= now:
-            _, _, what = heapq.heappop(self._dues)
-            if what > 0:
-                ask = self._handles.get(what)
-                if ask is not None and ask.waiting[what].kind is not MatchKind.BEGAN:
-                    del self._handles[what], ask.waiting[what]
+        """Tries and orphaned asks whose time limit has passed, in the order of their limits."""
+        expired: list[TryExpired | DropAsk] = []
+        while self._timers and self._timers[0][0] <= now:
+            _, _, target = heapq.heappop(self._timers)
+            if target > 0:
+                ask = self._ask_by_handle.get(target)
+                if ask is not None and ask.waiting[target].kind is not MatchKind.BEGAN:
+                    del self._ask_by_handle[target], ask.waiting[target]
                     self.counts["time up alone"] += 1
-                    found.append(TryExpired(what))
+                    expired.append(TryExpired(target))
                     if not ask.waiting:
-                        found.append(self._abandon(ask))
+                        expired.append(self._abandon(ask))
             else:
-                ask = self._asks.get(-what)
-                if ask is not None and ask.orphaned is not None and now >= ask.orphaned + self.limits.linger:
-                    found.append(self._abandon(ask))
-        self._forget(now)
-        return found
-
-    def _due(self, when: int, what: int) -> None:
-        self._made += 1
-        heapq.heappush(self._dues, (when, self._made, what))
+                ask = self._asks.get(-target)
+                if (
+                    ask is not None
+                    and ask.orphaned_at is not None
+                    and now >= ask.orphaned_at + self.limits.linger
+                ):
+                    expired.append(self._abandon(ask))
+        self._forget_expired(now)
+        return expired
+
+    def _set_timer(self, at: int, target: int) -> None:
+        self._timer_count += 1
+        heapq.heappush(self._timers, (at, self._timer_count, target))
 
     # --- endings ---
 
     def finish(self, now: int, ask_id: int, reply: R, size: int, answered: bool) -> list[Deliver | Restart]:
-        """The driver ended an ask: who gets the reply."""
+        """The driver ended an ask; returns which tries get the reply and whether the ask restarts."""
         ask = self._asks.get(ask_id)
         if ask is None:
             return []
         self._end(ask)
         orders: list[Deliver | Restart] = []
-        again: list[tuple[int, _Waiting]] = []
+        restarting: list[tuple[int, _WaitingTry]] = []
         for handle, waiting in ask.waiting.items():
-            del self._handles[handle]
-            # Refused or failed for want of time: that is no ending for one that has more of it.
-            longer = waiting.deadline > ask.deadline + self.limits.reserve
-            if not answered and waiting.kind is MatchKind.EQUAL and longer and not waiting.restarted:
-                again.append((handle, waiting))
+            del self._ask_by_handle[handle]
+            # Refused or failed for lack of time: not final for a coalesced request with a later deadline.
+            has_more_time = waiting.deadline > ask.deadline + self.limits.reserve
+            if not answered and waiting.kind is MatchKind.EQUAL and has_more_time and not waiting.restarted:
+                restarting.append((handle, waiting))
             else:
                 orders.append(Deliver(handle, waiting.kind))
-        if again:
-            orders.append(self._restart(now, ask, again))
+        if restarting:
+            orders.append(self._restart(now, ask, restarting))
         if answered and ask.keyed:
             self._remember(now, ask, reply, size)
         return orders
 
-    def _restart(self, now: int, old: _Ask[R], again: list[tuple[int, _Waiting]]) -> Restart:
-        """One more run for strangers: the one with the most time leads, the others wait with it."""
-        lead = max(again, key=lambda one: (one[1].deadline, -one[0]))
-        self._ids += 1
-        ask: _Ask[R] = _Ask(self._ids, old.scope, old.digest, now, lead[1].deadline)
+    def _restart(self, now: int, old: _Ask[R], restarting: list[tuple[int, _WaitingTry]]) -> Restart:
+        """One more run for coalesced requests. The one with the latest deadline leads, the others join it."""
+        leader = max(restarting, key=lambda item: (item[1].deadline, -item[0]))
+        self._last_id += 1
+        ask: _Ask[R] = _Ask(self._last_id, old.scope, old.digest, now, leader[1].deadline)
         self._asks[ask.id] = ask
         ask.keys, ask.keyed = old.keys, old.keyed
-        self._keys.update(dict.fromkeys(ask.keys, ask))
-        self._flights.setdefault((old.scope, old.digest), ask)
-        for handle, waiting in again:
-            leads = handle == lead[0]
-            kind = MatchKind.BEGAN if leads else MatchKind.EQUAL
-            self._wait(ask, handle, _Waiting(waiting.deadline, kind, waiting.name, True))
-            if not leads:
-                self._due(waiting.deadline - self.limits.reserve, handle)
+        self._ask_by_key.update(dict.fromkeys(ask.keys, ask))
+        self._shared_runs.setdefault((old.scope, old.digest), ask)
+        for handle, waiting in restarting:
+            is_leader = handle == leader[0]
+            kind = MatchKind.BEGAN if is_leader else MatchKind.EQUAL
+            self._add_waiting(ask, handle, _WaitingTry(waiting.deadline, kind, waiting.name, True))
+            if not is_leader:
+                self._set_timer(waiting.deadline - self.limits.reserve, handle)
         self.counts["restarted"] += 1
-        return Restart(lead[0], ask.id, lead[1].deadline, lead[1].name)
+        return Restart(leader[0], ask.id, leader[1].deadline, leader[1].name)
 
     def _end(self, ask: _Ask[R]) -> None:
-        """It runs no more; its keys are free unless its answer is remembered."""
+        """Mark the ask as no longer running; its keys are free unless its answer is remembered."""
         self._asks.pop(ask.id, None)
-        flight = (ask.scope, ask.digest)
-        if self._flights.get(flight) is ask:
-            del self._flights[flight]
+        shared_key = (ask.scope, ask.digest)
+        if self._shared_runs.get(shared_key) is ask:
+            del self._shared_runs[shared_key]
         for key in ask.keys:
-            if self._keys.get(key) is ask:
-                del self._keys[key]
+            if self._ask_by_key.get(key) is ask:
+                del self._ask_by_key[key]
 
     # --- memory ---
 
     def _remember(self, now: int, ask: _Ask[R], reply: R, size: int) -> None:
         limits = self.limits
-        room = limits.remember and size <= limits.most_bytes and limits.most_remembered
-        if not self.remembers or not room:
+        fits = limits.remember and size <= limits.most_bytes and limits.most_remembered
+        if not self.remembers or not fits:
             self.counts["not remembered"] += 1
             return
-        ask.reply, ask.size, ask.until = reply, size, now + limits.remember
+        ask.reply, ask.size, ask.expires_at = reply, size, now + limits.remember
         ask.waiting = {}
         for key in ask.keys:
-            self._keys[key] = ask
+            self._ask_by_key[key] = ask
         self._answered[ask.id] = ask
         self.bytes += size
         while len(self._answered) > limits.most_remembered or self.bytes > limits.most_bytes:
@@ -294,18 +298,18 @@
             return
         self.bytes -= ask.size
         for key in ask.keys:
-            if self._keys.get(key) is ask:
-                del self._keys[key]
+            if self._ask_by_key.get(key) is ask:
+                del self._ask_by_key[key]
 
     def forget_all(self) -> None:
-        """Give up all remembered answers: memory is short."""
+        """Drop all remembered answers, because memory is short."""
         while self._answered:
             self.counts["forgotten early"] += 1
             self._drop_answer(next(iter(self._answered.values())))
 
-    def _forget(self, now: int) -> None:
+    def _forget_expired(self, now: int) -> None:
         while self._answered:
             ask = next(iter(self._answered.values()))
-            if ask.until > now:
+            if ask.expires_at > now:
                 return
             self._drop_answer(ask)
--- a/quincepath/asks/registry/types.py
+++ b/quincepath/asks/registry/types.py
@@ -1,4 +1,4 @@
-"""What is said of asks and tries: bounds, a try, how it came to its ask, and what is decided of each."""
+"""Types of the registry: its limits, a try, how a try matched its ask, and the decisions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,19 +9,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RegistryLimits:
-    """Bounds. Times in ns, ``most_bytes`` of remembered answers, ``reserve`` for carrying an answer away."""
+    """Limits; times in ns. ``most_bytes`` of remembered answers, ``reserve``: time to deliver an answer."""
 
     remember: int
     most_remembered: int
     most_bytes: int
     linger: int
-    most_tries: int  # that wait for one ask
+    most_tries: int  # waiting for one ask
     reserve: int
 
 
 @dataclass(slots=True, frozen=True)
 class ClientKey:
-    """What a client says of a try: its key in a scope. ``strict``: the client promises one body a key."""
+    """The key that a client gave a try, in a scope. ``strict``: the client guarantees one body per key."""
 
     scope: str
     key: str
@@ -30,9 +30,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Try:
-    """One request. ``digest`` is of what is asked, with all that changes the answer but the time it may take.
+    """One request. ``digest`` covers everything that affects the answer except the time limit.
 
-    ``client_key`` is None where the client gave none. ``shared``: may join an equal ask in flight.
+    ``client_key`` is None if the client gave none. ``shared``: may join an equal ask in flight.
     """
 
     handle: int
@@ -41,13 +41,13 @@
     deadline: int
     client_key: ClientKey | None = None
     shared: bool = False
-    retry_window: int = 0  # ns: unmarked, but an equal body of this scope so soon counts as a retry
+    retry_window: int = 0  # ns; for so long an equal body of this scope without a key is a retry
     name: str = ""  # for logs and records
-    client: str = ""  # to whom its load is counted
+    client: str = ""  # the client that its load is attributed to
 
 
 class MatchKind(Enum):
-    """How a try came to its ask."""
+    """How a try was matched to its ask."""
 
     BEGAN = "began"
     RETRY = "retry"
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Begin:
-    """Run a new ask; ``ask`` is its handle at the driver."""
+    """Run a new ask; ``ask`` is its handle in the driver."""
 
     ask: int
 
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplayAnswer(Generic[R]):
-    """The answer that the ask got."""
+    """The answer that the ask already got."""
 
     ask: int
     reply: R
@@ -80,12 +80,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Conflict:
-    """The key stands for another body."""
+    """The key belongs to a request with another body."""
 
 
 @dataclass(slots=True, frozen=True)
 class TooManyTries:
-    """As many tries wait for this ask as may."""
+    """The maximum number of tries already waits for this ask."""
 
 
 Decision = Begin | Join | ReplayAnswer[R] | Conflict | TooManyTries
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Restart:
-    """Run the ask anew as ``ask``, for strangers with time left; ``deadline`` is the longest of theirs."""
+    """Run the ask again as ``ask``, for coalesced requests with time left; ``deadline``: their latest."""
 
     handle: int
     ask: int
@@ -111,13 +111,13 @@
 
 @dataclass(slots=True, frozen=True)
 class TryExpired:
-    """This try's own time is up while its ask goes on for others: it fails alone."""
+    """The try's own deadline passed while its ask continues for others: only the try fails."""
 
     handle: int
 
 
 @dataclass(slots=True, frozen=True)
 class DropAsk:
-    """Nobody waits for this ask, nor will: the driver is told that its client left."""
+    """No try waits for this ask and none is expected: the driver is told that its client left."""
 
     ask: int
--- a/quincepath/broker/driver/__init__.py
+++ b/quincepath/broker/driver/__init__.py
@@ -1,7 +1,8 @@
-"""The pure driver between the edge and the module: ``step(now, inputs) -> orders``.
+"""The pure driver between the I/O layer and the decision module: ``step(now, inputs) -> orders``.
 
-It owns ids, the one final answer, deadlines, attempts by part and results by part, and decides nothing: each
-choice is the module's. ``Driver`` is the whole of it, ``DecisionModule`` what it needs of the decisions.
+It owns ids, the single final answer, deadlines, and attempts and results by part. It takes no decisions:
+every choice is the decision module's. ``Driver`` is the entry point, ``DecisionModule`` the interface that it
+requires of the module.
 """
 
 from quincepath.broker.driver.core import Driver
--- a/quincepath/broker/driver/rules.py
+++ b/quincepath/broker/driver/rules.py
@@ -1,7 +1,8 @@
-"""The rules of sends, checked against the list of holders as it was told here, and until when they leave.
+"""Checks of sends against the list of holders as this broker knows it, and the time limits of sends.
 
-A send that is right when it is decided may wait at the edge. So each is given two times with its order, and
-this is the one place that says them: a drain's grace counts for the first byte, all else for the last.
+A send that is valid when it is decided may still wait in the I/O layer. Each order therefore carries two
+time limits, and this module is the only place that computes them: the grace of a drain limits the first byte,
+everything else limits the last.
 """
 
 from dataclasses import dataclass
@@ -9,54 +10,54 @@
 from quincepath.broker.driver.state import OpenPart, OpenQuery
 from quincepath.interface import Effect, Members, NodeId, Phase, Result, Scope, Send, Settings
 
-PROVED_UNRUN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)  # endings after which no effect can exist
-NEVER = 1 << 62  # a time, in ns, that does not come
-GONE_RETENTION_NS = 60_000_000_000  # ns past the grace until a holder that is gone is forgotten
+PROVED_UNRUN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)  # results that rule out any effect
+NEVER = 1 << 62  # ns, a time that is never reached
+GONE_RETENTION_NS = 60_000_000_000  # past the grace; then a holder that is gone is forgotten
 
 
 @dataclass(slots=True)
-class _Listed:
+class _KnownNode:
     cell: int
     phase: Phase
-    told: int  # when this broker was told that it drains or is gone
+    unready_since: int  # when this broker learned that the node drains or is gone
 
 
 class Rules:
-    """Which sends are allowed. ``grace`` is rule 3's, in nanoseconds."""
+    """Decides which sends are allowed. ``grace`` is the drain grace of rule 3, in nanoseconds."""
 
     def __init__(self, settings: Settings, grace: int) -> None:
         self.settings, self.grace = settings, grace
-        self._nodes: dict[NodeId, _Listed] = {}
-        self._gone: dict[NodeId, _Listed] = {}  # those of them whose phase is GONE, until they are forgotten
+        self._nodes: dict[NodeId, _KnownNode] = {}
+        self._gone: dict[NodeId, _KnownNode] = {}  # the subset whose phase is GONE, until forgotten
 
     def update_members(self, now: int, members: Members) -> list[NodeId]:
-        """News of the list; one that could not be read changes nothing. Returns who is not ready any more."""
+        """Apply a list update; a failed read changes nothing. Returns the nodes that stopped being ready."""
         if members.scope is Scope.FAILED:
             return []
         lost: list[NodeId] = []
         if members.scope is not Scope.DELTA:
-            named = {entry.node for entry in members.entries}
+            listed = {entry.node for entry in members.entries}
             for node, known in self._nodes.items():
-                if node not in named and known.phase is not Phase.GONE:
+                if node not in listed and known.phase is not Phase.GONE:
                     if known.phase is Phase.READY:
-                        known.told = now
+                        known.unready_since = now
                         lost.append(node)
-                    self._enter(node, known, Phase.GONE)
-        # Ids come and go all day: who has been gone for long is as unknown as one that was never named.
-        old = now - self.grace - GONE_RETENTION_NS
-        for node in [node for node, known in self._gone.items() if known.told < old]:
+                    self._set_phase(node, known, Phase.GONE)
+        # Node ids change all day. A node that has been gone for long counts as one that was never listed.
+        cutoff = now - self.grace - GONE_RETENTION_NS
+        for node in [node for node, known in self._gone.items() if known.unready_since < cutoff]:
             del self._gone[node], self._nodes[node]
         for entry in members.entries:
-            known = self._nodes.setdefault(entry.node, _Listed(entry.cell, Phase.READY, 0))
+            known = self._nodes.setdefault(entry.node, _KnownNode(entry.cell, Phase.READY, 0))
             if entry.phase is not Phase.READY and known.phase is Phase.READY:
-                known.told = now
+                known.unready_since = now
                 lost.append(entry.node)
             known.cell = entry.cell
-            self._enter(entry.node, known, entry.phase)
+            self._set_phase(entry.node, known, entry.phase)
         return lost
 
-    def _enter(self, node: NodeId, known: _Listed, phase: Phase) -> None:
-        """Note a node's phase, and whether it is among those to forget later."""
+    def _set_phase(self, node: NodeId, known: _KnownNode, phase: Phase) -> None:
+        """Record a node's phase and whether the node is to be forgotten later."""
         known.phase = phase
         if phase is Phase.GONE:
             self._gone[node] = known
@@ -64,7 +65,7 @@
             self._gone.pop(node, None)
 
     def send_violation(self, now: int, part: OpenPart, action: Send) -> str:
-        """The name of the rule that this send would break; empty where it breaks none."""
+        """The name of the rule that this send would violate, or an empty string."""
         limits = self.settings.limits
         spec = self.settings.classes[part.query.ask.kind]
         listed = self._nodes.get(action.node)
@@ -90,7 +91,7 @@
         return ""
 
     def effect_may_exist(self, query: OpenQuery, unsent: set[tuple[int, int]]) -> bool:
-        """Whether a query that must not run twice may have run; ``unsent``: attempts of this very batch."""
+        """Whether a query that must not run twice may have run. ``unsent``: attempts of the current batch."""
         if self.settings.classes[query.ask.kind].effect is not Effect.UNSAFE:
             return False
         return any(
@@ -100,21 +101,21 @@
         )
 
     def send_start_by(self, node: NodeId) -> int:
-        """Until when a send to this node may begin: so long after the news that it drains or is gone."""
+        """Until when a send to this node may start: the grace after it was known to drain or be gone."""
         listed = self._nodes.get(node)
         if listed is None or listed.phase is Phase.READY:
             return NEVER
-        return listed.told + self.grace
+        return listed.unready_since + self.grace
 
     def send_complete_by(self, part: OpenPart) -> int:
-        """Until when a send of this part must have left: its query's end, or that of its window."""
+        """Until when a send of this part must be complete: the deadline or the end of the key's window."""
         return min(part.query.deadline, self._window_end(part))
 
     def _window_end(self, part: OpenPart) -> int:
-        """When repeats of a keyed part are not dropped any more.
+        """When nodes stop dropping duplicates of a keyed part.
 
-        Counted from the decision of the first attempt that may have run: that attempt itself may have
-        counted later, which leaves more time than is taken here, never less.
+        Counted from the decision to send the first attempt that may have run. The node may have started
+        counting later, so the real window ends at this time or after it, never before.
         """
         spec = self.settings.classes[part.query.ask.kind]
         first = part.first_possible_run() if spec.effect is Effect.KEYED else None
--- a/quincepath/broker/driver/state.py
+++ b/quincepath/broker/driver/state.py
@@ -1,4 +1,4 @@
-"""What the driver holds of each query, part and attempt, and what it needs of the module."""
+"""The driver's state of each query, part and attempt, and the interface of the decision module."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -9,26 +9,26 @@
 
 
 class DecisionModule(Protocol):
-    """What the driver needs of the decisions: all events of a moment in, all actions out."""
+    """Takes all events of one moment and returns all actions."""
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Take in the events, then decide."""
+        """Process the events, then decide."""
         ...
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a part, to one holder."""
+    """One send of a part to one holder."""
 
     node: NodeId
     sent: int
     ended: bool = False
-    never_ran: bool = False  # that is proved; until it has ended it may run
+    never_ran: bool = False  # proved; an attempt that has not ended may still run
 
 
 @dataclass(slots=True)
 class OpenPart:
-    """A part of a query, with its attempts in the order of their sends."""
+    """A part of a query, with its attempts in the order in which they were sent."""
 
     id: int
     query: "OpenQuery"
@@ -39,17 +39,17 @@
     ok: bool = False
 
     def in_flight(self) -> bool:
-        """Whether an attempt has not ended."""
+        """Whether at least one attempt has not ended."""
         return any(not attempt.ended for attempt in self.attempts)
 
     def first_possible_run(self) -> int | None:
-        """When the first attempt that may have run, or may yet, was sent."""
+        """When the first attempt that may have run, or may still run, was sent."""
         return next((attempt.sent for attempt in self.attempts if not attempt.never_ran), None)
 
 
 @dataclass(slots=True)
 class OpenQuery:
-    """A query that has not been forgotten; ``over`` once its final answer is out."""
+    """A query that the driver still tracks; ``over`` once its final answer is given."""
 
     id: int
     ask: Ask
@@ -63,5 +63,5 @@
     sent_at: int = -1
 
     def weight_received(self, step: int) -> float:
-        """Weight of the parts of a step that are in."""
+        """Total weight of the parts of a step that have a result."""
         return sum(part.ask.weight for part in self.parts if part.step == step and part.ok)
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -205,7 +205,7 @@
         metrics.connections.labels("clients").set(len(self.server.peers))
         metrics.connections.labels("holders").set(self.upstream.counts.open)
         for phase in ("READY", "DRAINING", "GONE"):
-            count = sum(fact.phase.name == phase for fact in self.holders.source.state.facts.values())
+            count = sum(fact.phase.name == phase for fact in self.holders.source.state.holders.values())
             metrics.holders.labels(phase.lower()).set(count)
         exchange.respond(200, PAGE_TYPE, metrics.page())
 
--- a/quincepath/membership/__init__.py
+++ b/quincepath/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of holders comes from and what it says to the module."""
+"""The list of holders: its sources, and the updates of it for the decision module."""
--- a/quincepath/merge/__init__.py
+++ b/quincepath/merge/__init__.py
@@ -1,1 +1,1 @@
-"""Parts into one answer."""
+"""Merges the results of parts into one answer."""
--- a/quincepath/merge/series.py
+++ b/quincepath/merge/series.py
@@ -1,8 +1,8 @@
-"""Series of several parts into one result: by label set, samples in time order, each once. Pure.
+"""Merges series of several parts into one result: by label set, samples in time order, no duplicates. Pure.
 
-Two parts may bring the same series: shards that overlap, or the two steps of one query. Samples of the same
-time are taken once, from the part that comes first in (step, shard) order, so the result does not depend on
-the order in which answers came. Series leave in label order, as the protocol wants it.
+Two parts may return the same series: shards overlap, or both steps of a query return it. Of samples with the
+same timestamp the one of the first part in (step, shard) order is used, so the result does not depend on the
+order in which answers arrived. Series are ordered by label, as the protocol requires.
 """
 
 from collections.abc import Iterable
@@ -15,12 +15,12 @@
 
 
 class MergeError(ValueError):
-    """The parts cannot be put into one answer within its bounds."""
+    """The merged parts exceed the size limit of an answer."""
 
 
 @dataclass(slots=True)
 class MergeStats:
-    """What was met on the way, for metrics: dropped duplicates, and those among them that disagreed."""
+    """Counts for metrics: series, dropped duplicate samples, and duplicates whose values differ."""
 
     series: int = 0
     duplicates: int = 0
@@ -28,11 +28,11 @@
 
 
 def label_key(series: TimeSeries) -> LabelKey:
-    """Labels as a sorted tuple, whatever order the holder wrote them in."""
+    """Labels as a sorted tuple, independent of the order in which the holder sent them."""
     return tuple(sorted((label.name, label.value) for label in series.labels))
 
 
-def _combine(copies: list[TimeSeries], stats: MergeStats) -> TimeSeries:
+def _merge_copies(copies: list[TimeSeries], stats: MergeStats) -> TimeSeries:
     samples: dict[int, float] = {}
     for copy in copies:
         for sample in copy.samples:
@@ -40,8 +40,8 @@
                 samples[sample.timestamp] = sample.value
             else:
                 stats.duplicates += 1
-                known = samples[sample.timestamp]
-                if known != sample.value and not (known != known and sample.value != sample.value):
+                kept = samples[sample.timestamp]
+                if kept != sample.value and not (kept != kept and sample.value != sample.value):
                     stats.conflicts += 1
     merged = TimeSeries()
     for name, text in label_key(copies[0]):
@@ -51,7 +51,7 @@
     return merged
 
 
-def _sorted_inside(series: TimeSeries) -> bool:
+def _is_sorted(series: TimeSeries) -> bool:
     names = [label.name for label in series.labels]
     times = [sample.timestamp for sample in series.samples]
     return all(map(lt, names, names[1:])) and all(map(lt, times, times[1:]))
@@ -62,26 +62,26 @@
     bodies: Iterable[tuple[int, int, Iterable[tuple[int, list[TimeSeries]]]]],
     max_bytes: int,
 ) -> tuple[ReadResponse, MergeStats]:
-    """One result for each of ``queries`` from the bodies of parts, given as (step, shard, body).
+    """Build one result for each of ``queries`` from the bodies of parts, given as (step, shard, body).
 
-    Raises ``MergeError`` where the parts together are over ``max_bytes``, before anything is copied.
+    Raises ``MergeError`` if the parts together exceed ``max_bytes``, before anything is copied.
     """
-    found: list[dict[LabelKey, list[TimeSeries]]] = [{} for _ in range(queries)]
+    copies_by_labels: list[dict[LabelKey, list[TimeSeries]]] = [{} for _ in range(queries)]
     size = 0
     for _step, _shard, body in sorted(bodies, key=lambda item: item[:2]):
-        for index, many in body:
-            for series in many:
+        for index, series_list in body:
+            for series in series_list:
                 size += series.ByteSize()
                 if size > max_bytes:
                     raise MergeError(f"the merged answer is over {max_bytes} bytes")
-                found[index].setdefault(label_key(series), []).append(series)
+                copies_by_labels[index].setdefault(label_key(series), []).append(series)
     stats = MergeStats()
     response = ReadResponse()
-    for by_labels in found:
+    for by_labels in copies_by_labels:
         result = response.results.add()
         for key in sorted(by_labels):
             copies = by_labels[key]
             stats.series += 1
-            whole = copies[0] if len(copies) == 1 and _sorted_inside(copies[0]) else _combine(copies, stats)
-            result.timeseries.append(whole)
+            merged = copies[0] if len(copies) == 1 and _is_sorted(copies[0]) else _merge_copies(copies, stats)
+            result.timeseries.append(merged)
     return response, stats
--- a/quincepath/orders.py
+++ b/quincepath/orders.py
@@ -1,7 +1,8 @@
-"""What the driver is told and what it orders: plain values, no protocol, no socket.
+"""Inputs and orders of the driver: plain values without protocol or socket.
 
-Times are whole nanoseconds of one monotonic clock. A *handle* is the edge's own number of a client's ask;
-the driver returns it unaltered. Bodies and payloads are opaque: fronts and the upstream know what is in them.
+Times are whole nanoseconds of one monotonic clock. A *handle* is the number that the I/O layer gives a
+client's ask; the driver returns it unaltered. Bodies and payloads are opaque: only fronts and the upstream
+interpret them.
 """
 
 from collections.abc import Callable, Mapping
@@ -14,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PartRequest:
-    """One part: what to fetch at a shard; the weights of one step sum to 1."""
+    """What to fetch from one shard. The weights of all parts of one step sum to 1."""
 
     shard: int
     weight: float
@@ -26,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """A client's query, cut into parts. ``follow`` makes the second step from the bodies by shard."""
+    """A client's query, split into parts. ``follow`` builds the second step from the bodies by shard."""
 
     handle: int
     kind: int
@@ -36,7 +37,7 @@
     key: int = 0
     repeat: bool = False
     follow: FollowUp | None = None
-    name: str = ""  # the client's own id, for logs and records only
+    name: str = ""  # the client's id, for logs and records only
 
 
 # --- inputs ---
@@ -44,16 +45,16 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryArrived:
-    """A query was taken; from now on it is owed one final answer."""
+    """A query was accepted; from now on it must get exactly one final answer."""
 
     ask: Ask
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt ended; ``body`` is its decoded answer where the result is OK, ``cause`` why it is not.
+    """An attempt ended. ``body`` is the decoded answer if the result is OK, else ``cause`` says why not.
 
-    ``report`` holds the values of a load report that came with it, in the order of the settings.
+    ``report`` holds the values of a load report received with it, in the order of the settings.
     """
 
     part: int
@@ -66,21 +67,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
-    """The client of a query has gone: nobody is there to be answered."""
+    """The client of a query disconnected, so no answer can be delivered."""
 
     handle: int
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """News of the list of holders."""
+    """The list of holders changed, or could not be read."""
 
     members: Members
 
 
 @dataclass(slots=True, frozen=True)
 class AllowanceUpdate:
-    """What the fleet leaves this broker to spend; for the module."""
+    """The share of the fleet's budgets that this broker may spend; passed to the decision module."""
 
     allowance: Allowance
 
@@ -92,7 +93,7 @@
 
 
 class Verdict(Enum):
-    """How a query ended; each has one."""
+    """How a query ended. Each query has exactly one verdict."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -101,10 +102,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptOrder:
-    """One attempt of one part, to be given up at ``deadline``.
+    """One attempt of one part, abandoned at ``deadline``.
 
-    It may wait at the edge, for a connection or a full socket: its first byte leaves by ``send_start_by``
-    and its last by ``send_complete_by``, or it never runs. ``send_start_by <= send_complete_by <= deadline``.
+    The I/O layer may hold it back while it waits for a connection or for a full socket. The first byte must
+    be sent by ``send_start_by`` and the last by ``send_complete_by``, otherwise the attempt is not made.
+    ``send_start_by <= send_complete_by <= deadline``.
     """
 
     part: int
@@ -116,7 +118,7 @@
     deadline: int
     payload: Any
     query_name: str
-    ask: int = 0  # the handle of its ask
+    ask: int = 0  # handle of the ask that it belongs to
 
 
 @dataclass(slots=True, frozen=True)
@@ -129,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopAttempt:
-    """Stop waiting for an attempt; its ``AttemptEnded`` is still owed."""
+    """Stop waiting for an attempt; its ``AttemptEnded`` must still be reported."""
 
     part: int
     attempt: int
@@ -137,9 +139,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Withdraw:
-    """Drop an attempt unless all of it was sent; one that was goes on. Its ``AttemptEnded`` is still owed.
+    """Drop an attempt that is not yet sent in full; one that is sent in full continues.
 
-    Unlike ``StopAttempt`` it is no choice of the module's: the part is in, or its query is over.
+    Its ``AttemptEnded`` must still be reported. Unlike ``StopAttempt`` this is not the decision module's
+    choice: the part already has a result, or its query is over.
     """
 
     part: int
@@ -148,7 +151,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeSendDeadline:
-    """No attempt for this node, which drains or is gone, begins to leave after ``at``."""
+    """No attempt may start to be sent to this node, which drains or is gone, after ``at``."""
 
     node: NodeId
     at: int
@@ -156,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finish:
-    """The one final answer. ``bodies`` are those of the parts that are in, as (step, shard, body)."""
+    """The one final answer. ``bodies`` holds the results of received parts, as (step, shard, body)."""
 
     handle: int
     verdict: Verdict
@@ -172,14 +175,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """A line for on-call staff from the module."""
+    """A log line for operators, written by the decision module."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class Breach:
-    """A broken contract between driver and module, made harmless; ``name`` is one of a fixed few."""
+    """A violated contract between driver and module, without effect; ``name`` is one of a fixed set."""
 
     name: str
     detail: str
@@ -187,7 +190,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RefreshMembership:
-    """The module wants the list of holders read anew."""
+    """Read the list of holders again, as the decision module requests."""
 
 
 Order = StartCall | StopAttempt | Withdraw | NodeSendDeadline | Finish | LogLine | Breach | RefreshMembership
--- a/quincepath/shards/__init__.py
+++ b/quincepath/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Which shards a query touches and which holders have them."""
+"""Which shards a query touches, and which holders serve them."""
--- a/tests/fleet/distribution/inside.py
+++ b/tests/fleet/distribution/inside.py
@@ -155,7 +155,7 @@
 
     def nodes(self, name: str) -> set[str]:
         """Of a broker's list: those that are in service."""
-        facts = self.brokers[name].holders.source.state.facts.values()
+        facts = self.brokers[name].holders.source.state.holders.values()
         return {fact.name for fact in facts if fact.phase.name == "READY"}
 
     def weights(self, name: str) -> dict[str, float]:
--- a/tests/fleet/distribution/test_nodes.py
+++ b/tests/fleet/distribution/test_nodes.py
@@ -25,9 +25,9 @@
 
     compared = 0
 
-    def _differ(self, *words: object) -> None:
+    def _add_change(self, *words: object) -> None:
         self.compared += 1
-        super()._differ(*words)  # type: ignore[arg-type]
+        super()._add_change(*words)  # type: ignore[arg-type]
 
 
 def test_one_change_of_twelve_thousand_nodes_touches_one() -> None:
@@ -40,7 +40,7 @@
     news, changes = state.apply_delta([], [fact(8).node])
     assert state.compared == 1 and news is not None
     assert [(entry.node, entry.phase) for entry in news.entries] == [(fact(8).node, Phase.GONE)]
-    assert len(state.facts) == ALL - 1
+    assert len(state.holders) == ALL - 1
 
 
 def test_a_delta_leads_to_another_list_than_the_whole() -> None:
@@ -57,7 +57,7 @@
         assert news is not None
         return {entry.node: entry for entry in news.entries}
 
-    assert parts.facts == whole.facts and by_node(told_by_parts) == by_node(told)
+    assert parts.holders == whole.holders and by_node(told_by_parts) == by_node(told)
 
 
 def test_a_delta_that_changes_nothing_is_told() -> None:
@@ -69,7 +69,7 @@
 
 
 def test_a_delta_before_a_whole_list_is_taken() -> None:
-    with pytest.raises(AssertionError, match="before a whole one"):
+    with pytest.raises(AssertionError, match="before the first complete list"):
         MembershipState().apply_delta([fact(1)], [])
 
 
@@ -93,7 +93,7 @@
 
 
 def names(found: MembershipSource) -> set[str]:
-    return {one.name for one in found.state.facts.values()}
+    return {one.name for one in found.state.holders.values()}
 
 
 def test_the_file_s_nodes_stay_beside_the_distributed_ones(tmp_path: Path) -> None:
@@ -150,5 +150,5 @@
     news, _, _ = found.poll(force=True)
     assert news is not None and [entry.phase for entry in news.entries] == [Phase.DRAINING]
     found.distribute(holders("a1", "a5"))
-    phases = {one.name: one.phase for one in found.state.facts.values()}
+    phases = {one.name: one.phase for one in found.state.holders.values()}
     assert phases == {"a1": Phase.DRAINING, "a5": Phase.READY, "b2": Phase.READY, "c3": Phase.READY}
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -118,7 +118,7 @@
     assert news is not None and news.scope is Scope.DELTA
     assert [entry.phase for entry in news.entries] == [Phase.DRAINING, Phase.GONE]
     assert [(change.name, change.description) for change in changes] == [
-        ("a", "ready -> draining"), ("b", "gone from the list"),
+        ("a", "ready -> draining"), ("b", "removed from the list"),
     ]  # fmt: skip
     assert state.address(fact("b", port=81).node) is None
 
@@ -128,7 +128,7 @@
     state.apply_list([fact("a", since=50_000_000_000)])
     assert state.apply_list([fact("a", since=50_400_000_000)]) == (None, [])
     news, changes = state.apply_list([fact("a", since=60_000_000_000)])
-    assert news is not None and changes[0].description == "started anew"
+    assert news is not None and changes[0].description == "restarted"
 
 
 ROSTER = """\
@@ -147,15 +147,15 @@
     loop = Loop()
     broker = Broker(load(tmp_path / "b.yaml", Config), loop, tmp_path)
     loop.turn(0)
-    assert len(broker.holders.source.state.facts) == 2
+    assert len(broker.holders.source.state.holders) == 2
     for broken in ("version: [", ROSTER.replace("[s1]", "[s7]"), ROSTER.replace("holders", "holder")):
         (tmp_path / "r.yaml").write_text(broken)
         broker.read_list(force=True)
-        assert len(broker.holders.source.state.facts) == 2 and broker.holders.source.errors
+        assert len(broker.holders.source.state.holders) == 2 and broker.holders.source.errors
     assert broker.holders.source.errors == 3
     (tmp_path / "r.yaml").write_text(ROSTER.replace("shards: [s1]", "shards: [s1], phase: draining"))
     broker.read_list()
-    phases = [fact.phase for fact in broker.holders.source.state.facts.values()]
+    phases = [fact.phase for fact in broker.holders.source.state.holders.values()]
     assert phases == [Phase.READY, Phase.DRAINING]
     broker.close()
     loop.close()
