--- a/tests/conformance/run_design.py
+++ b/tests/conformance/run_design.py
@@ -35,7 +35,7 @@
 from tests.conformance.runner import runner
 from tests.helpers import MS, SECOND, START, of_type, query_class, settings
 from tests.helpers import Broker as Feeder
-from tests.world import ask, values
+from tests.world import config_values, read_request
 
 SEEDS, ON_SOCKETS = 40, 6
 Sent = list[str]
@@ -180,7 +180,7 @@
             leaf.kept = []
         self.broker: Broker | None = None
         self.only(set())
-        config = values(roster="roster.yaml", broker={"seed": seed}, limits={"batch": case.batch})
+        config = config_values(roster="roster.yaml", broker={"seed": seed}, limits={"batch": case.batch})
         config["shards"]["map"] = [
             {"name": shard, "set": group, "values": [self.values[shard]]} for shard, group in shards
         ]
@@ -218,7 +218,7 @@
             chosen.append(self.values[f"{name}-{seen.get(name, 0)}"])
             seen[name] = seen.get(name, 0) + 1
         metric = ("fleet-glance", "hours-report")[kind]
-        request = ask(metric, "|".join(one.replace(".", r"\.") for one in chosen))
+        request = read_request(metric, "|".join(one.replace(".", r"\.") for one in chosen))
         plan = QueryPlan(metric, [], encode(request), request, 120 * SECOND)
         name = f"q{self.asked}"
         self.client.ask(name, plan, lambda seen: self.ends.append(name))
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -11,7 +11,7 @@
 from quincepath.config.schema import Config
 from quincepath.lab.load import Client, Seen
 from quincepath.standins.data import BEGIN_MS
-from tests.world import World, values
+from tests.world import World, config_values
 
 WAITS = 120.0  # seconds of virtual time that something may take at most
 
@@ -40,7 +40,7 @@
                 "name": "orchard", "member": peer["name"], "port": int(peer["address"].rpartition(":")[2]),
                 "peers": peers, "ledger": {}, "overload": {}, **(fleet or {}),
             }  # fmt: skip
-            config = {"holders": holders, **values(**more), "fleet": section}
+            config = {"holders": holders, **config_values(**more), "fleet": section}
             config["broker"] = {"seed": 5 + number, "number": number, "brokers": count}
             self.brokers.append(Broker(Config.model_validate(config), self.loop, folder))
             self.clients.append(Client(self.loop, self.brokers[-1].url))
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -26,7 +26,7 @@
 from quincepath.standins.data import BEGIN_MS, END_MS, Store
 from quincepath.standins.leaf import parts_of
 from tests.standins.platform import configuration
-from tests.world import values
+from tests.world import config_values
 
 ROOT = Path(__file__).parent.parent
 LIMITS = Limits(headers=4096, body=1 << 16)
@@ -42,7 +42,10 @@
 
 
 CONFIG = Config.model_validate(
-    {"holders": [{"name": "a0", "url": "http://127.0.0.1:9/api/v1/read", "shards": ["s0"]}], **values()}
+    {
+        "holders": [{"name": "a0", "url": "http://127.0.0.1:9/api/v1/read", "shards": ["s0"]}],
+        **config_values(),
+    }
 )
 FRONT = RemoteReadFront(
     CONFIG, ShardMap("district", [(e.name, e.set or e.name, e.values) for e in CONFIG.shards.map], False)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -20,7 +20,7 @@
 from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
 from quincepath.standins.data import BEGIN_MS, END_MS
 from quincepath.standins.leaf import Leaf, Service
-from tests.world import MS, SECOND, World, answer, as_dict, ask, mark
+from tests.world import MS, SECOND, World, answer, as_dict, completeness, read_request
 
 
 @pytest.fixture
@@ -88,7 +88,7 @@
     world.faults("a0" if fault in ("reset", "cut") else "a0 b0 c0", fault=fault)
     ends = [world.ask(world.plan())[0] for _ in range(6)]
     for seen in ends:
-        assert mark(seen) == ("whole", "6/6")  # three shards, two steps
+        assert completeness(seen) == ("whole", "6/6")  # three shards, two steps
         assert as_dict(answer(seen)) == as_dict(whole)
     outcomes = {
         "hang": {"cancelled"}, "silence": {"cancelled"}, "trickle": {"cancelled"}, "reset": {"reset"},
@@ -112,7 +112,7 @@
     assert report.status == 503 and b"asking again is harmless" in report.response.body
     assert int(report.response.headers["retry-after"]) >= 1
     assert report.took <= 2 * SECOND
-    assert mark(glance) == ("whole", "2/3")
+    assert completeness(glance) == ("whole", "2/3")
     districts = {dict(labels)["district"] for labels in as_dict(answer(glance))}
     assert districts == {"river.example.org", "south.example.org"}
 
@@ -123,7 +123,7 @@
     old = world.leaves["a0"]
     old.close(reset=True)
     for _ in range(5):
-        assert mark(world.ask(world.plan())[0])[0] == "whole"
+        assert completeness(world.ask(world.plan())[0])[0] == "whole"
     cold = Service(work=2 * MS, cold=0.2, ramp=SECOND)
     world.leaves["a0"] = Leaf(world.loop, "a0", old.store, cold, port=old.port)
     entry = Entry(_node(old.port), 0, 0, 0, world.loop.at, Phase.READY, 1.0)
@@ -133,7 +133,7 @@
     while world.loop.at < began + 1500 * MS:
         before = world.leaves["a0"].requests
         ends = world.ask(*[world.plan(pattern="north.*") for _ in range(8)])
-        assert {mark(seen)[0] for seen in ends if seen.status == 200} <= {"whole"}
+        assert {completeness(seen)[0] for seen in ends if seen.status == 200} <= {"whole"}
         sent += [world.loop.at - began] * (world.leaves["a0"].requests - before)
     first = [at for at in sent if at < 250 * MS]
     able = 2.0 * 0.3 * 250 * MS / (2 * MS) * 2  # multiple, mean warmth, two cores: parts in a window
@@ -160,7 +160,7 @@
     assert done[0].status == 200
     before = world.leaves["a0"].requests
     for _ in range(10):
-        assert mark(world.ask(world.plan(pattern="north.*"))[0])[0] == "whole"
+        assert completeness(world.ask(world.plan(pattern="north.*"))[0])[0] == "whole"
     assert world.leaves["a0"].requests == before
 
 
@@ -168,7 +168,7 @@
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     raw = Raw(world)
-    raw.stream.write(post(encode(ask())))
+    raw.stream.write(post(encode(read_request())))
     world.until(lambda: sum(leaf.requests for leaf in world.leaves.values()) == 3)
     raw.stream.close()
     world.until(lambda: not world.broker.clients.open and not world.broker.driver.tracked_count())
@@ -181,7 +181,11 @@
 def test_pipelined_requests_are_answered_in_order_and_each_once(make: Any) -> None:
     world = make()
     raw = Raw(world)
-    raw.stream.write(post(encode(ask("hours-report"))) + post(encode(ask("fleet-glance"))) + post(b"junk"))
+    raw.stream.write(
+        post(encode(read_request("hours-report")))
+        + post(encode(read_request("fleet-glance")))
+        + post(b"junk")
+    )
     world.until(lambda: len(raw.got) == 3)
     names = [
         {dict(labels)["__name__"] for labels in as_dict(decode_response(b, 1 << 20))} for _, b in raw.got[:2]
@@ -196,11 +200,11 @@
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     raw = Raw(world)
-    raw.stream.write(post(encode(ask())) * 40)
+    raw.stream.write(post(encode(read_request())) * 40)
     world.until(lambda: sum(leaf.requests for leaf in world.leaves.values()) == 3)
     peer = next(iter(world.broker.server.peers))
     assert len(peer.reader.done) == 39  # one chunk at most
-    raw.stream.write(post(encode(ask())) * 40)
+    raw.stream.write(post(encode(read_request())) * 40)
     world.run(0.05)
     assert len(peer.reader.done) == 39 and peer.reader.dropped  # then no more
     world.faults("a0 a1 b0 b1 c0 c1")
@@ -212,7 +216,7 @@
 def test_slow_sender_is_told_and_closed(make: Any) -> None:
     world = make(listen={"request_timeout": "2s"})
     raw = Raw(world)
-    raw.stream.write(post(encode(ask()))[:-5])
+    raw.stream.write(post(encode(read_request()))[:-5])
     world.until(lambda: bool(raw.closed))
     assert raw.got == [(408, b"the request did not arrive in time\n")]
 
@@ -223,7 +227,7 @@
         leaf.store = _Big(4_000_000)
     raw = Raw(world)
     raw.stream.pause()
-    raw.stream.write(post(encode(ask())))
+    raw.stream.write(post(encode(read_request())))
     world.until(lambda: not world.broker.clients.open and world.broker.server.peers != {}, longest=5)
     world.until(lambda: world.broker.server.counts["slow_readers"] == 1)
     assert not world.broker.server.peers
@@ -254,7 +258,7 @@
         leaf.store = _Big(51_000_000)
     seen = world.ask(world.plan("hours-report", "north.*", start=END_MS - 60_000))[0]
     assert seen.response is not None and len(seen.response.body) > 50_000_000
-    assert mark(seen) == ("whole", "1/1")
+    assert completeness(seen) == ("whole", "1/1")
 
 
 def test_answers_over_the_merged_limit_fail_and_say_so(make: Any) -> None:
@@ -285,12 +289,12 @@
         raw.stream.write(head)
         world.until(lambda raw=raw: bool(raw.closed))
         assert raw.got[0][0] == status
-    assert mark(world.ask(world.plan())[0])[0] == "whole"
+    assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
 def test_chunked_requests_and_expect_continue(make: Any) -> None:
     world = make()
-    body = encode(ask())
+    body = encode(read_request())
     head = "POST /api/v1/read HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
     head += "".join(f"{name}: {value}\r\n" for name, value in HEADERS.items()) + "\r\n"
     raw = Raw(world)
@@ -314,7 +318,7 @@
         turns = world.loop.turns
         world.run(10)
         assert world.loop.turns - turns < 1000  # no busy waiting: sweeps and polls of ten seconds only
-        assert mark(world.ask(world.plan())[0])[0] == "whole"
+        assert completeness(world.ask(world.plan())[0])[0] == "whole"
         world.run(60)
         assert len(world.broker.server.peers) <= 1  # idle ones are closed in their time
         for sock in idle:
@@ -362,7 +366,7 @@
         sock.connect_ex(("127.0.0.1", old.port))
         fillers.append(sock)
     for _ in range(6):
-        assert mark(world.ask(world.plan(pattern="north.*"))[0])[0] == "whole"
+        assert completeness(world.ask(world.plan(pattern="north.*"))[0])[0] == "whole"
     kinds = {
         sample.labels["outcome"]
         for metric in world.broker.metrics.attempts.collect()
@@ -390,7 +394,7 @@
     exchange.respond(200, HEADERS, body)  # the bytes are in the broker's socket now ...
     world.loop.at = query.deadline - 1  # ... when its turn comes, at the end of the client's time
     world.until(lambda: bool(done))
-    assert done[0].status == 200 and mark(done[0]) == ("whole", "1/1")
+    assert done[0].status == 200 and completeness(done[0]) == ("whole", "1/1")
 
 
 def _request_of(body: bytes) -> ReadRequest:
@@ -403,14 +407,14 @@
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     raws = [Raw(world) for _ in range(3)]
     for raw in raws:
-        raw.stream.write(post(encode(ask())))
+        raw.stream.write(post(encode(read_request())))
     world.until(lambda: len(world.broker.clients.open) == 3)
     world.loop.at += 2 * SECOND + 500 * MS  # stopped and continued: the clock has stepped past the deadline
     world.until(lambda: all(raw.got for raw in raws))
     world.run(3)
     assert [len(raw.got) for raw in raws] == [1, 1, 1]
     world.faults("a0 a1 b0 b1 c0 c1")
-    assert mark(world.ask(world.plan())[0])[0] == "whole"
+    assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
 def test_late_answers_after_a_cancel_reach_nobody(make: Any) -> None:
@@ -419,7 +423,7 @@
         world.ask(world.plan())
     world.faults("a0 b0 c0", fault="late", late_ms=1500)
     ends = [world.ask(world.plan())[0] for _ in range(4)]
-    assert [mark(seen)[0] for seen in ends] == ["whole"] * 4
+    assert [completeness(seen)[0] for seen in ends] == ["whole"] * 4
     world.run(5)
     assert not world.broker.driver.tracked_count() and not world.broker.upstream.attempts
 
@@ -452,22 +456,22 @@
 
 def test_several_queries_in_one_request_get_one_answer_in_their_order(make: Any) -> None:
     world = make()
-    request = ask("hours-report", "north.*")
-    request.queries.extend(ask("fleet-glance", "river.*").queries)
-    request.queries.extend(ask("hours-report", "nowhere").queries)
+    request = read_request("hours-report", "north.*")
+    request.queries.extend(read_request("fleet-glance", "river.*").queries)
+    request.queries.extend(read_request("hours-report", "nowhere").queries)
     plan = world.plan()
     seen = world.ask(type(plan)("hours-report", [], encode(request), request, 2 * SECOND))[0]
     response = answer(seen)
     found = [{dict(labels)["district"] for labels in as_dict(response, i)} for i in range(3)]
     assert found == [{"north.example.org"}, {"river.example.org"}, set()]
     # The strictest class holds for the whole request: both shards are needed.
-    assert mark(seen) == ("whole", "4/4")
+    assert completeness(seen) == ("whole", "4/4")
 
 
 def test_matcher_that_touches_no_shard_is_answered_empty_without_a_part(make: Any) -> None:
     world = make()
     seen = world.ask(world.plan(pattern="atlantis"))[0]
-    assert mark(seen) == ("whole", "0/0") and as_dict(answer(seen)) == {}
+    assert completeness(seen) == ("whole", "0/0") and as_dict(answer(seen)) == {}
     assert sum(leaf.requests for leaf in world.leaves.values()) == 0
 
 
@@ -489,9 +493,9 @@
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     raw = Raw(world)
     began = world.loop.at
-    raw.stream.write(post(encode(ask()), **{"X-Quincepath-Timeout": "300ms"}))
+    raw.stream.write(post(encode(read_request()), **{"X-Quincepath-Timeout": "300ms"}))
     raw2 = Raw(world)
-    raw2.stream.write(post(encode(ask()), **{"X-Quincepath-Timeout": "soon"}))
+    raw2.stream.write(post(encode(read_request()), **{"X-Quincepath-Timeout": "soon"}))
     world.until(lambda: bool(raw.got) and bool(raw2.got))
     assert raw.got[0][0] == 503 and world.loop.at - began <= 300 * MS
     assert raw2.got[0][0] == 400 and b"expected a duration" in raw2.got[0][1]
@@ -528,7 +532,7 @@
         for peer in list(world.leaves[name].server.peers):
             peer.stream.close(reset=True)
     # Before the broker's loop has seen that the idle connection is gone:
-    fetch = PartFetch(((0, ask().queries[0]),))
+    fetch = PartFetch(((0, read_request().queries[0]),))
     until = world.loop.at + SECOND
     order = AttemptOrder(901, 0, 0, 1, until, until, until, fetch, "x")
     ended: list[AttemptEnded] = []
@@ -549,7 +553,7 @@
     monkeypatch.setattr(world.broker.clients.front, "read", broken)
     assert world.ask(world.plan())[0].status == 500
     monkeypatch.undo()
-    assert mark(world.ask(world.plan())[0])[0] == "whole"
+    assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
 def test_no_descriptor_for_a_holder_ends_the_attempt_not_the_broker(
@@ -565,16 +569,16 @@
     monkeypatch.setattr("quincepath.upstream.pool.socket.socket", none_left)
     assert world.ask(world.plan())[0].status == 503
     monkeypatch.undo()
-    assert mark(world.ask(world.plan())[0])[0] == "whole"
+    assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
 def test_a_client_that_takes_streamed_answers_only_is_told_before_anything_is_sent(make: Any) -> None:
     world = make()
-    request = ask()
+    request = read_request()
     request.accepted_response_types.append(ReadRequest.STREAMED_XOR_CHUNKS)
     plan = world.plan()
     seen = world.ask(type(plan)("hours-report", [], encode(request), request, 2 * SECOND))[0]
     assert seen.status == 415 and sum(leaf.requests for leaf in world.leaves.values()) == 0
     request.accepted_response_types.append(ReadRequest.SAMPLES)  # the second choice will do
     seen = world.ask(type(plan)("hours-report", [], encode(request), request, 2 * SECOND))[0]
-    assert mark(seen)[0] == "whole"
+    assert completeness(seen)[0] == "whole"
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -28,7 +28,7 @@
 from quincepath.standins.data import END_MS
 from quincepath.standins.leaf import HEAVY, INCIDENT, POISON, Faults, Service
 from quincepath.standins.record import Ask, Halt, Line, Mark, Told, read
-from tests.world import MS, SECOND, World, ask
+from tests.world import MS, SECOND, World, read_request
 
 ROOT = Path(__file__).parent.parent
 SCRIPT = """\
@@ -291,7 +291,7 @@
 
 
 def mixes() -> list[Mix]:
-    matchers = tuple(ask("hours-report").queries[0].matchers)
+    matchers = tuple(read_request("hours-report").queries[0].matchers)
     return [Mix("reports", 1.0, matchers, END_MS - 60_000, END_MS, 2 * SECOND)]
 
 
--- a/tests/test_union.py
+++ b/tests/test_union.py
@@ -8,7 +8,7 @@
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest
 from quincepath.lab.load import QueryPlan
 from quincepath.standins.data import BEGIN_MS, END_MS
-from tests.world import SECOND, SHARDS, Pairs, World, answer, as_dict, mark
+from tests.world import SECOND, SHARDS, SamplesByLabels, World, answer, as_dict, completeness
 
 QUERIES = 500
 DISTRICTS = [district for _, district in SHARDS.values()]
@@ -33,11 +33,11 @@
     return request
 
 
-def holders_own(world: World, request: ReadRequest, index: int) -> Pairs:
+def holders_own(world: World, request: ReadRequest, index: int) -> SamplesByLabels:
     """Each holder asked directly, without the broker's code: the union of what they say."""
     single = ReadRequest()
     single.queries.append(request.queries[index])
-    found: Pairs = {}
+    found: SamplesByLabels = {}
     for leaf in world.leaves.values():
         own = leaf.store.read(decode(encode(single)))
         for labels, samples in as_dict(own).items():
@@ -60,7 +60,7 @@
         plans = [QueryPlan("hours-report", [], encode(r), r, 2 * SECOND) for r in requests]
         for request, seen in zip(requests, world.ask(*plans), strict=True):
             response = answer(seen)
-            assert mark(seen)[0] == "whole"
+            assert completeness(seen)[0] == "whole"
             assert len(response.results) == len(request.queries)
             for index in range(len(request.queries)):
                 own = holders_own(world, request, index)
--- a/tests/world.py
+++ b/tests/world.py
@@ -29,7 +29,7 @@
 ONE_PER_SET = {name: district for name, (_, district) in SHARDS.items()}
 
 
-def values(**more: Any) -> dict[str, Any]:
+def config_values(**more: Any) -> dict[str, Any]:
     """A configuration without holders; ``more`` replaces or adds top-level keys."""
     return {
         "broker": {"seed": 5},
@@ -72,7 +72,7 @@
                 leaf = Leaf(self.loop, group + number, store, self.service, writer)
                 self.leaves[leaf.name] = leaf
         holders = [self.entry(name) for name in self.leaves]
-        self.config = Config.model_validate({"holders": holders, **values(**more)})
+        self.config = Config.model_validate({"holders": holders, **config_values(**more)})
         self.broker = Broker(self.config, self.loop, folder or Path(), make_module)
         self.client = Client(self.loop, self.broker.url)
         self.seen: list[Seen] = []
@@ -91,7 +91,7 @@
 
     def plan(self, kind: str = "hours-report", pattern: str = ".+", **query: Any) -> QueryPlan:
         """A query of a class over districts."""
-        request = ask(kind, pattern, **query)
+        request = read_request(kind, pattern, **query)
         return QueryPlan(kind, [], encode(request), request, 2 * SECOND)
 
     def ask(self, *plans: QueryPlan, longest: float = 20.0) -> list[Seen]:
@@ -131,7 +131,7 @@
         self.loop.close()
 
 
-def ask(
+def read_request(
     kind: str = "hours-report", pattern: str = ".+", start: int = BEGIN_MS, end: int = END_MS
 ) -> ReadRequest:
     """A request with one query."""
@@ -152,16 +152,16 @@
     return decode_response(seen.response.body, 1 << 30)
 
 
-def mark(seen: Seen) -> tuple[str, str]:
+def completeness(seen: Seen) -> tuple[str, str]:
     """The honest mark: whole or partial, and parts in of asked."""
     assert seen.response is not None
     return seen.response.headers["quincepath-answer"], seen.response.headers["quincepath-parts"]
 
 
-Pairs = dict[tuple[tuple[str, str], ...], dict[int, float]]
+SamplesByLabels = dict[tuple[tuple[str, str], ...], dict[int, float]]
 
 
-def as_dict(response: ReadResponse, index: int = 0) -> Pairs:
+def as_dict(response: ReadResponse, index: int = 0) -> SamplesByLabels:
     """One result as plain values: samples by time, by labels."""
     return {
         tuple((label.name, label.value) for label in series.labels): {
