--- a/tests/test_driver_send_deadlines.py
+++ b/tests/test_driver_send_deadlines.py
@@ -1,4 +1,4 @@
-"""Until when the driver lets an attempt leave, and what it takes back; an overstepping module is harmless."""
+"""Send deadlines of attempts, their withdrawal, and sends that the module may not make."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
     Withdraw,
 )
 from tests.helpers import MS, SECOND, START, entry, node_id, query_class
-from tests.test_driver import GRACE, Rig, finish, send
+from tests.test_driver import GRACE, DriverHarness, finish, send
 
 WINDOW = 400 * MS
 KEYED = query_class(effect=Effect.KEYED, window=WINDOW)
@@ -31,26 +31,26 @@
 
 
 def times(orders: list[Order]) -> tuple[int, int, int]:
-    """From the rig's start on."""
-    one = started(orders)
-    return one.send_start_by - START, one.send_complete_by - START, one.deadline - START
+    """Send start, send completion and deadline of the order, relative to the start."""
+    order = started(orders)
+    return order.send_start_by - START, order.send_complete_by - START, order.deadline - START
 
 
-def end(rig: Rig, result: Result, attempt: int = 0, after: int = 100 * MS) -> list[Order]:
-    return rig.step(AttemptEnded(2, attempt, result), after=after)
+def end(harness: DriverHarness, result: Result, attempt: int = 0, advance: int = 100 * MS) -> list[Order]:
+    return harness.step(AttemptEnded(2, attempt, result), advance=advance)
 
 
 RAN = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
 NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED]
 
 
-def rig_of(spec: Any, duplicate: bool = True) -> Rig:
-    rig = Rig(classes=(spec,), limits={"duplicate": duplicate, "attempts": 9})
-    rig.ask()
-    return rig
+def harness_of(spec: Any, duplicate: bool = True) -> DriverHarness:
+    harness = DriverHarness(classes=(spec,), limits={"duplicate": duplicate, "attempts": 9})
+    harness.ask()
+    return harness
 
 
-# --- a resend that the class does not allow never leaves ---
+# --- resends that the class does not allow are dropped ---
 
 
 @pytest.mark.parametrize("result", RAN)
@@ -58,165 +58,165 @@
     (KEYED, WINDOW + 1, "send_past_window"), (KEYED, WINDOW, ""),
     (UNSAFE, 100 * MS, "send_may_run_twice"), (query_class(), WINDOW + 1, ""),
 ])  # fmt: skip
-def test_a_part_that_may_have_run_is_sent_again_only_as_its_class_allows(
+def test_part_that_may_have_run_is_resent_only_as_its_class_allows(
     spec: Any, after: int, name: str, result: Result
 ) -> None:
-    rig = rig_of(spec)
-    send(rig)
-    end(rig, result, after=after)
-    orders = send(rig, node=2)
-    assert rig.breaches(orders) == ([name] if name else [])
+    harness = harness_of(spec)
+    send(harness)
+    end(harness, result, advance=after)
+    orders = send(harness, node=2)
+    assert harness.breaches(orders) == ([name] if name else [])
     assert any(isinstance(order, StartCall) for order in orders) == (not name)
     if name:
-        rig.step()
-        told = rig.module.batches[-1][0]
-        assert isinstance(told, Outcome) and told.result is Result.MOOT
+        harness.step()
+        outcome = harness.module.batches[-1][0]
+        assert isinstance(outcome, Outcome) and outcome.result is Result.MOOT
 
 
 @pytest.mark.parametrize("spec", [KEYED, UNSAFE])
 @pytest.mark.parametrize("result", NEVER_RAN)
-def test_what_is_proved_never_to_have_run_binds_nothing(spec: Any, result: Result) -> None:
-    rig = rig_of(spec)
-    send(rig)
-    end(rig, result, after=WINDOW + 1)
-    assert times(send(rig, node=2))[1] == 2 * SECOND
-
-
-def test_a_second_copy_beside_an_unsafe_part_that_is_out_never_leaves() -> None:
-    rig = rig_of(UNSAFE)
-    send(rig)
-    assert rig.breaches(send(rig, node=2)) == ["send_may_run_twice"]
-
-
-def test_a_breach_made_harmless_proves_itself_unrun() -> None:
-    rig = rig_of(UNSAFE)
-    assert rig.breaches(send(rig, node=9)) == ["send_to_unlisted"]
-    assert started(send(rig)).attempt == 1
-
-
-def test_the_window_runs_from_the_first_attempt_that_may_have_run() -> None:
-    rig = rig_of(KEYED)
-    send(rig)
-    end(rig, Result.CONNECT_FAILED)
-    assert times(send(rig)) == (2 * SECOND,) * 3
-    end(rig, Result.TIMEOUT, 1)
-    rig.step(after=50 * MS)
-    assert times(send(rig, node=2))[:2] == (100 * MS + WINDOW,) * 2
-    end(rig, Result.TIMEOUT, 2, after=0)
-    assert times(send(rig, node=2))[:2] == (100 * MS + WINDOW,) * 2, "and not from its resend"
+def test_attempt_proved_not_to_have_run_sets_no_limit(spec: Any, result: Result) -> None:
+    harness = harness_of(spec)
+    send(harness)
+    end(harness, result, advance=WINDOW + 1)
+    assert times(send(harness, node=2))[1] == 2 * SECOND
+
+
+def test_duplicate_of_an_open_unsafe_attempt_is_dropped() -> None:
+    harness = harness_of(UNSAFE)
+    send(harness)
+    assert harness.breaches(send(harness, node=2)) == ["send_may_run_twice"]
+
+
+def test_dropped_send_counts_as_not_run() -> None:
+    harness = harness_of(UNSAFE)
+    assert harness.breaches(send(harness, node=9)) == ["send_to_unlisted"]
+    assert started(send(harness)).attempt == 1
+
+
+def test_window_starts_at_the_first_attempt_that_may_have_run() -> None:
+    harness = harness_of(KEYED)
+    send(harness)
+    end(harness, Result.CONNECT_FAILED)
+    assert times(send(harness)) == (2 * SECOND,) * 3
+    end(harness, Result.TIMEOUT, 1)
+    harness.step(advance=50 * MS)
+    assert times(send(harness, node=2))[:2] == (100 * MS + WINDOW,) * 2
+    end(harness, Result.TIMEOUT, 2, advance=0)
+    assert times(send(harness, node=2))[:2] == (100 * MS + WINDOW,) * 2, (
+        "the window starts at the first attempt, not at its resend"
+    )
 
 
-def test_a_copy_beside_one_that_is_out_is_bound_by_the_window_too() -> None:
-    rig = rig_of(KEYED)
-    send(rig)
-    rig.step(after=10 * MS)
-    assert times(send(rig, node=2)) == (WINDOW, WINDOW, 2 * SECOND)
+def test_duplicate_of_an_open_attempt_is_limited_by_the_window() -> None:
+    harness = harness_of(KEYED)
+    send(harness)
+    harness.step(advance=10 * MS)
+    assert times(send(harness, node=2)) == (WINDOW, WINDOW, 2 * SECOND)
 
 
 @pytest.mark.parametrize(
     ("result", "promised"), [*((r, False) for r in RAN), *((r, True) for r in NEVER_RAN)]
 )
-def test_a_query_that_may_have_run_and_must_not_twice_is_never_refused(
-    result: Result, promised: bool
-) -> None:
-    rig = rig_of(UNSAFE)
-    send(rig)
-    orders = rig.step(AttemptEnded(2, 0, result), say=[Refuse(1, SECOND)], after=MS)
-    assert rig.breaches(orders) == ([] if promised else ["refuse_may_have_run"])
+def test_unsafe_query_that_may_have_run_is_never_refused(result: Result, promised: bool) -> None:
+    harness = harness_of(UNSAFE)
+    send(harness)
+    orders = harness.step(AttemptEnded(2, 0, result), actions=[Refuse(1, SECOND)], advance=MS)
+    assert harness.breaches(orders) == ([] if promised else ["refuse_may_have_run"])
     assert finish(orders).verdict is (Verdict.REFUSED if promised else Verdict.FAILED)
 
 
-def test_a_query_with_an_unsafe_part_still_out_is_never_refused_but_what_is_sent_with_it_has_not_left() -> (
-    None
-):
-    rig = rig_of(UNSAFE)
-    rig.module.next = [Send(2, node_id(1), 0), Refuse(1, 0)]
+def test_unsafe_query_is_refused_only_if_its_send_is_still_in_the_batch() -> None:
+    harness = harness_of(UNSAFE)
+    harness.module.next_actions = [Send(2, node_id(1), 0), Refuse(1, 0)]
     assert (
-        finish(rig.driver.step(rig.now, [MembershipUpdate(Members(Scope.DELTA, 2, ()))])).verdict
+        finish(harness.driver.step(harness.now, [MembershipUpdate(Members(Scope.DELTA, 2, ()))])).verdict
         is Verdict.REFUSED
     )
-    rig = rig_of(UNSAFE)
-    send(rig)
-    orders = rig.step(MembershipUpdate(Members(Scope.DELTA, 2, ())), say=[Refuse(1, 0)])
+    harness = harness_of(UNSAFE)
+    send(harness)
+    orders = harness.step(MembershipUpdate(Members(Scope.DELTA, 2, ())), actions=[Refuse(1, 0)])
     assert finish(orders).verdict is Verdict.FAILED
 
 
-# --- until when it may leave ---
+# --- time limits of sends ---
 
 
-def test_an_order_leaves_within_the_grace_and_its_wait() -> None:
-    rig = rig_of(query_class())
-    rig.step(after=20 * MS)
-    rig.news(entry(1, 0, Phase.DRAINING))
-    assert times(send(rig)) == (20 * MS + GRACE, 2 * SECOND, 2 * SECOND)
-    rig.news(entry(1, 0, Phase.GONE))
-    short = rig.step(AttemptEnded(2, 0, Result.ERROR), say=[Send(2, node_id(1), 30 * MS)], after=GRACE - MS)
-    assert times(short) == (20 * MS + GRACE, GRACE + 49 * MS, GRACE + 49 * MS)
+def test_order_is_limited_by_drain_grace_and_timeout() -> None:
+    harness = harness_of(query_class())
+    harness.step(advance=20 * MS)
+    harness.update(entry(1, 0, Phase.DRAINING))
+    assert times(send(harness)) == (20 * MS + GRACE, 2 * SECOND, 2 * SECOND)
+    harness.update(entry(1, 0, Phase.GONE))
+    limited = harness.step(
+        AttemptEnded(2, 0, Result.ERROR), actions=[Send(2, node_id(1), 30 * MS)], advance=GRACE - MS
+    )
+    assert times(limited) == (20 * MS + GRACE, GRACE + 49 * MS, GRACE + 49 * MS)
 
 
-NEWS: dict[str, Callable[[Rig], list[Order]]] = {
-    "drains": lambda rig: rig.news(entry(1, 0, Phase.DRAINING)),
-    "gone": lambda rig: rig.news(entry(1, 0, Phase.GONE)),
-    "left out": lambda rig: rig.news(entry(2, 0), entry(3, 1), scope=Scope.FULL),
+UPDATES: dict[str, Callable[[DriverHarness], list[Order]]] = {
+    "drains": lambda harness: harness.update(entry(1, 0, Phase.DRAINING)),
+    "gone": lambda harness: harness.update(entry(1, 0, Phase.GONE)),
+    "left out": lambda harness: harness.update(entry(2, 0), entry(3, 1), scope=Scope.FULL),
 }
 
 
-@pytest.mark.parametrize("first", NEWS)
-def test_news_of_a_node_bounds_what_waits_for_it_once(first: str) -> None:
-    rig = rig_of(query_class())
-    send(rig)
-    rig.step(after=20 * MS)
-    bound = NodeSendDeadline(node_id(1), START + 20 * MS + GRACE)
-    assert NEWS[first](rig) == [bound]
-    rig.step(after=GRACE - MS)
-    for again in ("drains", "left out", "gone"):  # what was told of it counts from the first time
-        assert NEWS[again](rig) == []
-    rig.step(after=2 * MS)
-    assert rig.breaches(send(rig, part=2, node=1)) == ["send_past_grace"]
+@pytest.mark.parametrize("first", UPDATES)
+def test_node_update_limits_waiting_sends_once(first: str) -> None:
+    harness = harness_of(query_class())
+    send(harness)
+    harness.step(advance=20 * MS)
+    expected = NodeSendDeadline(node_id(1), START + 20 * MS + GRACE)
+    assert UPDATES[first](harness) == [expected]
+    harness.step(advance=GRACE - MS)
+    for later in ("drains", "left out", "gone"):  # the grace counts from the first update
+        assert UPDATES[later](harness) == []
+    harness.step(advance=2 * MS)
+    assert harness.breaches(send(harness, part=2, node=1)) == ["send_past_grace"]
 
 
-# --- what is over is taken back ---
+# --- withdrawal of attempts that are no longer needed ---
 
 
-def test_a_part_that_is_in_takes_back_its_other_copy() -> None:
-    rig = rig_of(query_class())
-    send(rig)
-    send(rig, node=2)
-    assert rig.step(AttemptEnded(2, 1, Result.OK, "x")) == [Withdraw(2, 0)]
+def test_received_part_withdraws_its_other_attempt() -> None:
+    harness = harness_of(query_class())
+    send(harness)
+    send(harness, node=2)
+    assert harness.step(AttemptEnded(2, 1, Result.OK, "x")) == [Withdraw(2, 0)]
 
 
-OVER: dict[str, Callable[[Rig], list[Order]]] = {
-    "left": lambda rig: rig.step(ClientLeft(77)),
-    "refused": lambda rig: rig.step(AttemptEnded(3, 0, Result.ERROR), say=[Refuse(1, 0)]),
-    "overdue": lambda rig: rig.step(after=2 * SECOND),
+ENDINGS: dict[str, Callable[[DriverHarness], list[Order]]] = {
+    "left": lambda harness: harness.step(ClientLeft(77)),
+    "refused": lambda harness: harness.step(AttemptEnded(3, 0, Result.ERROR), actions=[Refuse(1, 0)]),
+    "overdue": lambda harness: harness.step(advance=2 * SECOND),
 }
 
 
-@pytest.mark.parametrize("how", OVER)
+@pytest.mark.parametrize("how", ENDINGS)
 @pytest.mark.parametrize("cancel", [False, True])
-def test_a_query_that_is_over_takes_back_what_is_out(how: str, cancel: bool) -> None:
-    rig = Rig(limits={"cancel": cancel})
-    rig.ask()
-    send(rig)
-    send(rig, part=3, node=3)
-    orders = OVER[how](rig)
-    kept = [Withdraw(2, 0)] if how == "refused" else [Withdraw(2, 0), Withdraw(3, 0)]
-    assert [order for order in orders if isinstance(order, Withdraw)] == kept == orders[: len(kept)]
-    rig.step(AttemptEnded(2, 0, Result.CANCELLED), AttemptEnded(3, 0, Result.CANCELLED))
-    assert rig.driver.tracked_count() == 0
-
-
-def test_an_attempt_that_ended_in_the_same_batch_is_not_taken_back() -> None:
-    rig = rig_of(query_class())
-    send(rig)
-    assert rig.step(ClientLeft(77), AttemptEnded(2, 0, Result.ERROR)) == []
-    assert isinstance(rig.module.batches[-1][0], Left)
-
-
-def test_a_send_of_the_batch_that_ends_its_query_is_not_taken_back_but_never_made() -> None:
-    rig = rig_of(query_class())
-    orders = rig.step(ClientLeft(78), AttemptEnded(9, 0, Result.OK), say=[])
+def test_ended_query_withdraws_its_open_attempts(how: str, cancel: bool) -> None:
+    harness = DriverHarness(limits={"cancel": cancel})
+    harness.ask()
+    send(harness)
+    send(harness, part=3, node=3)
+    orders = ENDINGS[how](harness)
+    withdrawn = [Withdraw(2, 0)] if how == "refused" else [Withdraw(2, 0), Withdraw(3, 0)]
+    assert [order for order in orders if isinstance(order, Withdraw)] == withdrawn == orders[: len(withdrawn)]
+    harness.step(AttemptEnded(2, 0, Result.CANCELLED), AttemptEnded(3, 0, Result.CANCELLED))
+    assert harness.driver.tracked_count() == 0
+
+
+def test_attempt_that_ended_in_the_same_batch_is_not_withdrawn() -> None:
+    harness = harness_of(query_class())
+    send(harness)
+    assert harness.step(ClientLeft(77), AttemptEnded(2, 0, Result.ERROR)) == []
+    assert isinstance(harness.module.batches[-1][0], Left)
+
+
+def test_send_in_the_batch_that_ends_its_query_is_dropped_and_not_withdrawn() -> None:
+    harness = harness_of(query_class())
+    orders = harness.step(ClientLeft(78), AttemptEnded(9, 0, Result.OK), actions=[])
     assert not [order for order in orders if isinstance(order, Withdraw)]
-    rig.module.next = [Send(2, node_id(1), 0), Refuse(1, 0)]
-    orders = rig.news(entry(3, 1))
+    harness.module.next_actions = [Send(2, node_id(1), 0), Refuse(1, 0)]
+    orders = harness.update(entry(3, 1))
     assert not [order for order in orders if isinstance(order, StartCall | Withdraw)]
--- a/tests/test_shard_versions.py
+++ b/tests/test_shard_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the shard map: checks, differences, numbers, and which are in use."""
+"""Versions of the shard map: validation, differences, shard numbers, and the versions in use."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "entries", "said"),
+    ("number", "entries", "expected"),
     [
         (2, {}, "entries: 0 shards; expected 1 to 4096"),
         (2, {"s": ["g", []]}, "entries[0].values: none; expected at least one value"),
@@ -39,23 +39,24 @@
         ),
     ],
 )
-def test_what_is_wrong_with_a_map_is_named(number: int, entries: dict[str, Any], said: str) -> None:
-    assert any(str(fault).startswith(said) for fault in map_problems(version(number, entries), OLD))
+def test_map_problems_name_place_and_expectation(number: int, entries: dict[str, Any], expected: str) -> None:
+    assert any(str(problem).startswith(expected) for problem in map_problems(version(number, entries), OLD))
 
 
-def test_a_sound_next_map_has_no_faults_and_two_names_are_told_apart() -> None:
+def test_valid_successor_has_no_problems_and_duplicate_names_are_reported() -> None:
     new = version(2, {"s1": ["g1", ["a", "b", "c"]], "s3": ["g2", ["d"]]})
     assert map_problems(new, OLD, frozenset({"e"})) == [] and map_problems(OLD) == []
-    twice = MapVersion(2, "district", (("s", "g", ("a",)), ("s", "g", ("b",))))
+    duplicate = MapVersion(2, "district", (("s", "g", ("a",)), ("s", "g", ("b",))))
     assert (
-        str(map_problems(twice)[0]) == "entries[1].name: 's'; expected a name other than that of entries[0]"
+        str(map_problems(duplicate)[0])
+        == "entries[1].name: 's'; expected a name other than that of entries[0]"
     )
     other = MapVersion(2, "zone", OLD.entries, True)
-    assert [fault.place for fault in map_problems(other, OLD)] == ["label", "unlabelled"]
+    assert [problem.place for problem in map_problems(other, OLD)] == ["label", "unlabelled"]
     assert len(map_problems(version(2, {"s": ["g", ["a"] * 500]}))) == 100
 
 
-def test_the_digest_says_what_the_map_says_and_not_its_number() -> None:
+def test_digest_depends_on_content_but_not_on_the_number() -> None:
     assert OLD.digest == MapVersion(7, OLD.label, OLD.entries, False).digest
     for other in (
         ("zone", OLD.entries, False),
@@ -65,36 +66,36 @@
         assert MapVersion(1, *other).digest != OLD.digest
 
 
-def test_what_differs() -> None:
+def test_difference_of_two_maps() -> None:
     new = version(2, {"s1": ["g1", ["a", "d"]], "s4": ["g3", ["b", "f"]], "s3": ["g2", ["c", "e"]]})
-    found = difference(OLD, new)
-    assert found.moves == (
+    diff = difference(OLD, new)
+    assert diff.moves == (
         Move("d", ("s3", "g2"), ("s1", "g1")),
         Move("b", ("s1", "g1"), ("s4", "g3")),
         Move("c", ("s2", "g1"), ("s3", "g2")),
     )
-    assert (found.added, found.lost) == (("f",), ())
-    assert found.splits == {"s1": ("s1", "s4"), "s3": ("s1", "s3")}
-    assert found.merges == {"s1": ("s1", "s3"), "s3": ("s2", "s3")}
-    assert (found.new_sets, found.gone_sets, found.numbers_kept) == (("g3",), (), False)
-    assert found.needs == {"g1": {"s1": ("d",)}, "g3": {"s4": ("b", "f")}, "g2": {"s3": ("c",)}}
-    assert found.needed_by({"h1": "g1", "h3": "g3", "h9": "g9"}) == {"h1": ("s1",), "h3": ("s4",)}
+    assert (diff.added, diff.lost) == (("f",), ())
+    assert diff.splits == {"s1": ("s1", "s4"), "s3": ("s1", "s3")}
+    assert diff.merges == {"s1": ("s1", "s3"), "s3": ("s2", "s3")}
+    assert (diff.new_sets, diff.gone_sets, diff.numbers_kept) == (("g3",), (), False)
+    assert diff.needs == {"g1": {"s1": ("d",)}, "g3": {"s4": ("b", "f")}, "g2": {"s3": ("c",)}}
+    assert diff.needed_by({"h1": "g1", "h3": "g3", "h9": "g9"}) == {"h1": ("s1",), "h3": ("s4",)}
 
 
-def test_a_split_inside_a_set_needs_nothing_of_its_holders() -> None:
-    found = difference(
+def test_split_within_a_set_needs_no_new_data_on_its_holders() -> None:
+    diff = difference(
         OLD, version(2, {"x": ["g1", ["a"]], "y": ["g1", ["b", "c"]], "s3": ["g2", ["d", "e"]]})
     )
-    assert found.needs == {} and found.numbers_kept and found.splits == {"s1": ("x", "y")}
+    assert diff.needs == {} and diff.numbers_kept and diff.splits == {"s1": ("x", "y")}
 
 
 @given(st.lists(st.sampled_from("abcdefg"), min_size=1, max_size=30))
-def test_numbers_leave_the_set_modulo_the_sets_in_every_version(groups: list[str]) -> None:
+def test_shard_number_modulo_set_count_is_the_cell_in_every_version(groups: list[str]) -> None:
     entries = {f"s{n}": [group, [f"v{n}"]] for n, group in enumerate(groups)}
-    built = version(2, entries).to_shard_map()
+    shard_map = version(2, entries).to_shard_map()
     names = list(dict.fromkeys(groups))
-    assert len(built.by_number) == len(groups)
-    for shard, group in zip(built.shards, groups, strict=True):
+    assert len(shard_map.by_number) == len(groups)
+    for shard, group in zip(shard_map.shards, groups, strict=True):
         assert shard.number % len(names) == shard.cell == names.index(group)
 
 
@@ -102,7 +103,7 @@
     return version(number, {"s": ["g", [f"v{number}"]]})
 
 
-def test_a_query_keeps_its_version_until_it_is_released() -> None:
+def test_query_keeps_its_version_until_released() -> None:
     versions = MapVersions(numbered(1))
     first = versions.hold(10)
     assert versions.adopt(numbered(2))
@@ -112,7 +113,7 @@
     assert versions.release(11) is None and versions.numbers() == (2,)
 
 
-def test_the_bounds() -> None:
+def test_limits_of_versions_and_queries() -> None:
     versions = MapVersions(numbered(1), max_versions=2, max_queries=3)
     assert versions.hold(1) and versions.adopt(numbered(2)) and versions.hold(2)
     assert not versions.adopt(numbered(3)) and versions.current.number == 2
@@ -124,17 +125,17 @@
 
 @settings(max_examples=200)
 @given(st.lists(st.tuples(st.sampled_from(["hold", "release", "adopt"]), st.integers(0, 6)), max_size=60))
-def test_a_version_is_kept_while_it_is_current_or_held_and_no_longer(steps: list[tuple[str, int]]) -> None:
+def test_version_is_kept_exactly_while_current_or_held(steps: list[tuple[str, int]]) -> None:
     versions, model = MapVersions(numbered(1), max_versions=3, max_queries=5), dict[int, int]()
-    for what, query in steps:
-        if what == "hold":
-            got = versions.hold(query)
+    for action, query in steps:
+        if action == "hold":
+            held = versions.hold(query)
             if query in model or len(model) < 5:
                 model.setdefault(query, versions.current.number)
-                assert got is not None and got.number == model[query]
+                assert held is not None and held.number == model[query]
             else:
-                assert got is None
-        elif what == "release":
+                assert held is None
+        elif action == "release":
             versions.release(query)
             model.pop(query, None)
         else:
--- a/tests/test_union.py
+++ b/tests/test_union.py
@@ -1,4 +1,4 @@
-"""Whole answers are the union of the holders' own: seeded queries through the broker, over sockets."""
+"""Complete answers equal the union of the holders' data: seeded queries through the broker over sockets."""
 
 import http.client
 
@@ -15,7 +15,7 @@
 
 
 def request_of(random: np.random.Generator) -> ReadRequest:
-    """One to three queries over the all-parts class, of every kind of matcher and range."""
+    """One to three queries of the class that needs all parts, with every kind of matcher and range."""
     request = ReadRequest()
     for _ in range(int(random.integers(1, 4))):
         low, high = sorted(int(n) for n in random.integers(BEGIN_MS - 600_000, END_MS + 600_000, 2))
@@ -24,8 +24,14 @@
         kind, value = names[int(random.integers(0, 3))]
         query.matchers.add(type=LabelMatcher.Type.Value(kind), name="__name__", value=value)
         if random.random() < 0.8:
-            one = DISTRICTS[int(random.integers(0, 3))]
-            choices = [("EQ", one), ("NEQ", one), ("RE", ".*(north|river).*"), ("NRE", one), ("RE", "")]
+            district = DISTRICTS[int(random.integers(0, 3))]
+            choices = [
+                ("EQ", district),
+                ("NEQ", district),
+                ("RE", ".*(north|river).*"),
+                ("NRE", district),
+                ("RE", ""),
+            ]
             kind, value = choices[int(random.integers(0, 5))]
             query.matchers.add(type=LabelMatcher.Type.Value(kind), name="district", value=value)
         if random.random() < 0.4:
@@ -33,16 +39,16 @@
     return request
 
 
-def holders_own(world: World, request: ReadRequest, index: int) -> SamplesByLabels:
-    """Each holder asked directly, without the broker's code: the union of what they say."""
+def union_of_holders(world: World, request: ReadRequest, index: int) -> SamplesByLabels:
+    """The union of the results of all holders, read directly from their stores without the broker."""
     single = ReadRequest()
     single.queries.append(request.queries[index])
-    found: SamplesByLabels = {}
+    union: SamplesByLabels = {}
     for leaf in world.leaves.values():
-        own = leaf.store.read(decode(encode(single)))
-        for labels, samples in as_dict(own).items():
-            found.setdefault(labels, {}).update(samples)
-    return dict(sorted(found.items()))
+        result = leaf.store.read(decode(encode(single)))
+        for labels, samples in as_dict(result).items():
+            union.setdefault(labels, {}).update(samples)
+    return dict(sorted(union.items()))
 
 
 def decode(body: bytes) -> ReadRequest:
@@ -51,7 +57,7 @@
     return decode_request(body, 1 << 20)
 
 
-def test_five_hundred_whole_answers_equal_the_union_of_the_holders_own() -> None:
+def test_five_hundred_complete_answers_equal_the_union_of_the_holders_data() -> None:
     world = World(limits={"batch": 3})
     random = np.random.default_rng(20)
     series = 0
@@ -63,34 +69,34 @@
             assert completeness(seen)[0] == "whole"
             assert len(response.results) == len(request.queries)
             for index in range(len(request.queries)):
-                own = holders_own(world, request, index)
-                assert as_dict(response, index) == own, f"query {start}"
-                assert list(as_dict(response, index)) == list(own)
-                series += len(own)
+                expected = union_of_holders(world, request, index)
+                assert as_dict(response, index) == expected, f"query {start}"
+                assert list(as_dict(response, index)) == list(expected)
+                series += len(expected)
     assert series > QUERIES  # not a comparison of empty answers
     world.close()
 
 
-def test_holders_answer_over_http_what_their_store_says() -> None:
-    """The comparison above reads stores in memory; here is that a holder's address serves the same."""
+def test_holder_serves_the_content_of_its_store_over_http() -> None:
+    """The test above reads stores in memory; this one checks that a holder serves the same over HTTP."""
     import json
     import subprocess
     import sys
 
-    words = [sys.executable, "-m", "quincepath", "leaf", "--districts", "north.example.org", "--seed", "3",
+    command = [sys.executable, "-m", "quincepath", "leaf", "--districts", "north.example.org", "--seed", "3",
              "--guarded"]  # fmt: skip
-    with subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) as process:
+    with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None and process.stdin is not None
         port = json.loads(process.stdout.readline())["port"]
         world = World()
         request = ReadRequest()
         query = request.queries.add(start_timestamp_ms=BEGIN_MS, end_timestamp_ms=END_MS)
         query.matchers.add(type=LabelMatcher.EQ, name="__name__", value="engine_hours")
-        line = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
-        line.request("POST", "/api/v1/read", encode(request), HEADERS)
-        got = decode_response(line.getresponse().read(), 1 << 20)
-        line.close()
-        assert as_dict(got) == as_dict(world.leaves["a0"].store.read(request)) != {}
+        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
+        connection.request("POST", "/api/v1/read", encode(request), HEADERS)
+        response = decode_response(connection.getresponse().read(), 1 << 20)
+        connection.close()
+        assert as_dict(response) == as_dict(world.leaves["a0"].store.read(request)) != {}
         world.close()
         process.stdin.close()
-        assert process.wait(10) == 0  # the guard: no holder outlives who started it
+        assert process.wait(10) == 0  # --guarded: the holder exits with the process that started it
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
-"""A broker, holders and clients on one loop in one process: real sockets, virtual time.
+"""A broker, holders and clients on one loop in one process, with real sockets and virtual time.
 
-The clock stands while any socket has something to say and jumps to the next timer when none has, so a test
-with a deadline of seconds takes milliseconds and runs the same way each time.
+The clock stands still while any socket has data and jumps to the next timer when none has. A test with a
+deadline of seconds therefore takes milliseconds and is deterministic.
 """
 
 from collections.abc import Callable
@@ -51,7 +51,7 @@
 
 
 class World:
-    """Two holders a shard, a broker and a client, all on ``loop``."""
+    """Two holders per shard, a broker and a client, all on ``loop``."""
 
     def __init__(
         self,
@@ -79,38 +79,38 @@
         self.loop.turn(0)
 
     def entry(self, name: str, **more: Any) -> dict[str, Any]:
-        """A holder as the configuration names it."""
+        """The configuration entry of a holder."""
         leaf = self.leaves[name]
         shard = next(s for s, (group, _) in SHARDS.items() if group == name[0])
         return {"name": name, "url": leaf.url, "shards": [shard], **more}
 
     def faults(self, names: str, **faults: Any) -> None:
-        """Give these holders (space-separated) a fault."""
+        """Inject a fault into these holders (names separated by spaces)."""
         for name in names.split():
             self.leaves[name].faults = Faults(**faults)
 
     def plan(self, kind: str = "hours-report", pattern: str = ".+", **query: Any) -> QueryPlan:
-        """A query of a class over districts."""
+        """A query of one class over the districts that match the pattern."""
         request = read_request(kind, pattern, **query)
         return QueryPlan(kind, [], encode(request), request, 2 * SECOND)
 
     def ask(self, *plans: QueryPlan, longest: float = 20.0) -> list[Seen]:
-        """Send queries side by side and wait for all their ends, in the order of the queries."""
-        found: dict[int, Seen] = {}
+        """Send queries concurrently and wait until all end; results in the order of the queries."""
+        results: dict[int, Seen] = {}
         for number, plan in enumerate(plans):
-            self.client.ask(f"t{number}-{len(self.seen)}", plan, self._keep(found, number))
-        assert self.loop.run_until(lambda: len(found) == len(plans), longest), "a query never ended"
-        ends = [found[number] for number in range(len(plans))]
+            self.client.ask(f"t{number}-{len(self.seen)}", plan, self._record(results, number))
+        assert self.loop.run_until(lambda: len(results) == len(plans), longest), "a query never ended"
+        ends = [results[number] for number in range(len(plans))]
         self.seen.extend(ends)
         return ends
 
     @staticmethod
-    def _keep(found: dict[int, Seen], number: int) -> Callable[[Seen], None]:
-        def keep(seen: Seen) -> None:
-            assert number not in found, "a second final answer"
-            found[number] = seen
+    def _record(results: dict[int, Seen], number: int) -> Callable[[Seen], None]:
+        def record(seen: Seen) -> None:
+            assert number not in results, "a second final answer"
+            results[number] = seen
 
-        return keep
+        return record
 
     def run(self, seconds: float) -> None:
         """Let virtual time pass."""
@@ -119,11 +119,11 @@
         self.loop.run_until(lambda: self.loop.at >= end, seconds + 1)
 
     def until(self, done: Callable[[], bool], longest: float = 20.0) -> None:
-        """Turn until something holds."""
+        """Run the loop until a condition is true."""
         assert self.loop.run_until(done, longest)
 
     def close(self) -> None:
-        """Give back all sockets; no contract was broken on the way, unless the test says so."""
+        """Close all sockets."""
         self.client.close()
         self.broker.close()
         for leaf in self.leaves.values():
@@ -153,7 +153,7 @@
 
 
 def completeness(seen: Seen) -> tuple[str, str]:
-    """The honest mark: whole or partial, and parts in of asked."""
+    """The completeness headers: whole or partial, and received of requested parts."""
     assert seen.response is not None
     return seen.response.headers["quincepath-answer"], seen.response.headers["quincepath-parts"]
 
@@ -162,7 +162,7 @@
 
 
 def as_dict(response: ReadResponse, index: int = 0) -> SamplesByLabels:
-    """One result as plain values: samples by time, by labels."""
+    """One result as plain values: samples by time, grouped by labels."""
     return {
         tuple((label.name, label.value) for label in series.labels): {
             sample.timestamp: sample.value for sample in series.samples
