--- a/quincepath/asks/intake.py
+++ b/quincepath/asks/intake.py
@@ -8,7 +8,7 @@
 
 from quincepath.asks.registry import AskRegistry, Begin, Decision, RegistryLimits, Try
 from quincepath.limits.admission import Admission, AdmissionBounds, Cost
-from quincepath.limits.door import TurnAway
+from quincepath.limits.gate import Rejection
 from quincepath.limits.memory import Pressure
 
 R = TypeVar("R")
@@ -20,13 +20,13 @@
     def __init__(self, limits: RegistryLimits, bounds: AdmissionBounds, seed: int) -> None:
         self.registry: AskRegistry[R] = AskRegistry(limits)
         self.admission = Admission(bounds, seed)
-        self.door = self.admission.door
+        self.door = self.admission.gate
 
     def find(self, now: int, request: Try) -> int | None:
         """The ask, running or remembered, that this try belongs to; None if there is none."""
         return self.registry.find(now, request)
 
-    def arrive(self, now: int, request: Try, cost: Cost | None, lingering: int) -> Decision[R] | TurnAway:
+    def arrive(self, now: int, request: Try, cost: Cost | None, lingering: int) -> Decision[R] | Rejection:
         """Match a try to an ask, or admit it as a new one.
 
         ``cost`` is the cost of a new ask, None if the try is known to belong to an existing one.
@@ -50,4 +50,4 @@
             self.registry.forget_all()
 
 
-__all__ = ["AskIntake", "Begin", "Try", "TurnAway"]
+__all__ = ["AskIntake", "Begin", "Try", "Rejection"]
--- a/quincepath/broker/service/figures.py
+++ b/quincepath/broker/service/figures.py
@@ -5,11 +5,11 @@
 
 import psutil
 
+from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.reception import AskEnded
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
-from quincepath.limits.memory import MemoryCircuit, Pressure
+from quincepath.limits.memory import MemoryPressureMonitor, Pressure
 from quincepath.net.loop import Loop
 from quincepath.observe.metrics import Metrics
 from quincepath.orders import AttemptEnded, Verdict
@@ -50,7 +50,7 @@
         self.metrics.answers.labels(kind, answer).inc()
         if finish is None or reply is None:
             return
-        self.metrics.seconds.labels(kind).observe(finish.took / 1e9)
+        self.metrics.query_seconds.labels(kind).observe(finish.took / 1e9)
         if reply.stats is not None:
             self.metrics.duplicates.inc(reply.stats.duplicates)
             self.metrics.conflicts.inc(reply.stats.conflicts)
@@ -83,7 +83,7 @@
         press: Callable[[Pressure], None],
         serving: Callable[[], bool],
     ) -> None:
-        self.circuit = MemoryCircuit(most)
+        self.circuit = MemoryPressureMonitor(most)
         self.resident: Callable[[], int] = loop.system.resident_bytes or _resident_bytes
         self.loop, self.metrics, self.log, self.press = loop, metrics, log, press
         self.serving = serving
@@ -96,7 +96,7 @@
             resident = self.resident()
         except (OSError, psutil.Error):  # out of descriptors: the size is read from a file
             return
-        self.metrics.resident.set(resident)
+        self.metrics.resident_bytes.set(resident)
         before = self.circuit.pressure
         found = self.circuit.sample(resident)
         if found is not before:
--- a/quincepath/lab/emulator/world/calls.py
+++ b/quincepath/lab/emulator/world/calls.py
@@ -7,8 +7,7 @@
 from quincepath.lab.emulator.world.actors import Broker, Call, Connection
 from quincepath.lab.emulator.world.turns import Turns
 from quincepath.orders import AttemptEnded
-from quincepath.upstream.outcomes import End as CallEnd
-from quincepath.upstream.outcomes import of_transport
+from quincepath.upstream.outcomes import CallEnd, transport_outcome
 
 
 class Calls(Turns):
@@ -42,7 +41,7 @@
     def _end_attempt(self, broker: Broker, call: Call, key: tuple[int, int], result: Result) -> None:
         call.waiting.discard(key)
         broker.calls.pop(key, None)
-        broker.reception.note(AttemptEnded(*key, result, True if result is Result.OK else None))
+        broker.reception.enqueue(AttemptEnded(*key, result, True if result is Result.OK else None))
         self._poke(broker)
 
     def _drop(self, broker: Broker, call: Call, result: Result) -> None:
@@ -61,7 +60,7 @@
     def _expire(self, broker: Broker, call: Call) -> None:
         if not call.waiting:
             return
-        result = of_transport(CallEnd.DIAL_TIMEOUT if call.dialling else CallEnd.TIMEOUT).result
+        result = transport_outcome(CallEnd.DIAL_TIMEOUT if call.dialling else CallEnd.TIMEOUT).result
         for order in call.orders:
             key = (order.part, order.attempt)
             if key in call.waiting and order.deadline <= self.now:
