--- a/quincepath/asks/intake.py
+++ b/quincepath/asks/intake.py
@@ -20,7 +20,7 @@
     def __init__(self, limits: RegistryLimits, bounds: AdmissionBounds, seed: int) -> None:
         self.registry: AskRegistry[R] = AskRegistry(limits)
         self.admission = Admission(bounds, seed)
-        self.door = self.admission.gate
+        self.gate = self.admission.gate
 
     def find(self, now: int, request: Try) -> int | None:
         """The ask, running or remembered, that this try belongs to; None if there is none."""
--- a/quincepath/broker/service/clients.py
+++ b/quincepath/broker/service/clients.py
@@ -53,7 +53,7 @@
         trace_of: Callable[[int], str],
         room: "FairPendingQueue | None" = None,
     ) -> None:
-        self.front, self.door, self.guests, self.loop = front, desk.door, guests, loop
+        self.front, self.door, self.guests, self.loop = front, desk.gate, guests, loop
         self.metrics, self.log, self.trace_of = metrics, log, trace_of
         self.reception: Dispatcher[Plan, Reply] = Dispatcher(driver, desk, self._render, room)
         self.open: dict[int, _Open] = {}
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -94,7 +94,7 @@
             config.limits.max_memory, loop, self.metrics, self.log, desk.set_pressure,
             lambda: not self.server.listener.closed,
         )  # fmt: skip
-        self.door = desk.door
+        self.door = desk.gate
         self.driver = Driver(module, settings, config.rules.drain_grace)
         front = RemoteReadFront(config, self.map)
         self.waiting_room = waiting_room(config, seed)
