--- a/quincepath/broker/driver/core.py
+++ b/quincepath/broker/driver/core.py
@@ -330,9 +330,8 @@
                 query.step = 2
                 self._next_events.extend(self._add_parts(query, second))
                 return
-            self._next_events.append(
-                Left(qid)
-            )  # the module expects a second step that this query does not have
+            # The module expects a second step, which this query does not have.
+            self._next_events.append(Left(qid))
         self._finish(query, Verdict.ANSWERED, 0, "")
 
     def _finish(self, query: OpenQuery, verdict: Verdict, retry_in: int, cause: str) -> None:
--- a/quincepath/membership/source.py
+++ b/quincepath/membership/source.py
@@ -45,9 +45,7 @@
         self.errors = 0
         self.distributed: dict[str, Holder] = {}  # by name, distributed by the fleet
         self.complete = True  # whether the distributed holders are all holders
-        self.drained: frozenset[str] = (
-            frozenset()
-        )  # names that the fleet agreed to drain, even if listed as ready
+        self.drained: frozenset[str] = frozenset()  # names that the fleet drains, even if listed as ready
 
     def poll(self, force: bool = False) -> tuple[Members | None, list[Change], str]:
         """The module's update, the changes, and an error text if the file could not be used."""
--- a/quincepath/platform/nodes.py
+++ b/quincepath/platform/nodes.py
@@ -155,7 +155,11 @@
         self.end(out, REPLY_MEANINGS[reply.status], body, read_report(reply.report, self._fields))
 
     def end(
-        self, out: OutgoingAttempt, meaning: CallOutcome, body: str | None = None, report: tuple[float, ...] = ()
+        self,
+        out: OutgoingAttempt,
+        meaning: CallOutcome,
+        body: str | None = None,
+        report: tuple[float, ...] = (),
     ) -> None:
         """An attempt has ended; told once."""
         if self.outs.pop(out.key, None) is None:
