--- a/quincepath/drill.py
+++ b/quincepath/drill.py
@@ -1,4 +1,4 @@
-"""Hosts instances of the decision module on the wire of standard input and output. Holds no decision."""
+"""Runs instances of the decision module on standard input and output, in the binary wire format."""
 
 import sys
 from typing import BinaryIO
@@ -8,21 +8,21 @@
 from quincepath.settings import SettingsError, read_settings
 from quincepath.wire import BATCH, Fault, Incoming, Lists, Start, Stop, WireError, decode_batch, encode_reply
 
-Out = list[tuple[int, Action | Fault]]
+Actions = list[tuple[int, Action | Fault]]
 
 
 class Host:
-    """The instances of this process and the numbered lists that their events refer to."""
+    """The instances of this process, and the numbered node lists that their events refer to."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Aggregator] = {}
         self.failed: dict[int, bool] = {}
         self.lists: Lists = {}
 
-    def run(self, now: int, incoming: list[Incoming]) -> Out:
-        """Give each instance its events of this batch, in order, and collect the actions."""
+    def run(self, now: int, incoming: list[Incoming]) -> Actions:
+        """Pass each instance its events of this batch, in order, and collect the actions."""
         pending: dict[int, list[Event]] = {}
-        out: Out = []
+        out: Actions = []
         for i, event in incoming:
             if isinstance(event, Start):
                 pending.pop(i, None)
@@ -41,18 +41,18 @@
         for i, events in pending.items():
             try:
                 out.extend((i, action) for action in self.instances[i].handle(now, events))
-            except Exception as error:  # a fault of one instance must not end the others
+            except Exception as error:  # an error of one instance must not end the others
                 self._fault(i, f"decision failed: {type(error).__name__}: {error}", out)
         return out
 
-    def _start(self, i: int, start: Start, out: Out) -> None:
+    def _start(self, i: int, start: Start, out: Actions) -> None:
         self.failed.pop(i, None)
         try:
             self.instances[i] = Aggregator(read_settings(start.settings), start.seed)
         except SettingsError as error:
             self._fault(i, str(error), out)
 
-    def _fault(self, i: int, text: str, out: Out) -> None:
+    def _fault(self, i: int, text: str, out: Actions) -> None:
         self.instances.pop(i, None)
         self.failed[i] = True
         out.append((i, Fault(text)))
@@ -73,7 +73,7 @@
 
 
 def main() -> int:
-    """Run until the end of input; a malformed frame is told in one line."""
+    """Run until the end of input; a malformed frame is reported in one line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/quincepath/interface.py
+++ b/quincepath/interface.py
@@ -1,7 +1,7 @@
-"""What passes between a broker and the decision module: settings, events and actions.
+"""Interface between a broker and the decision module: settings, events and actions.
 
-Times are whole nanoseconds. A node is an opaque byte string. Positions (class, tenant, zone, kind)
-count from 0. This file holds types only; every decision stands in ``policy/``.
+Times are whole nanoseconds. A node is an opaque byte string. Indexes (class, tenant, zone, kind) start at 0.
+This file holds types only; all decisions are made in ``policy/``.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What repeating a part of a class may do."""
+    """Whether a part of a class may be repeated safely."""
 
     SAFE = "read_like"
     KEYED = "idempotency_key"
@@ -32,7 +32,7 @@
 
 
 class Phase(IntEnum):
-    """A node's state in the list."""
+    """State of a node in the list."""
 
     READY = 1
     GONE = 2
@@ -40,7 +40,7 @@
 
 
 class Scope(IntEnum):
-    """What a list event holds."""
+    """What a ``Members`` event contains."""
 
     DELTA = 0
     FULL = 1
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the site permits."""
+    """Limits that the site sets."""
 
     attempts: int
     cancel: bool
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the rules; ``budget_window`` is 0 where no attempt budget is set."""
+    """Parameters of the rules; ``budget_window`` is 0 where no attempt budget is set."""
 
     cold_share: float
     ramp_time: int
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a broker tells the module at startup."""
+    """Settings of one broker's decision module, given at startup."""
 
     me: int
     instances: int
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Members:
-    """News of the node list."""
+    """The node list or a change of it."""
 
     scope: Scope
     version: int
@@ -160,7 +160,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """The end of an attempt; ``final`` means that the part is finished."""
+    """The end of an attempt; ``final`` means that no further attempt at the part may follow."""
 
     part: int
     attempt: int
@@ -173,7 +173,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """What a probe found."""
+    """Result of a probe."""
 
     node: NodeId
     result: Result
@@ -183,7 +183,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Left:
-    """The client of a query has gone."""
+    """The client of a query has disconnected."""
 
     id: int
 
@@ -206,7 +206,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FromPeer:
-    """A message of another broker."""
+    """A message from another broker."""
 
     sender: int
     text: bytes
@@ -214,10 +214,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Allowance:
-    """What this broker may spend until a time, so that the sum over all brokers stays bounded.
+    """Rates that this broker may use until a time, so that the sum over all brokers stays bounded.
 
-    ``extras``: attempts beyond a part's first, a second; ``trials``: sends a second to any one node where
-    most attempts fail. It only takes away: the budget, the store and the limits hold as without it.
+    ``extras``: attempts per second beyond a part's first; ``trials``: probe attempts per second to any one
+    node where most attempts fail. It only restricts: the attempt budget, the hedge tokens and the limits hold
+    as without it.
     """
 
     extras: float
@@ -239,7 +240,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     part: int
     attempt: int
@@ -247,7 +248,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """Answer a query from the parts that are in."""
+    """Answer a query from the parts that were answered."""
 
     id: int
     full: bool
@@ -255,7 +256,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Turn a query away; asking again does no harm. ``retry_in`` 0 gives no advice."""
+    """Refuse a query; a retry does no harm. ``retry_in`` is the advised pause, 0 for no advice."""
 
     id: int
     retry_in: int
@@ -263,14 +264,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """End a query with no promise as to its effect."""
+    """Fail a query, with no promise whether it had an effect."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for ``TimerFired`` at a time."""
+    """Request ``TimerFired`` at a time."""
 
     at: int
     token: int
@@ -278,7 +279,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for on-call staff."""
+    """A log line for on-call staff."""
 
     text: str
 
@@ -292,12 +293,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """Ask for the whole node list once."""
+    """Fetch the whole node list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Examine a node."""
+    """Probe a node."""
 
     node: NodeId
 
--- a/quincepath/policy/aggregator.py
+++ b/quincepath/policy/aggregator.py
@@ -1,4 +1,4 @@
-"""The events of a moment taken in, and one decision for each query that they touch."""
+"""Takes in the events of one moment and decides once for each query that they touch."""
 
 from collections.abc import Iterable
 
@@ -21,10 +21,10 @@
 
 
 class Aggregator(Sending):
-    """One broker's decisions: ``handle`` takes the events of a moment and returns the actions for it."""
+    """Decides for one broker: ``handle`` takes the events of one moment and returns the actions."""
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Take in all events first, then decide once for each query that they touch."""
+        """Apply all events first, then decide once for each query that they touch."""
         self.now, self.actions = now, []
         touched = [self._apply_event(event) for event in events]
         for query in dict.fromkeys(touched):
@@ -44,11 +44,11 @@
                 return self._accept(event)
             case Part():
                 return self._add_part(event)
-            case Left(rid):
-                if rid in self.queries:
-                    self._remove_query(self.queries[rid])
-                elif rid in self.parts:  # its query is sent no more, but answered
-                    query = self.parts[rid].query
+            case Left(request_id):
+                if request_id in self.queries:
+                    self._remove_query(self.queries[request_id])
+                elif request_id in self.parts:  # nothing more is sent for its query, but it is answered
+                    query = self.parts[request_id].query
                     query.unsent.clear()
                     for part in query.parts:
                         part.closed = True
@@ -69,19 +69,19 @@
         return query
 
     def _target_at(self, event: Query, spec: QueryClass) -> int:
-        """When the client wants its answer: counted from its first try, which a repeat may be long past."""
-        # A repeat with less time than a full try has what its deadline leaves, and so tells its age; but not
-        # while first tries come short, too: then the client's patience is short.
-        full = self.longest_timeout[event.kind] = max(
+        """When the client wants its answer; counted from its first request, also for a retry."""
+        # A retry with less time than the longest timeout has what is left of its client's deadline, so its
+        # age is known. Not so while first requests come with less, too: then clients use short timeouts.
+        longest = self.longest_timeout[event.kind] = max(
             self.longest_timeout.get(event.kind, 0), event.time_left
         )
-        short = event.time_left < full - ANSWER_MARGIN_TICKS * self.settings.tick
+        short = event.time_left < longest - ANSWER_MARGIN_TICKS * self.settings.tick
         self.short_timeout_at = self.now if short and not event.repeat else self.short_timeout_at
-        tells = short and self.now > self.short_timeout_at + SIGNAL_TTL
-        return self.now + spec.target - (max(spec.deadline - event.time_left, 0) if tells else 0)
+        shows_age = short and self.now > self.short_timeout_at + SIGNAL_TTL
+        return self.now + spec.target - (max(spec.deadline - event.time_left, 0) if shows_age else 0)
 
     def _has_short_timeout(self, event: Query) -> bool:
-        """Whether a client gives less time than its class's target, as others do not now: it is soon gone."""
+        """Whether the client gives less time than its class's target while others do not: it leaves soon."""
         if event.time_left >= self.settings.classes[event.kind].target:
             self.full_timeout_at[event.kind] = self.now
         return self.now > self.full_timeout_at.get(event.kind, -SIGNAL_TTL) >= self.now - SIGNAL_TTL
@@ -102,10 +102,8 @@
 
     def _advance(self, query: QueryState) -> None:
         """Decide all that can be decided for one query now."""
-        if (
-            query.awaiting_second_step and self.now < query.end
-        ):  # a second step that never comes must still be ended
-            self._wait_until(query, query.end)
+        if query.awaiting_second_step and self.now < query.end:
+            self._wait_until(query, query.end)  # a query whose second step never comes must still be ended
             return
         weight = query.weight_in if query.parts and not query.awaiting_second_step else -1.0
         if weight >= query.need() and not self._too_late_for_second(query):
@@ -114,7 +112,11 @@
             self._give_up(query)
         elif self.now >= query.end or self._poisoned(query) or not self._can_finish(query):
             self._give_up(query)
-        elif query.awaiting_admission and not self._is_probe(query) and self._expected_too_late(query):
+        elif (
+            query.awaiting_admission
+            and not self._is_admission_probe(query)
+            and self._expected_too_late(query)
+        ):
             self._record_refusal()
             self._give_up(query)
         else:
@@ -125,17 +127,23 @@
             blocked = self._send_until_covered(query)
             self._wait_until(query, self._next_wakeup(query, blocked))
 
-    def _is_probe(self, query: QueryState) -> bool:
-        """Whether a first try is sent whatever was seen: none of its class is open, with news on its way."""
-        # Guards against refusing a class for ever on old news, after a stall of this broker or an overload.
-        # A hasty try ends before its news: guards against each broker's sending nearly all of those in vain.
+    def _is_admission_probe(self, query: QueryState) -> bool:
+        """Whether a first request is admitted regardless: no query of its class is open to learn from."""
+        # Guards against refusing a class for ever on outdated latencies, after a stall of this broker or an
+        # overload. A query with a short timeout ends before anything is learned from it: guards against every
+        # broker sending nearly all of those in vain.
         return not (self.admitted[query.kind] or query.repeat or query.short_timeout)
 
     def _can_finish(self, query: QueryState) -> bool:
-        """Whether enough weight is in, out, or may still be sent; for a part of the worth, in or out."""
-        left = query.weight_in_or_live
-        if left < query.need():
-            left += sum(p.weight for p in query.uncovered.values() if not p.live and self._may_still_send(p))
-        if left < query.need() and (left < query.floor() or not query.open_attempts):
+        """Whether enough weight is answered, open or may still be sent.
+
+        The floor is enough while attempts are open.
+        """
+        reachable = query.weight_active
+        if reachable < query.need():
+            reachable += sum(
+                p.weight for p in query.uncovered.values() if not p.live and self._may_still_send(p)
+            )
+        if reachable < query.need() and (reachable < query.floor() or not query.open_attempts):
             return False
         return self.now < query.target_at or query.spec.late_worth > 0
--- a/quincepath/policy/budget.py
+++ b/quincepath/policy/budget.py
@@ -1,4 +1,4 @@
-"""The budget of further attempts."""
+"""Limits on extra attempts, beyond a part's first: this broker's budget and its share of the fleet's."""
 
 from collections import deque
 
@@ -8,52 +8,56 @@
 
 
 class AttemptBudget:
-    """Rule 6: attempts beyond the first in a sliding window, against what was accepted in it."""
+    """Rule 6, a retry budget: extra attempts in a sliding window, relative to what was accepted in it."""
 
     def __init__(self, settings: Settings) -> None:
         self.rules = settings.rules
-        self.accepted, self.extra_sent = deque[int](), deque[int]()
+        self.accepted, self.extras = deque[int](), deque[int]()
 
     def record_accepted(self, now: int) -> None:
-        """A query or part was accepted. Guards against keeping all for ever where extras are seldom asked."""
+        """Count an accepted query or part, and drop old ones.
+
+        Guards against keeping all of them for ever where extra attempts are seldom asked for.
+        """
         self.accepted.append(now)
         self._drop_old_accepted(now)
 
     def spend(self, now: int) -> None:
-        """An attempt beyond a part's first goes out."""
+        """Count an extra attempt that is sent."""
         if self.rules.budget_window:
-            self.extra_sent.append(now)
+            self.extras.append(now)
 
     def _drop_old_accepted(self, now: int) -> None:
         start = now - self.rules.budget_window
-        while self.accepted and self.accepted[0] <= start:  # drop early what we earn by, late what we spent
+        # At the window's edge what earns budget is dropped early, and what spent it (see ``allows``) late.
+        while self.accepted and self.accepted[0] <= start:
             self.accepted.popleft()
 
     def allows(self, now: int) -> bool:
+        """Whether one more extra attempt fits the budget."""
         if not self.rules.budget_window:
             return True
         start = now - self.rules.budget_window
         self._drop_old_accepted(now)
-        while self.extra_sent and self.extra_sent[0] < start:
-            self.extra_sent.popleft()
-        return len(self.extra_sent) + 1 <= self.rules.budget_free + self.rules.budget_ratio * len(
-            self.accepted
-        )
+        while self.extras and self.extras[0] < start:
+            self.extras.popleft()
+        return len(self.extras) + 1 <= self.rules.budget_free + self.rules.budget_ratio * len(self.accepted)
 
 
 class FleetAllowance:
-    """What all brokers together can bear, as this one was told; without one nothing is limited."""
+    """This broker's share of what all brokers together may send; without a valid one nothing is limited."""
 
     def __init__(self) -> None:
         self.allowance = Allowance(0.0, 0.0, 0)
         self.tokens, self.tokens_at = 1.0, 0
 
     def update(self, now: int, allowance: Allowance) -> None:
-        self.allows(now)  # what was earned until now
+        """Replace the allowance."""
+        self.allows(now)  # credits what was earned at the old rate
         self.allowance = allowance
 
     def allows(self, now: int) -> bool:
-        """Whether a further attempt may go out: earned at the rate told, a second's worth at most."""
+        """Whether an extra attempt may be sent: tokens come at the allowed rate, at most a second's worth."""
         if now >= self.allowance.until:
             self.tokens, self.tokens_at = 1.0, now
             return True
@@ -63,10 +67,11 @@
         return self.tokens >= 1 - 1e-9
 
     def spend(self, now: int) -> None:
+        """Take the token of an extra attempt that is sent."""
         self.tokens -= now < self.allowance.until
 
     def probe_wait(self, now: int, node: Node, kind: int) -> float:
-        """How long until a node where most attempts fail may be tried again."""
+        """Time until a probe attempt may be sent to a node where most attempts fail."""
         if now >= self.allowance.until or node.failure_share(now, kind) <= MOSTLY_FAILING:
             return 0.0
         pause = (
--- a/quincepath/policy/choice.py
+++ b/quincepath/policy/choice.py
@@ -1,4 +1,4 @@
-"""Choice of the part that goes next and of its replica; refusal where even the best comes too late."""
+"""Choice of the next part and its replica; admission, which refuses queries that would finish too late."""
 
 import math
 from heapq import heappop, heappush
@@ -21,10 +21,13 @@
 
 
 class ReplicaChoice(NodeList):
+    """Ranks replicas and admits queries."""
+
     def _rank(self, node: Node, query: QueryState) -> Rank:
-        """The design's order: least loaded first; ties by expected latency, then at random."""
-        # The count is by call. While crowded, where calls cost work of their own, one begun in this round
-        # that a part may join is not held against the node, up to what runs there side by side.
+        """Order of replicas: the least loaded first; ties by expected latency, then at random."""
+        # Load counts calls. Where calls cost work of their own, a call begun in this round that a part may
+        # join is not counted against the node while the class is congested, up to the number of parts that
+        # run there concurrently.
         typical = self._typical(query)
         expected = max(
             node.slowdown(self.now),
@@ -40,25 +43,25 @@
         if self.now > node.last_reply_at + self.limits.idle_close:
             expected *= NEW_CONNECTION_FACTOR
             if self.now < self.dial_failed_at + SIGNAL_TTL:
-                # New connections fail while open ones serve: guards against dialling where it can be helped.
+                # New connections fail while open ones work: guards against dialling where it can be avoided.
                 load += DIAL_COST
         return load, expected, self.random.random()
 
     def _may_join(self, node: Node) -> bool:
-        """Whether a send now would travel in a call begun in this round."""
+        """Whether a part sent now would be batched into a call begun in this round."""
         return node.call.at == self.now and node.call.parts < self.limits.batch
 
     def _best_replica(self, part: PartState) -> tuple[Rank, Node] | None:
-        """The part's first choice; ranks are kept for the round, until a send changes them."""
-        # A further try goes where the part was tried least: guards against spending all of them on one
-        # replica that turns parts away faster than it can be learned.
+        """The part's best replica; ranks are kept for the round, until a send changes them."""
+        # A further attempt goes to a replica with the fewest attempts of this part: guards against using all
+        # of them on one replica that rejects parts faster than that can be learned.
         busy = [attempt.node for attempt in part.live]
         tried = [attempt.node for attempt in part.attempts]
         found: list[tuple[int, Rank, Node]] = []
         for node in self._replicas(part.shard):
             if node.id not in self.ranks:
-                cold = self._send_delay(node, part)
-                self.ranks[node.id] = None if cold else self._rank(node, part.query)
+                delay = self._send_delay(node, part)
+                self.ranks[node.id] = None if delay else self._rank(node, part.query)
             rank = self.ranks[node.id]
             if rank is not None and node not in busy:
                 found.append((tried.count(node), rank, node))
@@ -66,7 +69,7 @@
 
     def _next_first_send(self, query: QueryState) -> tuple[PartState, Node] | None:
         """The unsent part whose best replica is least loaded; only what a send changed is ranked again."""
-        # Parts with one home cell have the same replicas: the first of them stands for all.
+        # Parts with one home cell have the same replicas, so only the first of them is ranked.
         first = [query.unsent[home][0] for home in self.stale if home in query.unsent]
         self.stale.clear()
         for part in sorted(first, key=lambda part: part.index):
@@ -94,12 +97,13 @@
             self.refused = 0
 
     def _expected_too_late(self, query: QueryState) -> bool:
-        """Whether even the best choice is expected to finish after the target or the client's time."""
-        # While crowded repeats are refused, which would keep it up; first tries have their whole time.
+        """Whether even the best replicas would answer after the target or after the client's time."""
+        # While congested all retries are refused, since they would sustain the congestion; a first request
+        # has its whole time.
         if query.repeat and self._congested(query):
             return True
-        mean = self._current_latency(query.kind, 1) + (
-            self._current_latency(query.kind, 2) if query.spec.second_step else 0
+        mean = self._latency_now(query.kind, 1) + (
+            self._latency_now(query.kind, 2) if query.spec.second_step else 0
         )
         finish = []
         for part in query.parts:
@@ -113,9 +117,10 @@
         return slowest > ADMISSION_SHARE * (until - self.now)
 
     def _expected_wait(self, node: Node, part: PartState, mean: float) -> float:
-        """The typical latency, scaled by what was seen here and by how the count compares to then."""
-        # Failures count where most attempts fail (guards against taking a jammed replica's dead sibling for
-        # a quick one; fewer would refuse all traffic), and so does a cold node's wait.
-        sound = 1 - max(node.failure_share(self.now, part.query.kind) - MOSTLY_FAILING, 0.0)
-        crowd = (node.calls + ASSUMED_CORES) / (node.usual_load + ASSUMED_CORES)
-        return mean * node.slowdown(self.now) * crowd / sound**3 + self._send_delay(node, part)
+        """Typical latency, scaled by the node's slowdown and by its load relative to the usual one."""
+        # Failures count only where most attempts fail: guards against taking the dead sibling of a jammed
+        # replica for a quick one, while counting fewer failures would refuse all traffic. The wait for a cold
+        # node counts, too.
+        healthy = 1 - max(node.failure_share(self.now, part.query.kind) - MOSTLY_FAILING, 0.0)
+        relative_load = (node.calls + ASSUMED_CORES) / (node.usual_load + ASSUMED_CORES)
+        return mean * node.slowdown(self.now) * relative_load / healthy**3 + self._send_delay(node, part)
--- a/quincepath/policy/ending.py
+++ b/quincepath/policy/ending.py
@@ -1,4 +1,4 @@
-"""The end of a query: its final answer, when it is due, and whether the query takes down what it meets."""
+"""The end of a query: its final answer, when that is due, and detection of poison queries."""
 
 from quincepath.interface import Answer, Cancel, Effect, Fail, Refuse, SetTimer
 from quincepath.policy.queries import Attempt, QueryState
@@ -14,13 +14,15 @@
 
 
 class Ending(State):
+    """Answers, refuses or fails queries and removes them."""
+
     def _too_late_for_second(self, query: QueryState) -> bool:
-        """Whether a second step would be work for an answer that comes after its target."""
+        """Whether the answer of a second step would come after the target."""
         mean = self.latency[query.kind, 2].mean
         return query.step == 1 and query.spec.second_step > 0 and self.now + mean > query.target_at
 
     def _partial_answer_at(self, query: QueryState) -> int:
-        """From then on the best honest answer goes out: part of the worth in time beats all late."""
+        """When to send a partial answer: part of the worth before the target beats the whole after it."""
         second = self.latency[query.kind, 2].late_after() if query.step == 1 and query.spec.second_step else 0
         return query.target_at - second - ANSWER_MARGIN_TICKS * self.settings.tick
 
@@ -35,14 +37,14 @@
             self._remove_query(query)
 
     def _give_up(self, query: QueryState) -> None:
-        """The final answer of a query that will not be whole: at once, never held back."""
+        """End a query that will not be complete; the final answer is sent at once, never held back."""
         enough = not query.awaiting_second_step and query.parts and query.weight_in >= query.floor()
         if enough and not self._too_late_for_second(query):
             self._answer(query, False)
             return
-        risky = query.step > 1 or any(p.ok or p.may_have_run_since is not None for p in query.parts)
-        if risky and query.spec.effect is not Effect.SAFE:
-            self.actions.append(Fail(query.id))  # an effect may exist: no promise
+        may_have_run = query.step > 1 or any(p.ok or p.may_have_run_since is not None for p in query.parts)
+        if may_have_run and query.spec.effect is not Effect.SAFE:
+            self.actions.append(Fail(query.id))  # an effect may exist, so no promise is made
         else:
             advice = min(int(RETRY_AFTER_SHARE * query.spec.target), self.limits.max_retry_after)
             self.actions.append(Refuse(query.id, advice if self.limits.retry_after else 0))
@@ -56,7 +58,7 @@
             del self.by_number[query.number]
 
     def _drop_parts(self, query: QueryState) -> None:
-        """Call back what is still out; its outcome is still awaited, for the count's sake."""
+        """Cancel open attempts. Their outcomes are still awaited, to keep the count of open calls right."""
         for part in query.parts:
             for attempt in part.live:
                 self._cancel(attempt)
@@ -75,8 +77,8 @@
             self.actions.append(SetTimer(at, query.id))
 
     def _poisoned(self, query: QueryState) -> bool:
-        """Whether the query, or one with its key, took down all that it met: it would take down more."""
-        # The evidence is the query's, not the nodes': lost connections, and no part in.
+        """Whether this query, or one with its key, crashed all nodes that it reached and would crash more."""
+        # Judged by the query's own attempts, not by the nodes: lost connections, and no part answered.
         if not query.has_success and query.lost_connections >= (
             1 if query.repeat else max(LOST_CONNECTIONS_MAX, query.attempts_sent / 2)
         ):
@@ -87,8 +89,9 @@
         return query.key > 0 and self.now < self.poison_keys.get(query.key, -POISON_KEY_TTL) + POISON_KEY_TTL
 
     def _must_wait_for_success(self, query: QueryState) -> bool:
-        """Guards against a query that takes down each node that begins a part of it."""
-        # After a lost connection nothing more is sent until another part of the query is in; for a while then
-        # a client's repeat sends one part ahead. Where nodes die by themselves it costs a part's latency.
-        suspect = query.lost_connections or query.repeat and self.now < self.connection_lost_at + SIGNAL_TTL
-        return bool(suspect and not query.has_success and query.in_time)
+        """Guards against a query that crashes each node that begins a part of it."""
+        # After a lost connection nothing more is sent until another part of the query is answered; for some
+        # time after it a client's retry sends one part ahead. Where nodes crash for other reasons this costs
+        # the latency of one part.
+        suspected = query.lost_connections or query.repeat and self.now < self.connection_lost_at + SIGNAL_TTL
+        return bool(suspected and not query.has_success and query.in_time)
--- a/quincepath/policy/learning.py
+++ b/quincepath/policy/learning.py
@@ -1,4 +1,4 @@
-"""Learning from outcomes: what an ended attempt tells of its part, its query and its node."""
+"""Learning from outcomes: what an ended attempt tells about its part, its query and its node."""
 
 from quincepath.interface import Effect, Log, Outcome, Result
 from quincepath.policy.ending import Ending
@@ -11,6 +11,8 @@
 
 
 class Learning(NodeList, Ending):
+    """Applies the outcomes of attempts."""
+
     def _apply_outcome(self, event: Outcome) -> QueryState | None:
         part = self.parts.get(event.part)
         if part is None or event.attempt >= len(part.attempts):
@@ -42,17 +44,18 @@
                 node.consecutive_failures or self._send_delay(node, part)
                 for node in self._replicas(part.shard)
             ):
-                # Spread the tries that are left over the time that is left: no other replica takes one now.
-                pause = RETRY_BACKOFF * query.spec.target * 2.0 ** (len(part.attempts) - 1)
-                part.not_before = self.now + int(pause)
-            if self.now >= query.target_at:  # spread over what is left of the client's time
-                tries = max(self.limits.attempts - len(part.attempts), 0) + 1
-                part.not_before = max(part.not_before, self.now + (query.end - self.now) // tries)
+                # No other replica takes the part now: back off, to spread the remaining attempts over the
+                # remaining time.
+                backoff = RETRY_BACKOFF * query.spec.target * 2.0 ** (len(part.attempts) - 1)
+                part.not_before = self.now + int(backoff)
+            if self.now >= query.target_at:  # spread the remaining attempts over the client's remaining time
+                remaining = max(self.limits.attempts - len(part.attempts), 0) + 1
+                part.not_before = max(part.not_before, self.now + (query.end - self.now) // remaining)
             attempt.failed = event.result is not Result.TIMEOUT
             if event.result is Result.RESET:
                 query.lost_connections += 1
                 self.connection_lost_at = self.now
-            # For an unsafe part every earlier try was proved unrun, or this one would not have been sent.
+            # All earlier attempts at an unsafe part are proved unrun, or this one would not have been sent.
             unsafe = query.spec.effect is Effect.UNSAFE
             if event.result in PROVED_UNRUN and (len(part.attempts) == 1 or unsafe and not part.live):
                 part.may_have_run_since = None
@@ -76,14 +79,15 @@
             node.consecutive_failures = 0
             node.record_outcome(self.now, kind, 1.0 if ratio >= SLOW_RATIO else 0.0)
         elif event.result in (Result.TIMEOUT, Result.CANCELLED) and attempt.late:
-            # No answer tells of a slow node too: guards against taking a jammed only replica for a quick one.
+            # A missing answer shows a slow node, too: guards against taking the only replica for a quick one
+            # when it is jammed.
             ratio = max(node.slowdown(self.now), 1 + SLOWDOWN_GAIN * (event.elapsed / latency.mean - 1))
             node.ratio, node.ratio_at = ratio, self.now
         elif event.result not in (Result.MOOT, Result.CANCELLED) and not attempt.late:
             self._record_failure(node, kind, event.result.name)
 
     def _record_failure(self, node: Node, kind: int, why: str) -> None:
-        """One failure or late part more, whatever its cause; if all are late the choice is as before."""
+        """Count a failed or late part, whatever the cause; if all nodes are late the choice is the same."""
         node.consecutive_failures += 1
         node.record_outcome(self.now, kind, 1.0)
         if node.consecutive_failures == FAILURES_BEFORE_LOG:
--- a/quincepath/policy/members.py
+++ b/quincepath/policy/members.py
@@ -1,4 +1,4 @@
-"""The node list: what it tells, when to ask for it, and who holds a shard."""
+"""The node list: what it says, when to subscribe to it, and which nodes hold a shard."""
 
 from collections.abc import Iterable
 from itertools import chain
@@ -6,20 +6,21 @@
 from quincepath.interface import Entry, Members, Phase, Scope, SetTimer, Watch
 from quincepath.policy.cold import ColdNodes
 from quincepath.policy.nodes import Node
-from quincepath.policy.tuning import LIST_TOKEN, RESUBSCRIBE_SHARE, RESUBSCRIBE_WITHIN
+from quincepath.policy.tuning import LIST_TOKEN, RESUBSCRIBE_IN, RESUBSCRIBE_SHARE
 
 
 class NodeList(ColdNodes):
+    """Keeps the nodes up to date with the list."""
+
     def _apply_members(self, event: Members) -> None:
         if self.settings.must_ask and not self.subscribed:
             self.subscribed = True
             self.actions.append(Watch(True))
         if event.scope is Scope.FAILED:
-            # At times of each broker's own: guards against all failing in step again at a small list service.
+            # Random times: guards against brokers that all ask again at once, and fail again, at a small list
+            # service.
             pause = (
-                (self.rules.must_ask_in or RESUBSCRIBE_WITHIN)
-                * RESUBSCRIBE_SHARE
-                * (0.5 + self.random.random())
+                (self.rules.must_ask_in or RESUBSCRIBE_IN) * RESUBSCRIBE_SHARE * (0.5 + self.random.random())
             )
             self.actions.append(SetTimer(self.now + int(pause), LIST_TOKEN))
             return
@@ -43,7 +44,7 @@
             if entry.since:
                 self._mark_cold(node, entry.since)
         elif entry.since > max(node.cold_from, 0):
-            # A restart, ready or not yet: what was out there is lost, and what was learned of it is void.
+            # A restart, ready or not yet: what was learned of the node is void, and its open calls are lost.
             node.failure_shares, node.consecutive_failures, node.ratio = {}, 0, 1.0
             self._mark_cold(node, entry.since)
         if entry.cell != node.entry.cell:
@@ -56,6 +57,7 @@
             self.gone[node.id] = node
 
     def _replicas(self, shard: int) -> Iterable[Node]:
+        """Ready nodes of the cells that hold the shard."""
         cells = self.settings.cells
-        held = (self.cells.get((shard + j) % cells, ()) for j in range(min(self.settings.reach, cells)))
-        return (node for node in chain.from_iterable(held) if node.ready)
+        groups = (self.cells.get((shard + j) % cells, ()) for j in range(min(self.settings.reach, cells)))
+        return (node for node in chain.from_iterable(groups) if node.ready)
--- a/quincepath/policy/queries.py
+++ b/quincepath/policy/queries.py
@@ -1,4 +1,4 @@
-"""Open queries, their parts and the attempts at each."""
+"""Open queries, their parts and the attempts at each part."""
 
 from quincepath.interface import Part, Query, QueryClass
 from quincepath.policy.nodes import Call, Node
@@ -6,28 +6,32 @@
 
 
 class Attempt:
+    """One send of a part to a node."""
+
     def __init__(self, part: "PartState", node: Node, call: Call, now: int) -> None:
         self.part, self.node, self.call, self.sent_at, self.calls_before = part, node, call, now, node.calls
         self.late = self.cancelled = self.failed = False  # failed: ended at once, leaves no work behind
 
 
 class PartState:
+    """One part of an open query, with its attempts."""
+
     def __init__(self, query: "QueryState", event: Part) -> None:
         self.query, self.id, self.weight, self.shard = query, event.id, event.weight, event.shard
         self.index, self.step = len(query.parts), query.step
         self.attempts: list[Attempt] = []
         self.live: list[Attempt] = []
-        self.ok = self.closed = False  # dead: no attempt may follow
-        self.not_before = 0  # further tries at a replica tried before wait until then
-        self.may_have_run_since: int | None = None  # when the first attempt that may have run went out
+        self.ok = self.closed = False  # closed: no attempt may follow
+        self.not_before = 0  # earliest time of a further attempt
+        self.may_have_run_since: int | None = None  # when the first attempt that may have run was sent
 
     def add_to_sums(self, sign: int) -> None:
-        """Add this part to its query's sums, or take it from them: called around each change of the part."""
+        """Add this part to its query's sums, or subtract it; called around each change of the part."""
         query, weight = self.query, sign * self.weight
         covered = self.ok or any(not attempt.late for attempt in self.live)
         query.weight_in += weight * self.ok
         query.weight_covered += weight * covered
-        query.weight_in_or_live += weight * (self.ok or bool(self.live))
+        query.weight_active += weight * (self.ok or bool(self.live))
         query.weight_started += weight * any(not attempt.failed for attempt in self.attempts)
         if covered:
             query.uncovered.pop(self.index, None)
@@ -36,31 +40,35 @@
 
 
 class QueryState:
-    def __init__(self, event: Query, kind: QueryClass, target_at: int, end: int) -> None:
+    """One open query, with the sums that are kept over its parts."""
+
+    def __init__(self, event: Query, spec: QueryClass, target_at: int, end: int) -> None:
         self.id, self.number, self.repeat, self.key = event.id, event.number, event.repeat, event.key
-        self.kind, self.spec, self.target_at, self.end = event.kind, kind, target_at, end
+        self.kind, self.spec, self.target_at, self.end = event.kind, spec, target_at, end
         self.begin_step(1)
         self.complete = self.awaiting_admission = True
-        self.short_timeout = False  # its client gives less time than the target: too little to bring news
-        self.timer_at = self.lost_connections = 0  # crashes: attempts whose connection was lost
-        self.has_success = False  # some part is in: the query does not take down what it meets
+        self.short_timeout = False  # its client gives less time than the target: too little to learn from
+        self.timer_at = self.lost_connections = 0
+        self.has_success = False  # some part was answered: this is no poison query
 
     def begin_step(self, step: int) -> None:
+        """Reset the parts and their sums for the first or second step."""
         self.step = step
         self.awaiting_second_step = False  # between the first answer and the parts of the second step
         self.parts: list[PartState] = []
         self.unsent: dict[int, list[PartState]] = {}  # by home cell, in order
-        self.uncovered: dict[int, PartState] = {}  # by index: neither in nor expected in
-        # Weights of the parts that are in; in or expected; in or out; and at work, or that may be.
-        self.weight_in = self.weight_covered = self.weight_in_or_live = self.weight_started = (
-            self.heaviest
-        ) = 0.0
-        self.attempts_sent = self.open_attempts = 0  # attempts in all, and those that have not ended
-        self.in_time: dict[Attempt, None] = {}  # those that have not ended and are not late, the oldest first
+        self.uncovered: dict[int, PartState] = {}  # by index: neither answered nor with an attempt in time
+        # Weights of the parts that are answered (in), answered or with an attempt in time (covered), answered
+        # or with an open attempt (active), and with an attempt that may have left work at a node (started).
+        self.weight_in = self.weight_covered = self.weight_active = self.weight_started = self.heaviest = 0.0
+        self.attempts_sent = self.open_attempts = 0
+        self.in_time: dict[Attempt, None] = {}  # open attempts that are not late, oldest first
 
     def need(self) -> float:
+        """Weight that makes the answer of this step complete."""
         return (self.spec.need if self.step == 1 else 1.0) - EPSILON
 
     def floor(self) -> float:
+        """Least weight for a partial answer of this step."""
         lenient = self.spec.floor < self.spec.need
         return (self.spec.floor if self.step == 1 or lenient else 1.0) - EPSILON
--- a/quincepath/policy/sending.py
+++ b/quincepath/policy/sending.py
@@ -1,4 +1,4 @@
-"""Sending: first tries, further tries and second copies, and when to look again."""
+"""Sending: first attempts, retries and hedges, and when to check a query again."""
 
 from itertools import islice, takewhile
 
@@ -23,6 +23,8 @@
 
 
 class Sending(ReplicaChoice, Learning):
+    """Sends the parts of admitted queries."""
+
     def _mark_late(self, query: QueryState) -> None:
         late = self._typical(query).late_after()
         found = list(takewhile(lambda attempt: self.now >= attempt.sent_at + late, query.in_time))
@@ -34,7 +36,7 @@
             self._record_failure(attempt.node, query.kind, "LATE")
 
     def _send_until_covered(self, query: QueryState) -> bool:
-        """Send until enough weight is covered; tells whether something had to be held for want of a node."""
+        """Send until enough weight is covered; returns whether a part lacks a node or token."""
         if query.weight_covered < query.need():
             self.ranks, self.candidates, self.stale = {}, [], set(query.unsent)
         while query.weight_covered < query.need():
@@ -49,37 +51,40 @@
         return False
 
     def _hedges_suffice(self, query: QueryState) -> bool:
-        """Copies go out only if the store has enough for all parts that the query lacks."""
-        # Guards against spending it on a query of many parts that stays a few short all the same.
-        most = int(max(self.hedge_tokens, 1))
-        if query.weight_covered + most * query.heaviest < query.need():
+        """Whether the hedge tokens suffice for all parts that the query still needs."""
+        # Guards against spending them on a query of many parts that stays incomplete all the same.
+        affordable = int(max(self.hedge_tokens, 1))
+        if query.weight_covered + affordable * query.heaviest < query.need():
             return False
         uncovered = sorted([part.weight for part in query.uncovered.values()], reverse=True)
-        return query.weight_covered + sum(uncovered[:most]) >= query.need()
+        return query.weight_covered + sum(uncovered[:affordable]) >= query.need()
 
     def _charge_hedge(self, query: QueryState, part: PartState) -> bool:
-        """Sends on top of work that goes on come out of a store filled by planned ones: no storms."""
+        """Whether the part may be sent: a send on top of work in progress takes a hedge token.
+
+        Planned sends earn the tokens, so hedges cannot multiply into a retry storm.
+        """
         if query.weight_started < query.need() and all(attempt.failed for attempt in part.attempts):
             share = HEDGE_SHARE_CONGESTED if self._congested(query) else HEDGE_SHARE
-            most = max(HEDGE_TOKENS_MAX, HEDGE_SHARE * len(query.parts))
-            self.hedge_tokens = max(min(self.hedge_tokens + share, most), self.hedge_tokens)
+            limit = max(HEDGE_TOKENS_MAX, HEDGE_SHARE * len(query.parts))
+            self.hedge_tokens = max(min(self.hedge_tokens + share, limit), self.hedge_tokens)
             return True
-        paid = self.hedge_tokens >= 1
-        self.hedge_tokens -= paid
-        return paid
+        has_token = self.hedge_tokens >= 1
+        self.hedge_tokens -= has_token
+        return has_token
 
     def _next_extra(self, query: QueryState) -> tuple[PartState, Node] | None:
-        """A further try or second copy, for a part that failed or is late; past the target no copies."""
-        # Tries go on past it while a late answer is worth something: guards against holding a query for which
-        # nothing more would be sent.
+        """A retry of a failed part or a hedge of a late one; no hedges after the target time."""
+        # Retries go on after it while a late answer is worth something: guards against holding a query for
+        # which nothing more would be sent.
         overdue = self.now >= query.target_at
         allowed = self.budget.allows(self.now) and self.fleet_allowance.allows(self.now)
         if not allowed or overdue and not query.spec.late_worth:
             return None
-        copies = self.limits.duplicate and query.spec.effect is Effect.SAFE and not overdue
+        may_hedge = self.limits.duplicate and query.spec.effect is Effect.SAFE and not overdue
         for _, part in sorted(query.uncovered.items()):
-            open_now = part.attempts and (copies or not part.live) and self.now >= part.not_before
-            if not open_now or not self._may_still_send(part):
+            eligible = part.attempts and (may_hedge or not part.live) and self.now >= part.not_before
+            if not eligible or not self._may_still_send(part):
                 continue
             found = self._best_replica(part)
             if found and all(found[0][0] <= a.node.load(self.now, query.kind) for a in part.live):
@@ -87,13 +92,14 @@
         return None
 
     def _may_still_send(self, part: PartState) -> bool:
+        """Whether a further attempt is allowed; of a part with effects only if unrun or inside its window."""
         if part.closed or len(part.attempts) >= self.limits.attempts or not any(self._replicas(part.shard)):
             return False
-        spec, by = part.query.spec, self.now + ANSWER_MARGIN_TICKS * self.settings.tick
+        spec, leaves_by = part.query.spec, self.now + ANSWER_MARGIN_TICKS * self.settings.tick
         return (
             part.may_have_run_since is None
             or spec.effect is Effect.KEYED
-            and by < part.may_have_run_since + spec.window
+            and leaves_by < part.may_have_run_since + spec.window
         )
 
     def _send(self, part: PartState, node: Node) -> None:
@@ -105,7 +111,8 @@
             query.unsent[part.shard % cells].pop(0)
             if not query.unsent[part.shard % cells]:
                 del query.unsent[part.shard % cells]
-        for other in self._replicas(part.shard):  # their ranks have changed, and the choice of who shares one
+        # The ranks of these nodes change, and so does the choice of all parts that share one of them.
+        for other in self._replicas(part.shard):
             self.ranks.pop(other.id, None)
         reach = min(self.settings.reach, cells)
         self.stale.update((part.shard + j) % cells for j in range(1 - reach, reach))
@@ -115,11 +122,11 @@
             node.calls += 1
         node.call.parts += 1
         node.call.open += 1
-        # How long to remember a node: of many brokers each meets it seldom and would forget in between.
+        # A node's decay time: with many brokers each one sends to a node seldom and would forget in between.
         self.sends += 1
         self.first_sent_at = self.first_sent_at or self.now
-        meeting = (self.now - self.first_sent_at) * self.ready_count // self.sends
-        node.decay_time, node.last_sent_at = min(max(meeting, DECAY_TIME_MIN), DECAY_TIME_MAX), self.now
+        send_interval = (self.now - self.first_sent_at) * self.ready_count // self.sends
+        node.decay_time, node.last_sent_at = min(max(send_interval, DECAY_TIME_MIN), DECAY_TIME_MAX), self.now
         attempt = Attempt(part, node, node.call, self.now)
         part.attempts.append(attempt)
         part.live.append(attempt)
@@ -133,34 +140,34 @@
         self.actions.append(Send(part.id, node.id, self._timeout(part)))
 
     def _timeout(self, part: PartState) -> int:
-        """Where a second copy is allowed, wait to the end; else give up in time for another try."""
+        """Timeout of an attempt: the time left where a hedge is allowed, else early enough for a retry."""
         query = part.query
-        left = max(
+        remaining = max(
             (query.end if query.spec.late_worth > 0 else min(query.end, query.target_at)) - self.now, 1
         )
-        resendable = query.spec.effect is not Effect.UNSAFE and len(part.attempts) < self.limits.attempts
+        may_retry = query.spec.effect is not Effect.UNSAFE and len(part.attempts) < self.limits.attempts
         if (
             self.limits.duplicate
-            or not resendable
+            or not may_retry
             or self.now >= query.target_at
             or self.hedge_tokens < EARLY_TIMEOUT_MIN_TOKENS
         ):
-            return left
-        patience = EARLY_TIMEOUT_FACTOR_CONGESTED if self._congested(query) else EARLY_TIMEOUT_FACTOR
+            return remaining
+        factor = EARLY_TIMEOUT_FACTOR_CONGESTED if self._congested(query) else EARLY_TIMEOUT_FACTOR
         late = self._typical(query).late_after()
-        wait = int(patience * late)
-        if query.spec.effect is Effect.KEYED:  # a resend has to go out while repeats are still dropped
+        wait = int(factor * late)
+        if query.spec.effect is Effect.KEYED:  # a retry has to be sent while duplicates are still dropped
             wait = min(wait, int(WINDOW_SHARE * query.spec.window))
-        return min(left, wait) if wait >= late else left  # sound ones are not cut off
+        return min(remaining, wait) if wait >= late else remaining  # healthy attempts are not cut off
 
     def _next_wakeup(self, query: QueryState, blocked: bool) -> int:
-        looks = [
+        times = [
             query.end,
             *(at for at in (self._partial_answer_at(query), query.target_at) if at > self.now),
         ]
-        looks.extend(
+        times.extend(
             attempt.sent_at + self._typical(query).late_after() for attempt in islice(query.in_time, 1)
         )
         if blocked:
-            looks.append(self.now + BLOCKED_RECHECK)
-        return min(looks)
+            times.append(self.now + BLOCKED_RECHECK)
+        return min(times)
--- a/quincepath/policy/state.py
+++ b/quincepath/policy/state.py
@@ -1,4 +1,4 @@
-"""All that one broker remembers between events; the layers above add what is decided from it."""
+"""The state that one broker keeps between events; the classes built on it add the decisions."""
 
 import random
 
@@ -8,54 +8,55 @@
 from quincepath.policy.queries import PartState, QueryState
 from quincepath.policy.tuning import CONGESTION_FACTOR, HEDGE_TOKENS_MAX, SIGNAL_TTL
 
-Rank = tuple[int, float, float]
+Rank = tuple[int, float, float]  # load, expected latency, random tie-break
 
 
 class State:
+    """Nodes, open queries, learned latencies and budgets of one broker."""
+
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rules, self.limits = settings, settings.rules, settings.limits
         self.random = random.Random(seed)
         self.now = 0
         self.actions: list[Action] = []
         self.nodes: dict[NodeId, Node] = {}
-        self.gone: dict[NodeId, Node] = {}  # those of them that are, and have calls out
-        self.cells: dict[int, list[Node]] = {}  # in order of first news
+        self.gone: dict[NodeId, Node] = {}  # nodes listed as gone, kept while they have calls open
+        self.cells: dict[int, list[Node]] = {}  # nodes in the order in which they were first listed
         self.ready_count = self.nodes_listed = 0
         self.queries: dict[int, QueryState] = {}
-        self.admitted = [0] * len(
-            settings.classes
-        )  # open queries of each class that were not refused at once
+        # By class, open queries that were not refused at once.
+        self.admitted = [0] * len(settings.classes)
         self.by_number: dict[int, QueryState] = {}
         self.parts: dict[int, PartState] = {}
         self.budget, self.fleet_allowance = AttemptBudget(settings), FleetAllowance()
         targets = [spec.target for spec in settings.classes]
-        self.latency = {
-            (kind, step): Latency(target) for kind, target in enumerate(targets) for step in (1, 2)
-        }
+        self.latency = {(kind, step): Latency(time) for kind, time in enumerate(targets) for step in (1, 2)}
         self.subscribed = False
-        self.longest_timeout: dict[int, int] = {}  # by class, the most time that a client gave a try
+        self.longest_timeout: dict[int, int] = {}  # by class, the most time that a client gave a request
         self.full_timeout_at: dict[int, int] = {}  # by class, when a client last gave the target or more
-        self.short_timeout_at = -SIGNAL_TTL
-        self.last_updated = self.latency[0, 1]  # of the kind of part that was in last
+        self.short_timeout_at = -SIGNAL_TTL  # when a first request last came with less than the longest one
+        self.last_updated = self.latency[0, 1]  # of the kind of part that was answered last
         self.first_sent_at = self.sends = 0
         self.hedge_tokens = HEDGE_TOKENS_MAX
-        self.refused = self.refused_at = 0
+        self.refused = self.refused_at = 0  # queries refused in this overload, and when the last one was
         self.connection_lost_at = self.dial_failed_at = -SIGNAL_TTL
-        self.ranks: dict[NodeId, Rank | None] = {}  # of one round; none where a node is too cold
+        self.ranks: dict[
+            NodeId, Rank | None
+        ] = {}  # of one round; None for a node that may not be sent to yet
         self.stale: set[int] = set()  # home cells whose first unsent part has to be ranked
-        self.candidates: list[tuple[Rank, int, NodeId]] = []  # heap: parts by index, each with its choice
-        self.poison_keys: dict[int, int] = {}  # keys of poisoned queries, and when they were last seen
+        self.candidates: list[
+            tuple[Rank, int, NodeId]
+        ] = []  # heap of ranked parts, by index, with their node
+        self.poison_keys: dict[int, int] = {}  # keys of poison queries, and when each was last recorded
 
     def _typical(self, query: QueryState) -> Latency:
         return self.latency[query.kind, query.step]
 
     def _congested(self, query: QueryState) -> bool:
-        return (
-            self._current_latency(query.kind, query.step) > CONGESTION_FACTOR * self._typical(query).baseline
-        )
+        return self._latency_now(query.kind, query.step) > CONGESTION_FACTOR * self._typical(query).baseline
 
-    def _current_latency(self, kind: int, step: int) -> float:
-        """A class's typical latency now: without a part for long, moved as that of the class last seen."""
+    def _latency_now(self, kind: int, step: int) -> float:
+        """Typical latency of a class; without recent replies it is scaled like the class answered last."""
         latency = self.latency[kind, step]
         if self.last_updated.seen_at <= latency.seen_at + latency.target:
             return latency.mean
--- a/quincepath/settings.py
+++ b/quincepath/settings.py
@@ -1,4 +1,4 @@
-"""Reads the startup text (one ``path=value`` a line) into ``Settings``; knows names and types, no values."""
+"""Parses the startup text (one ``path=value`` per line) into ``Settings``: names and types, no values."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -9,7 +9,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or unreadable; the text names it."""
+    """A setting is missing or invalid; the text names it."""
 
 
 def _flag(text: str) -> bool:
@@ -18,17 +18,17 @@
     return text == "true"
 
 
-def _names(text: str) -> tuple[str, ...]:
+def _items(text: str) -> tuple[str, ...]:
     return tuple(text.split(",")) if text else ()
 
 
 def _numbers(text: str) -> tuple[float, ...]:
-    return tuple(float(item) for item in _names(text))
+    return tuple(float(item) for item in _items(text))
 
 
-def _expected(read: Callable[[str], Any]) -> str:
-    """What a reader takes, in words."""
-    if read is Effect:
+def _expected(parse: Callable[[str], Any]) -> str:
+    """Describes in words the values that a parser accepts."""
+    if parse is Effect:
         return " or ".join(effect.value for effect in Effect)
     words = {
         int: "a whole number",
@@ -36,27 +36,27 @@
         _flag: "true or false",
         _numbers: "numbers with commas",
     }
-    return words.get(read, "another value")
+    return words.get(parse, "another value")
 
 
 class Reader:
-    """Looks values up by path, so that an error can name the path."""
+    """Looks up values by path, so that an error can name the path."""
 
     def __init__(self, text: str) -> None:
         self.values = dict(line.partition("=")[::2] for line in text.splitlines() if "=" in line)
 
-    def get(self, path: str, read: Callable[[str], T], default: T | None = None) -> T:
-        """One setting; raises ``SettingsError`` where it is missing without a default, or cannot be read."""
+    def get(self, path: str, parse: Callable[[str], T], default: T | None = None) -> T:
+        """One setting; raises ``SettingsError`` if it is missing without a default or cannot be parsed."""
         text = self.values.get(path)
         if text is None:
             if default is None:
                 raise SettingsError(f"setting {path} is missing")
             return default
         try:
-            return read(text)
+            return parse(text)
         except (ValueError, OverflowError):
             raise SettingsError(
-                f"setting {path} is unreadable: {text!r}, {_expected(read)} was expected"
+                f"setting {path} is unreadable: {text!r}, {_expected(parse)} was expected"
             ) from None
 
     def item(self, path: str, index: int, default: float | None = None) -> float:
@@ -70,56 +70,56 @@
         return default
 
 
-def _query_class(r: Reader, i: int) -> QueryClass:
-    at = f"classes.{i}."
-    effect = r.get(at + "effect", Effect)
-    need = r.item("specifics.needByClass", i)
+def _query_class(reader: Reader, i: int) -> QueryClass:
+    prefix = f"classes.{i}."
+    effect = reader.get(prefix + "effect", Effect)
+    need = reader.item("specifics.needByClass", i)
     return QueryClass(
-        name=r.get(at + "name", str, str(i)),
-        target=r.get(at + "target", int),
-        deadline=r.get(at + "deadline", int),
+        name=reader.get(prefix + "name", str, str(i)),
+        target=reader.get(prefix + "target", int),
+        deadline=reader.get(prefix + "deadline", int),
         effect=effect,
-        window=r.get(at + "window", int, None if effect is Effect.KEYED else 0),
-        late_worth=r.get(at + "lateWorth", float, 0.0),
+        window=reader.get(prefix + "window", int, None if effect is Effect.KEYED else 0),
+        late_worth=reader.get(prefix + "lateWorth", float, 0.0),
         need=need,
-        floor=r.item("specifics.classFloor", i, need),
-        second_step=int(r.item("specifics.secondStep", i, 0.0)),
+        floor=reader.item("specifics.classFloor", i, need),
+        second_step=int(reader.item("specifics.secondStep", i, 0.0)),
     )
 
 
 def read_settings(text: str) -> Settings:
-    """Build ``Settings``; unknown paths are ignored, a missing required one raises ``SettingsError``."""
-    r = Reader(text)
-    budget_window = r.get("rules.countedOver", int, 0)
+    """Build ``Settings``; ignores unknown paths, raises ``SettingsError`` for missing required ones."""
+    reader = Reader(text)
+    budget_window = reader.get("rules.countedOver", int, 0)
     return Settings(
-        me=r.get("me", int, 0),
-        instances=r.get("instances", int),
-        zone=r.get("az", int, 0),
-        tick=r.get("tick", int),
-        cells=r.get("specifics.places", int),
-        reach=r.get("specifics.inARow", int),
-        must_ask=r.get("discovery", str, "push") == "ask",
-        cross_zone_charge=r.get("charges.crossZone", float, 0.0),
-        call_work=r.get("specifics.perCallWork", int, 0),
-        classes=tuple(_query_class(r, i) for i in range(r.get("classes.count", int))),
+        me=reader.get("me", int, 0),
+        instances=reader.get("instances", int),
+        zone=reader.get("az", int, 0),
+        tick=reader.get("tick", int),
+        cells=reader.get("specifics.places", int),
+        reach=reader.get("specifics.inARow", int),
+        must_ask=reader.get("discovery", str, "push") == "ask",
+        cross_zone_charge=reader.get("charges.crossZone", float, 0.0),
+        call_work=reader.get("specifics.perCallWork", int, 0),
+        classes=tuple(_query_class(reader, i) for i in range(reader.get("classes.count", int))),
         limits=Limits(
-            attempts=r.get("limits.tryLimit", int),
-            cancel=r.get("limits.mayCancel", _flag, False),
-            duplicate=r.get("limits.mayDuplicate", _flag, False),
-            retry_after=r.get("limits.retryAfter", _flag, False),
-            max_retry_after=r.get("limits.maxRetryAfter", int, 0),
-            connect_timeout=r.get("limits.dialTimeout", int, 0),
-            idle_close=r.get("limits.idleClose", int, 0),
-            batch=r.get("specifics.batch", int, 1),
+            attempts=reader.get("limits.tryLimit", int),
+            cancel=reader.get("limits.mayCancel", _flag, False),
+            duplicate=reader.get("limits.mayDuplicate", _flag, False),
+            retry_after=reader.get("limits.retryAfter", _flag, False),
+            max_retry_after=reader.get("limits.maxRetryAfter", int, 0),
+            connect_timeout=reader.get("limits.dialTimeout", int, 0),
+            idle_close=reader.get("limits.idleClose", int, 0),
+            batch=reader.get("specifics.batch", int, 1),
         ),
         rules=Rules(
-            cold_share=r.get("rules.coldShare", float),
-            ramp_time=r.get("rules.rampTime", int),
-            fall_multiple=r.get("rules.fallMultiple", float),
-            overload_for=r.get("rules.overloadFor", int),
-            must_ask_in=r.get("rules.mustAskIn", int, 0),
+            cold_share=reader.get("rules.coldShare", float),
+            ramp_time=reader.get("rules.rampTime", int),
+            fall_multiple=reader.get("rules.fallMultiple", float),
+            overload_for=reader.get("rules.overloadFor", int),
+            must_ask_in=reader.get("rules.mustAskIn", int, 0),
             budget_window=budget_window,
-            budget_free=r.get("rules.freeResends", float, 0.0),
-            budget_ratio=r.get("rules.repeatRatio", float, 0.0),
+            budget_free=reader.get("rules.freeResends", float, 0.0),
+            budget_ratio=reader.get("rules.repeatRatio", float, 0.0),
         ),
     )
--- a/quincepath/wire.py
+++ b/quincepath/wire.py
@@ -1,4 +1,4 @@
-"""The binary wire: batches of events in, replies of actions out. Layout only, no decision."""
+"""The binary wire format: batches of events in, replies with actions out. It makes no decisions."""
 
 from dataclasses import dataclass
 from struct import Struct
@@ -40,37 +40,37 @@
 _INIT = Struct(">xIQII")
 _MEMBERS = Struct(">xIBIH")
 _REQUEST = Struct(">xIIQfQHBHQff")
-_FIRST = Struct(">xIIHQ6s")
+_OPENED = Struct(">xIIHQ6s")
 _OUTCOME = Struct(">xIIH6sHQBB4f")
-_GONE = Struct(">xII")
+_LEFT = Struct(">xII")
 _TIMER = Struct(">xIQ")
 _PROBED = Struct(">xI6sHQB4f")
 _PEER = Struct(">xIIII")
 _STOP = Struct(">xI")
-_LIST = Struct(">xHII")
+_NODE_LIST = Struct(">xHII")
 _ENTRY = Struct(">BB6sQHBf")
 
 _SEND = Struct(">BII6sQ")
 _REFUSE = Struct(">BIIQ")
-_TIMER_OUT = Struct(">BIQQ")
+_SET_TIMER = Struct(">BIQQ")
 _CANCEL = Struct(">BIIH")
 _ID = Struct(">BII")
 _ID_FLAG = Struct(">BIIB")
 _FLAG = Struct(">BIB")
 _NODE = Struct(">BI6s")
-_NOTE = Struct(">BIII")
-_BARE = Struct(">BI")
+_TEXT = Struct(">BIII")
+_CODE_ONLY = Struct(">BI")
 
 REPEAT_FLAG = 2
 
 
 class WireError(ValueError):
-    """The frame does not follow the wire's layout; the text says what and where."""
+    """A frame does not follow the wire format; the text says what is wrong and where."""
 
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    """A new instance with its seed and settings text."""
+    """A new instance, with its seed and the text of its settings."""
 
     seed: int
     settings: str
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """The decision code of an instance has failed."""
+    """The decision module of an instance has failed."""
 
     text: str
 
@@ -121,7 +121,7 @@
 
 
 def decode_batch(body: bytes, count: int, lists: Lists) -> list[Incoming]:
-    """Read the records of one batch; numbered lists are kept in ``lists`` as the batch goes on."""
+    """Decode the records of one batch; numbered node lists are added to ``lists`` on the way."""
     tail = count * EVENT_SIZE
     if tail > len(body):
         raise WireError(f"batch: {count} records do not fit {len(body)} bytes")
@@ -131,35 +131,50 @@
         code = body[at]
         where = f"record {index} (code {code})"
         if code == 30:
-            i, rid, cost, size, key, marks, kind, tenant, left, shard, number = _REQUEST.unpack_from(body, at)
-            cost = cost if marks & 1 else 0
+            i, request_id, cost, size, key, flags, kind, tenant, left, shard, number = _REQUEST.unpack_from(
+                body, at
+            )
+            cost = cost if flags & 1 else 0
             if shard < 0:
-                repeat = bool(marks & REPEAT_FLAG)
-                found.append((i, Query(rid, int(number), int(size), kind, tenant, left, key, cost, repeat)))
+                repeat = bool(flags & REPEAT_FLAG)
+                found.append(
+                    (i, Query(request_id, int(number), int(size), kind, tenant, left, key, cost, repeat))
+                )
             else:
-                found.append((i, Part(rid, int(number), size, int(shard), key, cost)))
+                found.append((i, Part(request_id, int(number), size, int(shard), key, cost)))
         elif code == 50:
-            i, rid, leg, node, how, delay, final, n, *report = _OUTCOME.unpack_from(body, at)
+            i, request_id, attempt, node, result, delay, final, n, *report = _OUTCOME.unpack_from(body, at)
             found.append(
-                (i, Outcome(rid, leg, node, _result(how, where), delay, final != 0, tuple(report[:n])))
+                (
+                    i,
+                    Outcome(
+                        request_id,
+                        attempt,
+                        node,
+                        _result(result, where),
+                        delay,
+                        final != 0,
+                        tuple(report[:n]),
+                    ),
+                )
             )
         elif code == 70:
             i, token = _TIMER.unpack_from(body, at)
             found.append((i, TimerFired(token)))
         elif code == 20:
-            i, scope, version, sheet = _MEMBERS.unpack_from(body, at)
+            i, scope, version, list_id = _MEMBERS.unpack_from(body, at)
             if scope not in Scope.__members__.values():
                 raise WireError(f"{where}: unknown list scope {scope}")
-            if scope != Scope.FAILED and sheet not in lists:
-                raise WireError(f"{where}: list {sheet} was never registered")
-            entries = () if scope == Scope.FAILED else lists[sheet]
+            if scope != Scope.FAILED and list_id not in lists:
+                raise WireError(f"{where}: list {list_id} was never registered")
+            entries = () if scope == Scope.FAILED else lists[list_id]
             found.append((i, Members(Scope(scope), version, entries)))
         elif code == 110:
-            sheet, offset, size = _LIST.unpack_from(body, at)
-            lists[sheet] = _entries(body, tail, offset, size, where)
+            list_id, offset, size = _NODE_LIST.unpack_from(body, at)
+            lists[list_id] = _entries(body, tail, offset, size, where)
         elif code == 60:
-            i, rid = _GONE.unpack_from(body, at)
-            found.append((i, Left(rid)))
+            i, request_id = _LEFT.unpack_from(body, at)
+            found.append((i, Left(request_id)))
         elif code == 10:
             i, seed, offset, size = _INIT.unpack_from(body, at)
             text = _cut(body, tail, offset, size, where)
@@ -167,11 +182,11 @@
         elif code == 100:
             found.append((_STOP.unpack_from(body, at)[0], Stop()))
         elif code == 80:
-            i, node, how, delay, n, *report = _PROBED.unpack_from(body, at)
-            found.append((i, Probed(node, _result(how, where), delay, tuple(report[:n]))))
+            i, node, result, delay, n, *report = _PROBED.unpack_from(body, at)
+            found.append((i, Probed(node, _result(result, where), delay, tuple(report[:n]))))
         elif code == 40:
-            i, rid, leg, _, node = _FIRST.unpack_from(body, at)
-            found.append((i, Opened(rid, leg, node)))
+            i, request_id, attempt, _, node = _OPENED.unpack_from(body, at)
+            found.append((i, Opened(request_id, attempt, node)))
         elif code == 90:
             i, sender, offset, size = _PEER.unpack_from(body, at)
             found.append((i, FromPeer(sender, _cut(body, tail, offset, size, where))))
@@ -185,26 +200,26 @@
         case Send(part, node, timeout):
             return _SEND.pack(10, i, part, node, timeout)
         case SetTimer(at, token):
-            return _TIMER_OUT.pack(50, i, at, token)
-        case Answer(rid, full):
-            return _ID_FLAG.pack(130, i, rid, full)
-        case Refuse(rid, retry_in):
-            return _REFUSE.pack(20, i, rid, retry_in)
-        case Fail(rid):
-            return _ID.pack(30, i, rid)
+            return _SET_TIMER.pack(50, i, at, token)
+        case Answer(request_id, full):
+            return _ID_FLAG.pack(130, i, request_id, full)
+        case Refuse(request_id, retry_in):
+            return _REFUSE.pack(20, i, request_id, retry_in)
+        case Fail(request_id):
+            return _ID.pack(30, i, request_id)
         case Cancel(part, attempt):
             return _CANCEL.pack(40, i, part, attempt)
         case Watch(on):
             return _FLAG.pack(110, i, on)
         case Fetch():
-            return _BARE.pack(120, i)
+            return _CODE_ONLY.pack(120, i)
         case Probe(node):
             return _NODE.pack(60, i, _node(node))
         case Log(text) | Fault(text):
-            note = text.encode()
+            encoded = text.encode()
             offset = len(tail)
-            tail += note
-            return _NOTE.pack(90 if isinstance(action, Log) else 100, i, offset, len(note))
+            tail += encoded
+            return _TEXT.pack(90 if isinstance(action, Log) else 100, i, offset, len(encoded))
 
 
 def _node(node: NodeId) -> bytes:
@@ -214,7 +229,7 @@
 
 
 def encode_reply(actions: list[tuple[int, Action | Fault]]) -> bytes:
-    """Write one reply: header, records, tail."""
+    """Encode one reply: header, records, tail."""
     tail = bytearray()
     records = b"".join(_record(i, action, tail).ljust(ACTION_SIZE, b"\0") for i, action in actions)
     return REPLY.pack(len(actions), len(records) + len(tail)) + records + tail
--- a/tests/test_documented.py
+++ b/tests/test_documented.py
@@ -14,7 +14,6 @@
     "quincepath/lab/*.py",
     "quincepath/lab/fleet/*.py",
     "quincepath/lab/fleet/run/*.py",
-    "quincepath/policy/*.py",
     "tests/**",
 }
 LINT = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]["lint"]
--- a/tests/test_policy_cost.py
+++ b/tests/test_policy_cost.py
@@ -177,7 +177,7 @@
         live = [attempt for part in parts for attempt in part.live]
         covered = [part for part in parts if part.ok or any(not attempt.late for attempt in part.live)]
         started = [part for part in parts if any(not attempt.failed for attempt in part.attempts)]
-        kept = (query.weight_in, query.weight_covered, query.weight_in_or_live, query.weight_started)
+        kept = (query.weight_in, query.weight_covered, query.weight_active, query.weight_started)
         summed = (
             [part for part in parts if part.ok],
             covered,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -561,7 +561,7 @@
             broker.end(parts[0])
             broker.advance(10 * MS)
         assert len(broker.policy.budget.accepted) <= most
-        assert not broker.policy.budget.extra_sent
+        assert not broker.policy.budget.extras
 
 
 @pytest.mark.parametrize("effect", [Effect.UNSAFE, Effect.KEYED])
