--- a/benchmarks/capacity/quality.py
+++ b/benchmarks/capacity/quality.py
@@ -17,7 +17,7 @@
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.world import Emulation
 from quincepath.policy import Aggregator
-from tests.baseline.random_replica import RandomReplica, _Held
+from tests.baseline.random_replica import OpenQuery, RandomReplica
 
 SIZES = (8, 16, 32, 64, 128)
 SEEDS = (41, 42)
@@ -67,12 +67,12 @@
                 self._out[event.node] -= 1
         return super().handle(now, events)
 
-    def _send(self, held: _Held, part: Part, out: list[Action]) -> None:
+    def _send(self, query: OpenQuery, part: Part, out: list[Action]) -> None:
         nodes = [node for node, cell in self.cells.items() if cell == part.shard % self.settings.cells]
-        if not nodes or held.tries.get(part.id, 0) >= self.settings.limits.attempts:
-            held.dead.add(part.id)
+        if not nodes or query.attempts_sent.get(part.id, 0) >= self.settings.limits.attempts:
+            query.closed.add(part.id)
             return
-        held.tries[part.id] = held.tries.get(part.id, 0) + 1
+        query.attempts_sent[part.id] = query.attempts_sent.get(part.id, 0) + 1
         load: Callable[[NodeId], float] = self._load or self._out.__getitem__
         node = min(nodes, key=lambda one: (load(one), self.random.random()))
         self._out[node] += 1
--- a/tests/baseline/random_replica.py
+++ b/tests/baseline/random_replica.py
@@ -1,7 +1,7 @@
-"""A broker that picks replicas at random and knows no health: what the module is measured against.
+"""A broker that picks replicas at random without health checks: the baseline for the decision module.
 
 The driver, loop, pools, front and merge are the program's own; only the decisions are replaced. It sends
-every part of a query at once, tries again at random after a failure, and waits for silent holders.
+every part of a query at once, retries at a random replica after a failure, and waits for hung holders.
 Run as ``python -m tests.baseline.random_replica CONFIG``, like ``quincepath serve -c CONFIG``.
 """
 
@@ -38,28 +38,30 @@
 from quincepath.observe.logs import setup
 
 
-class _Held:
+class OpenQuery:
+    """A query that is not answered yet, with its parts."""
+
     def __init__(self, event: Query, now: int, tick: int) -> None:
         self.event, self.end = event, now + event.time_left - 2 * tick
         self.parts: dict[int, Part] = {}
         self.ok: set[int] = set()
-        self.dead: set[int] = set()
-        self.tries: dict[int, int] = {}
+        self.closed: set[int] = set()
+        self.attempts_sent: dict[int, int] = {}
         self.step = 1
 
 
 class RandomReplica:
-    """The least that answers queries; keeps rules 1, 3, 5 and 6, which cost it nothing."""
+    """The simplest module that answers queries; keeps rules 1, 3, 5 and 6, which cost it nothing."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.cells: dict[NodeId, int] = {}
-        self.held: dict[int, _Held] = {}
-        self.of_part: dict[int, int] = {}
+        self.queries: dict[int, OpenQuery] = {}
+        self.query_of_part: dict[int, int] = {}
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """As the module's."""
+        """Take in events and return actions, as the decision module does."""
         out: list[Action] = []
         touched: dict[int, None] = {}
         for event in events:
@@ -67,25 +69,25 @@
                 case Members():
                     self._members(event)
                 case Query():
-                    self.held[event.id] = _Held(event, now, self.settings.tick)
-                    out.append(SetTimer(self.held[event.id].end, event.id))
+                    self.queries[event.id] = OpenQuery(event, now, self.settings.tick)
+                    out.append(SetTimer(self.queries[event.id].end, event.id))
                 case Part():
-                    held = self.held.get(event.number)
-                    if held is not None:
-                        if held.step == 2 and event.id not in held.parts and not held.tries:
-                            held.parts, held.ok = {}, set()
-                        held.parts[event.id] = event
-                        self.of_part[event.id] = event.number
-                        self._send(held, event, out)
+                    query = self.queries.get(event.number)
+                    if query is not None:
+                        if query.step == 2 and event.id not in query.parts and not query.attempts_sent:
+                            query.parts, query.ok = {}, set()
+                        query.parts[event.id] = event
+                        self.query_of_part[event.id] = event.number
+                        self._send(query, event, out)
                 case Outcome():
                     touched[self._outcome(event, out)] = None
-                case TimerFired(token) if token in self.held and now >= self.held[token].end:
+                case TimerFired(token) if token in self.queries and now >= self.queries[token].end:
                     self._give_up(token, out)
-                case Left(qid):
-                    self._forget(qid)
-        for qid in touched:
-            if qid in self.held:
-                self._look(qid, out)
+                case Left(query_id):
+                    self._remove(query_id)
+        for query_id in touched:
+            if query_id in self.queries:
+                self._check(query_id, out)
         return out
 
     def _members(self, event: Members) -> None:
@@ -97,56 +99,56 @@
             else:
                 self.cells.pop(entry.node, None)
 
-    def _send(self, held: _Held, part: Part, out: list[Action]) -> None:
+    def _send(self, query: OpenQuery, part: Part, out: list[Action]) -> None:
         nodes = [node for node, cell in self.cells.items() if cell == part.shard % self.settings.cells]
-        if not nodes or held.tries.get(part.id, 0) >= self.settings.limits.attempts:
-            held.dead.add(part.id)
+        if not nodes or query.attempts_sent.get(part.id, 0) >= self.settings.limits.attempts:
+            query.closed.add(part.id)
             return
-        held.tries[part.id] = held.tries.get(part.id, 0) + 1
+        query.attempts_sent[part.id] = query.attempts_sent.get(part.id, 0) + 1
         out.append(Send(part.id, self.random.choice(nodes), 0))
 
     def _outcome(self, event: Outcome, out: list[Action]) -> int:
-        qid = self.of_part.get(event.part, 0)
-        held = self.held.get(qid)
-        if held is None or event.part not in held.parts:
+        query_id = self.query_of_part.get(event.part, 0)
+        query = self.queries.get(query_id)
+        if query is None or event.part not in query.parts:
             return 0
         if event.result is Result.OK:
-            held.ok.add(event.part)
+            query.ok.add(event.part)
         elif event.final:
-            held.dead.add(event.part)
+            query.closed.add(event.part)
         else:
-            self._send(held, held.parts[event.part], out)
-        return qid
-
-    def _share(self, held: _Held) -> float:
-        return sum(held.parts[part].weight for part in held.ok)
-
-    def _look(self, qid: int, out: list[Action]) -> None:
-        held = self.held[qid]
-        spec = self.settings.classes[held.event.kind]
-        need = spec.need if held.step == 1 else 1.0
-        alive = sum(p.weight for p in held.parts.values() if p.id not in held.dead)
-        if self._share(held) >= need - 1e-6:
-            out.append(Answer(qid, True))
-            if spec.second_step and held.step == 1:
-                held.step, held.tries = 2, {}
+            self._send(query, query.parts[event.part], out)
+        return query_id
+
+    def _share(self, query: OpenQuery) -> float:
+        return sum(query.parts[part].weight for part in query.ok)
+
+    def _check(self, query_id: int, out: list[Action]) -> None:
+        query = self.queries[query_id]
+        spec = self.settings.classes[query.event.kind]
+        need = spec.need if query.step == 1 else 1.0
+        alive = sum(p.weight for p in query.parts.values() if p.id not in query.closed)
+        if self._share(query) >= need - 1e-6:
+            out.append(Answer(query_id, True))
+            if spec.second_step and query.step == 1:
+                query.step, query.attempts_sent = 2, {}
             else:
-                self._forget(qid)
+                self._remove(query_id)
         elif alive < need - 1e-6:
-            self._give_up(qid, out)
+            self._give_up(query_id, out)
 
-    def _give_up(self, qid: int, out: list[Action]) -> None:
-        out.append(Refuse(qid, self.settings.limits.max_retry_after))
-        self._forget(qid)
+    def _give_up(self, query_id: int, out: list[Action]) -> None:
+        out.append(Refuse(query_id, self.settings.limits.max_retry_after))
+        self._remove(query_id)
 
-    def _forget(self, qid: int) -> None:
-        held = self.held.pop(qid, None)
-        for part in held.parts if held else ():
-            self.of_part.pop(part, None)
+    def _remove(self, query_id: int) -> None:
+        query = self.queries.pop(query_id, None)
+        for part in query.parts if query else ():
+            self.query_of_part.pop(part, None)
 
 
 def main() -> None:
-    """Serve with random decisions."""
+    """Run a broker with random decisions."""
     setup("json", "error")
     path = Path(sys.argv[1])
     loop = Loop()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small broker around one aggregator: feeds events, keeps the actions, checks nothing by itself."""
+"""A small broker around one aggregator: feeds it events and keeps its actions; checks nothing itself."""
 
 from dataclasses import replace
 from typing import Any, TypeVar
@@ -84,7 +84,7 @@
 
 
 class Broker:
-    """Numbers queries and attempts, and fires due timers as the clock moves."""
+    """Numbers queries and parts, and fires due timers as the clock advances."""
 
     def __init__(
         self, config: Settings | None = None, seed: int = 7, nodes: list[Entry] | None = None
@@ -117,7 +117,7 @@
         repeat: bool = False,
         key: int = 0,
     ) -> tuple[int, list[int], list[Action]]:
-        """Hand in a query with a part at each shard; returns its id, its parts' ids and the actions."""
+        """Feed a query with a part at each shard; returns its id, its parts' ids and the actions."""
         self.number += 1
         rid = self.next_id
         parts = list(range(rid + 1, rid + 1 + len(shards)))
@@ -128,7 +128,7 @@
         return rid, parts, self.feed(*events)
 
     def more_parts(self, shards: list[int]) -> tuple[list[int], list[Action]]:
-        """The second step of the newest query."""
+        """Feed the second step of the latest query."""
         parts = list(range(self.next_id, self.next_id + len(shards)))
         self.next_id += len(shards)
         return parts, self.feed(
@@ -149,7 +149,7 @@
         return self.feed(Outcome(part, attempt, mine[attempt].node, result, elapsed, final, report))
 
     def advance(self, by: int) -> list[Action]:
-        """Move the clock, firing timers in order at their time."""
+        """Advance the clock, firing timers in order at their time."""
         until = self.now + by
         got: list[Action] = []
         while due := [t for t in self.timers if t.at <= until]:
@@ -163,7 +163,7 @@
     def train(
         self, rounds: int = 30, elapsed: int = 100 * MS, kind: int = 0, shards: tuple[int, ...] = (0, 1, 2)
     ) -> None:
-        """Let sound queries teach the typical latency."""
+        """Run successful queries, from which the module learns the typical latency."""
         for _ in range(rounds):
             _, parts, _ = self.query(list(shards), kind)
             self.now += elapsed
--- a/tests/test_cold_nodes.py
+++ b/tests/test_cold_nodes.py
@@ -1,4 +1,4 @@
-"""What all brokers together send to cold nodes stays in its bound; seeded fleets in virtual time."""
+"""Sends of all brokers together to cold nodes stay in their bound: seeded fleets in virtual time."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -10,7 +10,7 @@
 from quincepath.interface import Members, Scope
 from tests.helpers import Broker, entry, node_id, query_class, settings
 
-FULL = 13 * SECOND  # long enough at rest for the fullest bucket there was
+FULLEST_AFTER = 13 * SECOND  # idle for long enough to fill the largest token bucket
 
 
 def worst(changes: dict[str, Any], brokers: int, seed: int) -> float:
@@ -30,19 +30,19 @@
     ("nobody has learned, twice the prior, all at once", 20, 0),
     ("nobody has learned, twice the prior, all at once", 30, 0),
 ])  # fmt: skip
-def test_the_sum_of_all_brokers_stays_in_the_bound_on_seeds_that_broke_it(
+def test_sends_of_all_brokers_stay_in_the_bound_on_seeds_that_exceeded_it(
     name: str, brokers: int, seed: int
 ) -> None:
     assert worst(HARD[name], brokers, seed) <= 1.0
 
 
 @pytest.mark.parametrize("fate", ["errors", "full", "lost"])
-def test_further_tries_at_a_cold_node_that_fails_stay_in_the_bound(fate: str) -> None:
+def test_further_attempts_at_a_failing_cold_node_stay_in_the_bound(fate: str) -> None:
     assert worst({**ALL, "fate": fate}, 30, 2) <= 1.0
 
 
-def test_brokers_at_rest_do_not_save_up_one_part_each_for_the_same_moment() -> None:
-    """With less than a part an interval to each, all of a hundred brokers held one: a hundred at once."""
+def test_idle_brokers_do_not_all_save_up_a_token_for_the_same_moment() -> None:
+    """With less than a token per interval each, all of a hundred brokers saved one for the same moment."""
     kinds, count, since = (query_class(target=2 * SECOND),), 100, 100 * SECOND
     brokers = []
     for me in range(count):
@@ -50,7 +50,7 @@
         brokers[-1].train(40, elapsed=200 * MS, shards=(0,))
         brokers[-1].now = since
         brokers[-1].feed(Members(Scope.FULL, 2, (entry(1, 0, since=since),)))
-        brokers[-1].advance(FULL)
+        brokers[-1].advance(FULLEST_AFTER)
     sent = 0
     for broker in brokers:
         broker.query([0])
@@ -59,7 +59,7 @@
     assert 0 < sent <= most + 2 * most**0.5 + 2
 
 
-def test_a_broker_that_restarts_gets_no_token_at_once_that_its_last_life_may_have_used() -> None:
+def test_a_restarted_broker_gets_no_token_that_it_may_have_used_before() -> None:
     config, since = settings(instances=3), 100 * SECOND
     first = Broker(config, nodes=[entry(0, 0, since=since)])
     first.advance(10 * SECOND)
@@ -71,11 +71,11 @@
     again.feed(Members(Scope.FULL, 1, (entry(0, 0, since=since),)))
     again.query([0])
     assert not again.sends
-    again.advance(6 * SECOND)  # but it is not starved
+    again.advance(6 * SECOND)  # it is not starved for good
     assert again.sends
 
 
-def test_a_token_does_not_wait_for_ever() -> None:
+def test_a_token_expires() -> None:
     broker = Broker(settings(instances=400), nodes=[entry(0, 0, since=100 * SECOND)])
     broker.policy.latency[0, 1].work = 20 * MS
     node, seen = broker.policy.nodes[node_id(0)], set()
@@ -84,7 +84,7 @@
         broker.policy.now = broker.now
         broker.policy._refill(node, 0)
         seen.add(node.tokens)
-    assert seen == {0.0, 1.0}, "it came and went"
+    assert seen == {0.0, 1.0}, "a token came and expired"
 
 
 @pytest.mark.parametrize("name", ["ramp_time", "overload_for", "fall_multiple", "cold_share"])
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("name", [node_id(1), b"s-20916b5a", b"s-34de9e84", b"x" * 255], ids=repr)
 @pytest.mark.parametrize("count", [3, 200, 2600])
 def test_brokers_take_turns_at_a_cold_node_however_long_its_id_is(name: bytes, count: int) -> None:
-    """An id of ten bytes divided as a float has no fraction left: all brokers had the same turn, the last."""
+    """An id of ten bytes divided as a float has no fraction left: all brokers got the same turn, the last."""
     turns = []
     for me in range(0, count, max(count // 100, 1)):
         broker = Broker(settings(instances=count, me=me), seed=me, nodes=[entry(0, 0)])
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The module decides as it did: recorded events replay alike, and the actions of one day are pinned."""
+"""Decisions do not change unnoticed: recorded events replay alike, and one day's actions are pinned."""
 
 import hashlib
 from functools import cache
@@ -39,8 +39,8 @@
         {"kind": "impatience", "at": "19s", "last": "3s", "share": "50%"},
     ],
 }
-# The SHA-256 of that day's actions. Where a change of the decisions, of this day or of the emulator is meant,
-# say so in the commit, and put in what the failing test prints. One that only moves code must not touch it.
+# SHA-256 of that day's actions. For an intended change of the decisions, of this day or of the emulator, say
+# so in the commit and insert the digest that the failing test prints. A refactoring must not change it.
 PINNED = "34d6eb1c7e15f8793a671038f466ddcb9dcc86314d43f44d4c39c96c370bd714"
 
 
@@ -68,11 +68,11 @@
         assert f"{name}(".encode() in said, name
 
 
-def test_the_actions_of_the_day_are_those_pinned() -> None:
+def test_the_actions_of_the_day_match_the_pinned_digest() -> None:
     assert hashlib.sha256(text(recorded(day()))).hexdigest() == PINNED
 
 
-def test_other_draws_and_other_decisions_show(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_another_seed_and_other_decisions_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     said = text(recorded(day()))
     drawn = [msgspec.structs.replace(e, seed=e.seed + 1) if isinstance(e, Begin) else e for e in day()]
     assert difference(said, text(replay(drawn)))
@@ -80,7 +80,7 @@
     assert difference(said, text(replay(day())))
 
 
-def test_two_trees_are_compared_in_processes_of_their_own(tmp_path: Path) -> None:
+def test_two_source_trees_are_compared_in_separate_processes(tmp_path: Path) -> None:
     path = tmp_path / "day.events"
     lines = [msgspec.json.encode(entry) + b"\n" for entry in day()[:300]]
     path.write_bytes(b"".join(lines))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Guards on the module's shape, and on its being a function of its events alone."""
+"""Guards on the decision module's size and imports, and on its depending on its events alone."""
 
 import ast
 import os
@@ -27,7 +27,7 @@
 """
 
 
-def test_deploy_file_names_every_decision_module() -> None:
+def test_deploy_file_lists_every_decision_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert sorted(ROOT / name for name in deploy["policy"]) == POLICY
 
@@ -55,12 +55,12 @@
             for name in names:
                 assert name in library | own | {"quincepath.interface"}, path
                 seen.add(name)
-    assert library <= seen  # the list of what is allowed names nothing that the module does without
+    assert library <= seen  # the allowed list names no module that is not used
 
 
 def test_module_names_its_interface_at_the_top() -> None:
-    face = ROOT / "quincepath" / "policy" / "__init__.py"
-    assert "quincepath/interface.py" in face.read_text().splitlines()[0]
+    init = ROOT / "quincepath" / "policy" / "__init__.py"
+    assert "quincepath/interface.py" in init.read_text().splitlines()[0]
 
 
 def test_same_actions_under_different_hash_seeds() -> None:
--- a/tests/test_policy_cost.py
+++ b/tests/test_policy_cost.py
@@ -1,8 +1,8 @@
-"""The decision module's cost grows with the square of a query's parts again, or with the list for one node.
+"""Cost of the decision module: linear in a query's parts, and independent of the list's length for one node.
 
-Steps are counted, not timed: the bytecode instructions that the module's own files execute for the events of
-a play. The counts are the same on each run, whatever else the machine does. Processor time is compared once,
-with room for a busy machine.
+Guards against cost that grows with the square of the parts, or with the node list for one changed node. Steps
+are counted, not timed: the bytecode instructions that the module's own files execute. The counts are the same
+on each run, whatever else the machine does. Processor time is compared once, with room for a busy machine.
 """
 
 import inspect
@@ -30,12 +30,12 @@
 DRIVER = POLICY.parent / "broker" / "driver"
 FEW, MANY = 16, 130  # parts of a query
 SMALL, LARGE = 1200, 12000  # nodes of a list
-STEPS_RATIO = 1.1  # most that a part of a query of MANY may cost over one of FEW
-TIME_RATIO = 3.0  # the same in processor time, where a busy machine disturbs both figures
+STEPS_RATIO = 1.1  # limit on the cost of a part of a query of MANY relative to one of FEW
+TIME_RATIO = 3.0  # the same for processor time, which a busy machine disturbs
 
 
 def steps(work: Callable[[], object], folders: tuple[Path, ...] = (POLICY,)) -> int:
-    """Instructions that the module's files, or those of other folders, execute while the work is done."""
+    """Number of instructions that the files of the folders execute during the work."""
     count = 0
 
     def step(frame: FrameType, event: str, argument: object) -> TraceFunction:
@@ -59,7 +59,7 @@
 
 
 def steps_per_part(parts: int, queries: int = 4, **load: Any) -> float:
-    """Steps of the module for a part sent."""
+    """Steps of the module per part sent."""
     played = probe.Load(parts, **load)
     played.query()
     sent: list[int] = []
@@ -76,30 +76,30 @@
     assert steps_per_part(MANY, **load) <= STEPS_RATIO * steps_per_part(FEW, **load)
 
 
-def walk(query: QueryState) -> float:
-    """A sum over all parts, as the module made it for each event."""
+def sum_over_parts(query: QueryState) -> float:
+    """Sums over all parts, as the module once did for each event."""
     return sum(part.weight for part in query.parts if part.ok or part.live)
 
 
-def test_a_walk_over_all_parts_for_each_event_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_loop_over_all_parts_for_each_event_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     namespace: dict[str, Any] = {}
     exec(
-        compile(inspect.getsource(walk), str(POLICY / "planted.py"), "exec"),
+        compile(inspect.getsource(sum_over_parts), str(POLICY / "planted.py"), "exec"),
         {"QueryState": QueryState},
         namespace,
     )
     next_wakeup = Aggregator._next_wakeup
 
-    def walking(module: Aggregator, query: QueryState, blocked: bool) -> int:
-        namespace["walk"](query)
+    def looping(module: Aggregator, query: QueryState, blocked: bool) -> int:
+        namespace["sum_over_parts"](query)
         return next_wakeup(module, query, blocked)
 
-    monkeypatch.setattr(Aggregator, "_next_wakeup", walking)
+    monkeypatch.setattr(Aggregator, "_next_wakeup", looping)
     assert steps_per_part(MANY) > STEPS_RATIO * steps_per_part(FEW)
 
 
 def steps_per_outcome_in_overload(parts: int) -> float:
-    """Steps for an outcome of a query whose parts are all late, with a store that does not suffice for it."""
+    """Steps per outcome of a query whose parts are all late, with too few hedge tokens to replace them."""
     case = Case(parts=parts, failing=0.0, duplicate=False)
     module = Aggregator(case_settings(case), 1)
     module.handle(probe.START, [probe.node_list(case.cells * case.replicas, case.cells)])
@@ -107,7 +107,7 @@
     sends = [action for action in module.handle(load.now, load.arrival()) if isinstance(action, Send)]
     ends = [Outcome(send.part, 0, send.node, Result.OK, probe.MS, False, ()) for send in sends]
     late = load.now + case_settings(case).classes[0].target // 2
-    module.handle(late, ends[:1])  # the others are late from here on
+    module.handle(late, ends[:1])  # the others are late from now on
     (query,) = module.queries.values()
     assert len(query.uncovered) == parts - 1
     module.hedge_tokens = 0.0
@@ -120,7 +120,7 @@
 
 
 def steps_per_change(nodes: int) -> float:
-    """Steps of the driver and its module for a list event that names one node, which goes and comes back."""
+    """Steps of the driver and its module for a list event with one node, which leaves and returns."""
     cells = nodes // probe.REPLICAS
     settings = probe.site(cells=cells)
     broker = Driver(Aggregator(settings, 1), settings, probe.SECOND)
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("back", [False, True])
-def test_a_node_that_is_gone_for_long_is_forgotten_unless_it_came_back(back: bool) -> None:
+def test_a_node_gone_for_long_is_removed_unless_it_came_back(back: bool) -> None:
     rules, node, now = Rules(probe.site(), probe.SECOND), probe.node_id(0), probe.START
     rules.take_in(now, probe.node_list(2, probe.CELLS))
     for phase in (Phase.GONE, Phase.READY)[: 1 + back]:
@@ -149,7 +149,7 @@
     rules.take_in(now + probe.SECOND + FORGOTTEN, other)
     assert (rules.leave_by(node) == NEVER) is back
     rules.take_in(now + probe.SECOND + FORGOTTEN + 1, other)
-    assert rules.leave_by(node) == NEVER  # ready, or as unknown as one that was never named
+    assert rules.leave_by(node) == NEVER  # ready, or unknown like one that was never listed
 
 
 def test_processor_time_follows_the_steps() -> None:
@@ -159,8 +159,8 @@
     assert large <= TIME_RATIO * small
 
 
-class Checked(Aggregator):
-    """Compares after each call what is kept of each open query with sums over its parts."""
+class SumChecker(Aggregator):
+    """Compares the running sums of each open query with sums over its parts after each call."""
 
     checked = 0
 
@@ -171,7 +171,7 @@
         return actions
 
     def compare(self, query: QueryState) -> None:
-        if query.awaiting_second_step:  # its parts are called back, and none is looked at again
+        if query.awaiting_second_step:  # its parts are cancelled and not used again
             return
         parts = query.parts
         live = [attempt for part in parts for attempt in part.live]
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("case", ["narrow", "cells-below-reach", "shared", "steps", "unsafe", "storm"])
-def test_what_a_query_keeps_up_to_date_is_what_its_parts_sum_up_to(case: str) -> None:
-    module = Checked(case_settings(CASES[case]), 5)
+def test_the_running_sums_of_a_query_match_sums_over_its_parts(case: str) -> None:
+    module = SumChecker(case_settings(CASES[case]), 5)
     World(replace(CASES[case], queries=12), module, 5).play()
     assert module.checked > 100
--- a/tests/test_replay_worlds.py
+++ b/tests/test_replay_worlds.py
@@ -1,4 +1,4 @@
-"""A drawn world that plays nothing, or plays differently each time, would make a comparison worthless."""
+"""Generated worlds: one that plays nothing or differs from run to run would make comparisons worthless."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("case", ["narrow", "cells-below-reach", "drains-narrow", "shared"])
-def test_a_drawn_world_sends_answers_and_replays_to_the_same_actions(case: str) -> None:
+def test_a_generated_world_sends_answers_and_replays_to_the_same_actions(case: str) -> None:
     entries = played(case, 1).entries
     said = "".join(recorded(entries)).encode()
     for name in ("Send", "Cancel", "Answer", "SetTimer", "Log"):
@@ -21,7 +21,7 @@
     assert not difference(said, "".join(replay(entries)).encode())
 
 
-def test_the_same_seed_draws_the_same_world_and_another_seed_another() -> None:
+def test_the_same_seed_generates_the_same_world_and_another_seed_another() -> None:
     one, two, other = (list(recorded(played("narrow", seed).entries)) for seed in (1, 1, 2))
     assert one == two
     assert one != other
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each of the six rules, and the design's ordinary path, at the module's interface."""
+"""The six rules and the ordinary choice of replicas, tested at the decision module's interface."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 KEYED = query_class(effect=Effect.KEYED, window=SECOND)
 
 
-# --- the design ---
+# --- choice of parts and replicas ---
 
 
 def test_any_n_of_k_sends_exactly_n() -> None:
@@ -100,7 +100,7 @@
     assert not of_type(broker.feed(Left(rid)), Fail)
 
 
-def test_departure_named_by_a_part_stops_sends_and_is_answered() -> None:
+def test_disconnect_reported_for_a_part_stops_sends_and_is_answered() -> None:
     broker = Broker(settings((ANY,)))
     _, parts, got = broker.query([0, 1, 2])
     first = of_type(got, Send)[0]
@@ -115,7 +115,7 @@
     assert broker.feed(Outcome(99, 0, node_id(0), Result.OK, MS, True, ())) == []
 
 
-def test_no_live_replica_is_answered_at_once() -> None:
+def test_query_without_a_ready_replica_is_refused_at_once() -> None:
     broker = Broker(nodes=[entry(0, 0)])
     rid, _, got = broker.query([0, 1])
     assert [refusal.id for refusal in of_type(got, Refuse)] == [rid]
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED])
-def test_unsafe_part_proved_unrun_is_sent_again(result: Result) -> None:
+def test_unsafe_part_proved_unrun_is_retried(result: Result) -> None:
     broker = Broker(settings((UNSAFE,)))
     _, parts, _ = broker.query([0])
     assert len(of_type(broker.end(parts[0], result), Send)) == 1
@@ -148,13 +148,13 @@
     assert of_type(broker.advance(4 * SECOND), Fail) == [Fail(rid)]
 
 
-def test_unsafe_part_never_has_a_second_copy() -> None:
+def test_unsafe_part_is_never_hedged() -> None:
     broker = Broker(settings((UNSAFE,)))
     broker.query([0])
     assert not of_type(broker.advance(3 * SECOND), Send)
 
 
-def test_keyed_part_is_resent_only_inside_its_window() -> None:
+def test_keyed_part_is_retried_only_inside_its_window() -> None:
     broker = Broker(settings((KEYED,)))
     _, parts, _ = broker.query([0])
     assert len(of_type(broker.end(parts[0], Result.ERROR), Send)) == 1
@@ -178,7 +178,7 @@
     assert not of_type(broker.end(parts[0], Result.ERROR), Send)
 
 
-# --- rule 3: drains are kept ---
+# --- rule 3: draining nodes get no sends ---
 
 
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.GONE])
@@ -201,7 +201,7 @@
     assert broker.sends[-1].node == node_id(0)
 
 
-# --- rule 4: a cold node is not pushed over ---
+# --- rule 4: cold nodes are not overloaded ---
 
 
 def test_cold_node_gets_only_this_brokers_share_of_its_budget() -> None:
@@ -229,10 +229,10 @@
     windows = [sum(sent[at : at + 4]) for at in range(28)]
     allowed = [2.0 * 2 * 2 * SECOND * min(1.0, 0.2 + 0.8 * (at + 2) / 32) for at in range(28)]  # of two cores
     assert max(used / most for used, most in zip(windows, allowed, strict=True)) <= 1.0
-    assert sum(sent[:8]) > 0  # no starving while it warms
+    assert sum(sent[:8]) > 0  # not starved while it warms up
 
 
-def test_parts_of_a_second_step_are_booked_at_a_cold_node_like_those_of_the_first() -> None:
+def test_parts_of_a_second_step_take_tokens_of_a_cold_node_like_those_of_the_first() -> None:
     broker = Broker(settings((query_class(second_step=1),), call_work=30 * MS), nodes=[entry(0, 0)])
     broker.policy.latency[0, 2].work = 1.0
     _, parts, _ = broker.query([0])
@@ -242,13 +242,13 @@
     broker.more_parts([0])
     assert before - node.tokens == 1.0
     rates = [broker.policy._refill(node, 0)]
-    broker.policy.latency[0, 1].work += broker.policy.latency[0, 1].work + 30 * MS  # twice, with its call
+    broker.policy.latency[0, 1].work += broker.policy.latency[0, 1].work + 30 * MS  # twice, with the call
     rates.append(broker.policy._refill(node, 0))
     assert rates[0] > 1.9 * rates[1]
 
 
 @pytest.mark.parametrize("first", [Phase.DRAINING, Phase.GONE])
-def test_a_start_heard_of_before_the_node_is_ready_makes_it_cold(first: Phase) -> None:
+def test_a_start_listed_before_the_node_is_ready_makes_it_cold(first: Phase) -> None:
     broker = Broker(nodes=[entry(0, 0), entry(2, 1)])
     broker.query([0, 0, 0, 0])
     broker.feed(Members(Scope.DELTA, 2, (entry(0, 0, first, since=broker.now),)))
@@ -272,7 +272,7 @@
         assert all(fresh.count(node) <= 1 for node in fresh)
 
 
-def test_held_parts_go_out_as_the_cold_node_warms() -> None:
+def test_delayed_parts_are_sent_as_the_cold_node_warms_up() -> None:
     broker = Broker(nodes=[entry(0, 0, since=100 * SECOND)])
     for _ in range(20):
         broker.query([0])
@@ -281,22 +281,22 @@
     assert len(broker.sends) > early
 
 
-# --- rule 5: answers are honest ---
+# --- rule 5: answers state correctly whether they are complete ---
 
 
 @pytest.mark.parametrize(("latency", "chosen"), [(100 * MS, 0), (500 * MS, 1)])
 def test_a_cold_node_goes_before_a_slower_warm_one(latency: int, chosen: int) -> None:
-    """Its queue is empty: what it takes is the least typical latency over its warmth, not today's over it."""
+    """Its queue is empty: the lowest typical latency over its capacity is expected, not the current one."""
     broker = Broker(nodes=[entry(0, 0)])
     broker.train(shards=(0,))
     broker.train(8, elapsed=latency, shards=(0,))
     broker.feed(Members(Scope.DELTA, 2, (entry(1, 0, since=broker.now - 6 * SECOND),)))
-    broker.advance(SECOND)  # for credit there
+    broker.advance(SECOND)  # to earn a token there
     broker.query([0])
     assert broker.sends[-1].node == node_id(chosen)
 
 
-def test_nothing_under_the_floor_and_not_whole_under_the_need() -> None:
+def test_no_answer_below_the_floor_and_no_complete_one_below_the_need() -> None:
     broker = Broker(settings((query_class(need=1.0, floor=0.5),)))
     rid, parts, _ = broker.query([0, 1, 2])
     broker.end(parts[0])
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize("second", [0, 2])
-def test_best_partial_answer_goes_out_in_time_for_the_target(second: int) -> None:
+def test_best_partial_answer_is_sent_in_time_for_the_target(second: int) -> None:
     spec = query_class(need=1.0, floor=0.6, late_worth=0.0, second_step=second)
     broker = Broker(settings((spec,), limits={"duplicate": False}))
     rid, parts, _ = broker.query([0, 1, 2])
@@ -319,7 +319,7 @@
     got = broker.advance(2 * SECOND - 1)
     assert of_type(got, Answer) == [Answer(rid, False)]
     assert not of_type(broker.actions, Refuse) or second
-    if second:  # early enough that its parts may still come in
+    if second:  # early enough that its parts may still be answered
         broker.actions.clear()
         broker.now = before + 1600 * MS
         more, _ = broker.more_parts([0, 1])
@@ -327,7 +327,7 @@
         assert of_type(broker.end(more[1]), Answer) == [Answer(rid, False)]
 
 
-def test_partial_answer_waits_while_the_whole_may_come_in_time() -> None:
+def test_partial_answer_waits_while_the_complete_one_may_come_in_time() -> None:
     broker = Broker(settings((query_class(need=1.0, floor=0.6, late_worth=0.0),)))
     rid, parts, _ = broker.query([0, 1, 2])
     for part in parts[:2]:
@@ -337,7 +337,7 @@
 
 
 def overdue(late_worth: float) -> tuple[Broker, int, list[int]]:
-    """A query of two parts past its target, with one part in and the other's first try out."""
+    """A query of two parts past its target: one part answered, the first attempt at the other still open."""
     broker = Broker(settings((query_class(late_worth=late_worth),), limits={"duplicate": False}))
     rid, parts, _ = broker.query([0, 1])
     broker.end(parts[0])
@@ -346,10 +346,10 @@
     return broker, rid, parts
 
 
-def test_past_the_target_tries_are_spread_over_the_time_left_and_the_last_one_ends_the_query() -> None:
+def test_past_the_target_attempts_are_spread_over_the_time_left_and_the_last_one_ends_the_query() -> None:
     broker, rid, parts = overdue(late_worth=0.3)
     assert not of_type(broker.end(parts[1], Result.FULL), Send)
-    assert len(of_type(broker.advance(SECOND), Send)) == 1  # of 2 s for the two tries left
+    assert len(of_type(broker.advance(SECOND), Send)) == 1  # of 2 s for the two remaining attempts
     assert not of_type(broker.end(parts[1], Result.FULL), Send)
     assert not of_type(broker.advance(400 * MS), Send)
     assert len(of_type(broker.advance(100 * MS), Send)) == 1
@@ -361,11 +361,11 @@
     assert [refuse.id for refuse in of_type(broker.actions, Refuse)] == [rid]
 
 
-def test_past_the_target_no_copy_goes_beside_a_try_that_is_out() -> None:
+def test_past_the_target_no_hedge_is_sent_beside_an_open_attempt() -> None:
     broker = Broker(settings((query_class(),), limits={"attempts": 2}))
     _, parts, _ = broker.query([0, 1])
     broker.end(parts[0])
-    broker.policy.hedge_tokens = 0.0  # none may go out before the target
+    broker.policy.hedge_tokens = 0.0  # no hedge before the target
     broker.advance(2 * SECOND)
     broker.policy.hedge_tokens = 10.0
     assert not of_type(broker.advance(2 * SECOND - 50 * MS), Send)
@@ -379,13 +379,13 @@
     assert len({send.node for send in broker.sends}) == 1
     broker.sends.clear()
     for _ in range(20):
-        broker.advance(16 * SECOND)  # beyond the idle time: no connection is open
+        broker.advance(16 * SECOND)  # beyond the idle time, so no connection is open
         _, parts, _ = broker.query([0])
         broker.end(parts[0])
     assert len({send.node for send in broker.sends}) == 2
 
 
-def test_a_part_counts_once_however_many_copies_answer() -> None:
+def test_a_part_counts_once_however_many_attempts_succeed() -> None:
     broker = Broker(settings((query_class(target=2 * SECOND),)))
     rid, parts, _ = broker.query([0, 1])
     broker.advance(SECOND)
@@ -395,9 +395,9 @@
     assert of_type(broker.end(parts[1]), Answer) == [Answer(rid, True)]
 
 
-def test_an_incomplete_first_answer_is_never_whole_later() -> None:
-    one_try = {"attempts": 1}
-    broker = Broker(settings((query_class(need=1.0, floor=0.5, second_step=1),), limits=one_try))
+def test_after_an_incomplete_first_answer_the_second_is_not_complete() -> None:
+    one_attempt = {"attempts": 1}
+    broker = Broker(settings((query_class(need=1.0, floor=0.5, second_step=1),), limits=one_attempt))
     rid, parts, _ = broker.query([0, 1], time_left=4 * SECOND)
     broker.end(parts[0])
     got = broker.end(parts[1], Result.ERROR)
@@ -450,7 +450,7 @@
     assert of_type(broker.advance(5 * SECOND), Watch) == [Watch(True)]
 
 
-def test_brokers_ask_for_the_list_again_at_times_of_their_own_within_what_the_rules_set() -> None:
+def test_brokers_resubscribe_at_different_times_within_what_the_rules_set() -> None:
     pauses = []
     for seed in range(20):
         broker = Broker(settings(must_ask=True, rules={"must_ask_in": SECOND}), seed=seed)
@@ -460,14 +460,14 @@
     assert len(set(pauses)) == 20 and max(pauses) > 1.5 * min(pauses)
 
 
-def test_events_for_ids_no_longer_held_are_ignored() -> None:
+def test_events_for_unknown_ids_are_ignored() -> None:
     broker = Broker()
     broker.feed(Part(50, 99, 1.0, 0, 0, 0))
     broker.feed(Left(77))
     assert not broker.sends
 
 
-def test_odd_but_legal_settings_keep_working() -> None:
+def test_unusual_but_valid_settings_work() -> None:
     config = settings((ANY,), limits={"attempts": 1, "duplicate": False}, instances=1, cells=1, reach=3)
     broker = Broker(config, nodes=[entry(0, 0)])
     rid, parts, got = broker.query([0, 1, 2, 3, 4])
@@ -484,7 +484,7 @@
     assert len(of_type(got, Refuse)) + len(of_type(got, Fail)) == 1
 
 
-# --- odd but legal settings ---
+# --- unusual but valid settings ---
 
 
 def test_replicas_in_a_ring_only_get_shards_that_they_hold() -> None:
@@ -514,15 +514,15 @@
     assert len(of_type(got, Send)) == 2
 
 
-def test_keyed_part_with_a_window_shorter_than_its_target_is_resent_inside_it_or_never() -> None:
+def test_keyed_part_with_a_window_shorter_than_its_target_is_retried_inside_it_or_never() -> None:
     spec = query_class(target=2 * SECOND, effect=Effect.KEYED, window=700 * MS, late_worth=0.0)
     broker = Broker(settings((spec,), limits={"duplicate": False}), nodes=[entry(0, 0), entry(1, 0)])
     broker.train(40, shards=(0,))
     latency = broker.policy.latency[0, 1]
-    latency.mean = 2.5 * latency.baseline  # crowded, when other classes wait longest
+    latency.mean = 2.5 * latency.baseline  # congested, when other classes wait longest
     _, parts, _ = broker.query([0])
     first = broker.sends[-1]
-    assert first.timeout < 700 * MS  # leaves a time to resend
+    assert first.timeout < 700 * MS  # leaves time for a retry
     broker.advance(first.timeout)
     assert of_type(broker.end(parts[0], Result.TIMEOUT, elapsed=first.timeout), Send)
     broker.advance(700 * MS - first.timeout)
@@ -530,7 +530,7 @@
     assert not of_type(got, Send) and len(of_type(got, Fail)) == 1
 
 
-def test_a_list_that_fails_all_day_is_asked_for_again_and_queries_are_served_from_the_old_one() -> None:
+def test_a_list_that_keeps_failing_is_requested_again_and_queries_are_served_from_the_old_one() -> None:
     broker = Broker(settings(must_ask=True, rules={"must_ask_in": 0}, instances=90))
     for _ in range(30):
         broker.feed(Members(Scope.FAILED, 0, ()))
@@ -538,7 +538,7 @@
     assert of_type(broker.query([0, 1])[2], Send)
 
 
-def test_one_server_one_broker_one_attempt_still_ends_every_query() -> None:
+def test_one_node_one_broker_one_attempt_still_ends_every_query() -> None:
     config = settings(limits={"attempts": 1, "duplicate": False}, instances=1, cells=1)
     broker = Broker(config, nodes=[entry(0, 0)])
     rids = []
@@ -553,7 +553,7 @@
 
 
 def test_the_attempt_budget_keeps_its_window_and_no_more() -> None:
-    """Accepted queries were kept for ever where no window was set, or no extra attempt was asked for."""
+    """Accepted queries were once kept for ever where no window was set or no extra attempt was needed."""
     for window, most in ((0, 0), (SECOND, 300)):
         broker = Broker(settings(rules={"budget_window": window, "budget_free": 5.0}))
         for _ in range(300):
@@ -569,13 +569,13 @@
     broker = Broker(settings((query_class(effect=effect, second_step=1),)), nodes=[entry(0, 0)])
     _, parts, _ = broker.query([0])
     broker.end(parts[0])
-    _, got = broker.more_parts([1])  # nobody holds it
+    _, got = broker.more_parts([1])  # no node holds it
     assert of_type(got, Fail) and not of_type(got, Refuse)
 
 
 @pytest.mark.parametrize(("window", "before"), [(SECOND, 5 * MS), (SECOND, 1), (4 * MS, 2 * MS), (1, 0)])
-def test_no_keyed_part_is_resent_so_late_that_it_may_leave_after_its_window(window: int, before: int) -> None:
-    """What is decided leaves the process a little later: past the window a repeat would run a second time."""
+def test_no_keyed_part_is_retried_so_late_that_it_leaves_after_its_window(window: int, before: int) -> None:
+    """An action leaves the process some time after its decision; past the window a retry would run twice."""
     broker = Broker(settings((query_class(effect=Effect.KEYED, window=window),)))
     _, parts, _ = broker.query([0])
     broker.advance(window - before)
@@ -585,7 +585,7 @@
 
 
 @pytest.mark.parametrize("window", [1, 4 * MS, 100 * MS])
-def test_a_window_too_short_for_a_resend_does_not_cut_sound_attempts_off(window: int) -> None:
+def test_a_window_too_short_for_a_retry_does_not_cut_healthy_attempts_off(window: int) -> None:
     spec = query_class(target=2 * SECOND, effect=Effect.KEYED, window=window, late_worth=0.0)
     broker = Broker(settings((spec,), limits={"duplicate": False}))
     broker.query([0])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against bytes built by hand, and the adapter against good and bad input."""
+"""The codec against hand-built bytes, and the adapter against valid and invalid input."""
 
 import io
 import subprocess
@@ -32,7 +32,7 @@
 
 ROOT = Path(__file__).parent.parent
 NODE = bytes.fromhex("0a124a07232b")
-FACTS = """instances=2
+SETTINGS = """instances=2
 tick=5000000
 classes.count=1
 classes.0.deadline=3000000000
@@ -62,11 +62,11 @@
     return now.to_bytes(8) + len(body).to_bytes(4) + len(records).to_bytes(4) + body
 
 
-def start(instance: int, facts: str) -> bytes:
-    return record(f"0a {instance:08x} 0000000000000007 00000000 {len(facts):08x}")
+def start(instance: int, settings_text: str) -> bytes:
+    return record(f"0a {instance:08x} 0000000000000007 00000000 {len(settings_text):08x}")
 
 
-def test_requests_timers_and_departures() -> None:
+def test_requests_timers_and_disconnects() -> None:
     rows = [
         record(
             "1e 00000003 5d3a91c4 0000000000b71b00 41100000 91f03b7c55d20a64 0003 01 0002"
@@ -151,7 +151,7 @@
         (record("32 00000003 5d3a91c4 0001 0a124a07232b 0001"), 1, "unknown outcome 1"),
     ],
 )
-def test_malformed_frames_say_what_and_where(body: bytes, count: int, words: str) -> None:
+def test_errors_of_malformed_frames_say_what_and_where(body: bytes, count: int, words: str) -> None:
     with pytest.raises(WireError, match=words):
         decode_batch(body, count, {})
 
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("cut", [7, 20])
-def test_adapter_tells_of_a_cut_frame_in_one_line(cut: int) -> None:
+def test_adapter_reports_a_truncated_frame_in_one_line(cut: int) -> None:
     done = run_adapter(batch(1, [record("46 00000003 000000000000004d")])[:cut])
     assert done.returncode == 2 and done.stdout == b""
     assert done.stderr.count(b"\n") == 1 and b"input ends inside" in done.stderr
@@ -176,32 +176,32 @@
 
 def test_missing_and_unreadable_settings_are_named() -> None:
     with pytest.raises(SettingsError, match="rules.coldShare is missing"):
-        read_settings(FACTS.replace("rules.coldShare=0.18\n", ""))
+        read_settings(SETTINGS.replace("rules.coldShare=0.18\n", ""))
     with pytest.raises(SettingsError, match="tick is unreadable"):
-        read_settings(FACTS.replace("tick=5000000", "tick=soon"))
-    assert read_settings(FACTS).rules.budget_window == 0
+        read_settings(SETTINGS.replace("tick=5000000", "tick=soon"))
+    assert read_settings(SETTINGS).rules.budget_window == 0
 
 
-def test_settings_of_calls_and_lists_are_passed_on_and_absent_ones_mean_none() -> None:
-    facts = FACTS + "specifics.perCallWork=53000000\nrules.mustAskIn=7000000000\n"
-    assert read_settings(facts).call_work == 53_000_000
-    assert read_settings(facts).rules.must_ask_in == 7_000_000_000
+def test_settings_of_calls_and_lists_are_parsed_and_default_to_zero() -> None:
+    settings_text = SETTINGS + "specifics.perCallWork=53000000\nrules.mustAskIn=7000000000\n"
+    assert read_settings(settings_text).call_work == 53_000_000
+    assert read_settings(settings_text).rules.must_ask_in == 7_000_000_000
     left_out = ("specifics.perCallWork", "rules.mustAskIn")
-    bare = "".join(line + "\n" for line in FACTS.splitlines() if not line.startswith(left_out))
+    bare = "".join(line + "\n" for line in SETTINGS.splitlines() if not line.startswith(left_out))
     assert read_settings(bare).call_work == 0 and read_settings(bare).rules.must_ask_in == 0
     with pytest.raises(SettingsError, match="specifics.perCallWork is unreadable"):
         read_settings(bare + "specifics.perCallWork=much\n")
 
 
-def test_a_bad_instance_is_fatal_alone() -> None:
+def test_bad_settings_stop_that_instance_only() -> None:
     sink = io.BytesIO()
     serve(io.BytesIO(batch(1, [start(3, "tick=1")], b"tick=1")), sink)
     assert sink.getvalue()[8:13] == bytes.fromhex("6400000003") and b"instances is missing" in sink.getvalue()
 
 
-def test_an_exception_in_a_decision_is_fatal_for_that_instance_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_a_decision_stops_that_instance_only(monkeypatch: pytest.MonkeyPatch) -> None:
     host = Host()
-    host.run(1, [(3, Start(1, FACTS)), (4, Start(1, FACTS))])
+    host.run(1, [(3, Start(1, SETTINGS)), (4, Start(1, SETTINGS))])
 
     def broken(now: int, events: object) -> list[object]:
         raise RuntimeError("lost count")
@@ -212,16 +212,16 @@
     assert list(host.instances) == [4]
 
 
-def test_events_for_instances_not_running_are_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_events_for_instances_that_are_not_running_are_logged(capsys: pytest.CaptureFixture[str]) -> None:
     host = Host()
     assert host.run(1, [(9, TimerFired(1)), (8, Stop())]) == []
-    told = capsys.readouterr().err
-    assert "instance 9" in told and "instance 8" in told
+    logged = capsys.readouterr().err
+    assert "instance 9" in logged and "instance 8" in logged
 
 
-def test_kill_and_restart_in_one_batch_forget_what_was_held() -> None:
+def test_kill_and_restart_in_one_batch_drop_earlier_events() -> None:
     host = Host()
-    host.run(1, [(3, Start(1, FACTS))])
+    host.run(1, [(3, Start(1, SETTINGS))])
     old = host.instances[3]
-    host.run(2, [(3, TimerFired(1)), (3, Stop()), (3, Start(2, FACTS))])
+    host.run(2, [(3, TimerFired(1)), (3, Stop()), (3, Start(2, SETTINGS))])
     assert host.instances[3] is not old
