--- a/quincepath/broker/pending.py
+++ b/quincepath/broker/pending.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from quincepath.orders import Arrived, Ask, Ended, Finish, StartCall
+from quincepath.orders import Ask, AttemptEnded, Finish, QueryArrived, StartCall
 
 if TYPE_CHECKING:
     from quincepath.limits.fair import Footprint
 
-NO_TURN = "no turn: "  # how the cause of a refusal by the queue begins
+QUEUE_REFUSAL = "no turn: "  # how the cause of a refusal by the queue begins
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class SchedulingInfo:
     """What the queue has to know of an ask. ``target``: ns from its arrival; ``deadline``: own clock."""
 
     tenant: str
@@ -28,20 +28,20 @@
 class PendingQueue(Protocol):
     """Asks that admission took and that have no slot yet, and the slot time of those that run. Times: ns."""
 
-    def enter(self, now: int, ask: Ask, turn: Turn) -> None:
+    def enqueue(self, now: int, ask: Ask, scheduling: SchedulingInfo) -> None:
         """An ask that admission took."""
 
-    def started(self, now: int, order: StartCall) -> None:
+    def attempts_started(self, now: int, order: StartCall) -> None:
         """Attempts go out."""
 
-    def came(self, now: int, item: Ended) -> None:
+    def attempt_ended(self, now: int, item: AttemptEnded) -> None:
         """An attempt has ended."""
 
-    def ended(self, now: int, handle: int, finish: Finish | None) -> None:
+    def ask_ended(self, now: int, handle: int, finish: Finish | None) -> None:
         """An ask is over; without ``finish`` its clients had left."""
 
     def next_due(self) -> int | None:
         """When ``step`` must be called; 0: now."""
 
-    def step(self, now: int) -> tuple[list[Arrived], list[Finish]]:
+    def step(self, now: int) -> tuple[list[QueryArrived], list[Finish]]:
         """Asks that run from now on, and those that are refused."""
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -4,8 +4,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from quincepath.asks.desk import Desk
-from quincepath.broker.driver import Driver, Module
+from quincepath.asks.intake import AskIntake
+from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.broker.service.clients import Clients
 from quincepath.broker.service.figures import PAGE_TYPE, Figures, MemoryWatch
 from quincepath.broker.service.guest import Guests
@@ -15,42 +15,42 @@
 from quincepath.config.schema import Config, admission_bounds, book_limits, module_settings
 from quincepath.fronts.remote_read.front import RemoteReadFront, Reply
 from quincepath.interface import Members, Settings
-from quincepath.membership.source import ListSource
+from quincepath.membership.source import MembershipSource
 from quincepath.net.http1 import Limits
 from quincepath.net.loop import Loop
-from quincepath.net.server import Exchange, HttpServer, Times
+from quincepath.net.server import Exchange, HttpServer, Timeouts
 from quincepath.observe.logs import logger
 from quincepath.observe.metrics import Metrics
-from quincepath.orders import Listed
+from quincepath.orders import MembershipUpdate
 from quincepath.policy import Aggregator
 from quincepath.shards.shardmap import ShardMap
 from quincepath.upstream.pool import PoolLimits, Upstream
-from quincepath.upstream.remote_read import RemoteReadCalls
+from quincepath.upstream.remote_read import RemoteReadCodec
 
 if TYPE_CHECKING:
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
 
-MakeModule = Callable[[Settings, int], Module]
+MakeModule = Callable[[Settings, int], DecisionModule]
 ORDER_BODY = 192 * 1024  # bytes of a command that proposes a shard map, or a change of the configuration
-METRICS_TIMES = Times(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
+METRICS_TIMES = Timeouts(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
 
 
-def waiting_room(config: Config, seed: int) -> "WaitingRoom | None":
+def waiting_room(config: Config, seed: int) -> "FairPendingQueue | None":
     """Where slow queries wait for their turn; None without ``limits.fair``, and nothing of it is loaded."""
     fair = config.limits.fair
     if fair is None:
         return None
-    from quincepath.broker.waiting import WaitingRoom
+    from quincepath.broker.fair_pending import FairPendingQueue
     from quincepath.limits.fair import FairSettings
-    from quincepath.limits.fair.core import Turns
+    from quincepath.limits.fair.scheduler import FairScheduler
 
     settings = FairSettings(
         slots=fair.slots, quick_slots=fair.quick_slots, slow_from=fair.slow_from,
         waiting_most=fair.waiting_most, waiting_tenant_most=fair.waiting_tenant_most,
         weights={tenant.name: tenant.weight for tenant in config.tenants}, brokers=config.broker.brokers,
-        return_most=config.limits.max_retry_after,
+        retry_after_most=config.limits.max_retry_after,
     )  # fmt: skip
-    return WaitingRoom(Turns(settings, seed))
+    return FairPendingQueue(FairScheduler(settings, seed))
 
 
 def _order_body(config: Config) -> int:
@@ -79,11 +79,11 @@
             sets if config.fleet is not None and config.fleet.topology is not None else None,
         )
         system = loop.system
-        source = ListSource(config, self.map, base, lambda: system.wall_ns() / 1e9, loop.clock)
+        source = MembershipSource(config, self.map, base, lambda: system.wall_ns() / 1e9, loop.clock)
         settings = module_settings(config)
         seed = config.broker.seed or system.wall_ns()
         module = make_module(settings, seed)
-        desk: Desk[Reply] = Desk(
+        desk: AskIntake[Reply] = AskIntake(
             book_limits(config.asks, config.broker.tick), admission_bounds(config.limits), seed
         )
         self.holders = Holders(source, loop, config.roster_poll, self.log, self.metrics, self.told)
@@ -91,7 +91,7 @@
         if self.traces is not None:
             self.guests.add(Tracing(self.traces, self.holders.name))
         self.memory = MemoryWatch(
-            config.limits.max_memory, loop, self.metrics, self.log, desk.press,
+            config.limits.max_memory, loop, self.metrics, self.log, desk.set_pressure,
             lambda: not self.server.listener.closed,
         )  # fmt: skip
         self.door = desk.door
@@ -109,7 +109,7 @@
         )
         self.upstream = self.turn.upstream = Upstream(
             loop,
-            RemoteReadCalls(config.limits.max_answer, config.broker.number),
+            RemoteReadCodec(config.limits.max_answer, config.broker.number),
             PoolLimits(
                 config.limits.connect_timeout,
                 config.limits.idle_close,
@@ -142,7 +142,7 @@
                         guest.fleet.shared,
                         self.driver,
                         self.map,
-                        self.reception.note,
+                        self.reception.enqueue,
                         lambda: self.upstream.counts.opened,
                         self.waiting_room,
                     )  # fmt: skip
@@ -153,10 +153,10 @@
         self.server = HttpServer(
             loop, listen.host, listen.port, self.clients.request,
             Limits(listen.max_headers, listen.max_body),
-            Times(listen.idle_timeout, listen.request_timeout, listen.write_timeout),
+            Timeouts(listen.idle_timeout, listen.request_timeout, listen.write_timeout),
             listen.max_connections,
             lambda why: self.log.warning("accepting paused", cause=why),
-            most_per_address=listen.max_connections_per_address,
+            max_per_address=listen.max_connections_per_address,
         )  # fmt: skip
         self.metrics_server = HttpServer(
             loop, config.metrics.host, config.metrics.port, self._metrics_request,
@@ -183,13 +183,13 @@
 
     def told(self, news: Members) -> None:
         """News of the list: for the next batch, and connections to who is going are closed."""
-        self.reception.note(Listed(news))
+        self.reception.enqueue(MembershipUpdate(news))
         for entry in news.entries:
             if entry.phase.name != "READY":
                 self.upstream.close_node(entry.node)
 
     def _trace_of(self, ask: int) -> str:
-        return "" if self.traces is None else self.traces.of(ask)
+        return "" if self.traces is None else self.traces.trace_id(ask)
 
     def _metrics_request(self, exchange: Exchange) -> None:
         if self.guests.request(exchange):
@@ -201,13 +201,13 @@
         metrics.open_queries.set(len(self.driver.queries))
         metrics.open_parts.set(len(self.driver.parts))
         room = self.waiting_room
-        metrics.waiting.set(room.waiting() if room is not None else 0)
-        metrics.connections.labels("clients").set(len(self.server.peers))
+        metrics.fair_waiting.set(room.waiting() if room is not None else 0)
+        metrics.connections.labels("clients").set(len(self.server.connections))
         metrics.connections.labels("holders").set(self.upstream.counts.open)
         for phase in ("READY", "DRAINING", "GONE"):
             count = sum(fact.phase.name == phase for fact in self.holders.source.state.facts.values())
             metrics.holders.labels(phase.lower()).set(count)
-        exchange.respond(200, PAGE_TYPE, metrics.page())
+        exchange.respond(200, PAGE_TYPE, metrics.render())
 
     # --- stopping ---
 
@@ -236,7 +236,7 @@
         self.guests.close()
 
     def _end_when_idle(self) -> None:
-        idle = not self.clients.open and not self.reception.running() and not self.server.peers
+        idle = not self.clients.open and not self.reception.running() and not self.server.connections
         if self.stopping and idle and self.on_stopped is not None:
             done, self.on_stopped = self.on_stopped, None
             done()
--- a/quincepath/broker/service/turn.py
+++ b/quincepath/broker/service/turn.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from typing import Any
 
+from quincepath.broker.dispatcher import AskEnded, TryAnswer
 from quincepath.broker.driver import Driver
-from quincepath.broker.reception import AskEnded, Owed
 from quincepath.broker.service.clients import Clients
 from quincepath.broker.service.figures import Figures
 from quincepath.broker.service.guest import Guests
 from quincepath.broker.service.holders import Holders
 from quincepath.net.loop import Loop, Timer
-from quincepath.orders import Breach, Ended, ReadList, StartCall, StopAttempt, Told
+from quincepath.orders import AttemptEnded, Breach, LogLine, RefreshMembership, StartCall, StopAttempt
 from quincepath.upstream.pool import Upstream
 
 
@@ -40,13 +40,13 @@
         self._due: Timer | None = None
         self._due_at = 0
 
-    def ended(self, ended: Ended) -> None:
+    def ended(self, ended: AttemptEnded) -> None:
         """An attempt ended; it is in the next batch."""
         part = self.driver.parts.get(ended.part)
         if part is not None:
             self.figures.came(part, ended, self.holders.name(part.attempts[ended.attempt].node))
             self.guests.came(self.loop.now, part, ended)
-        self.reception.note(ended)
+        self.reception.enqueue(ended)
 
     def run(self) -> None:
         """One batch to the driver, its orders to the edge."""
@@ -54,7 +54,7 @@
             began = time.monotonic_ns()
             for order in self.reception.step(self.loop.now):
                 self._carry_out(order)
-            self.figures.metrics.lag.observe((time.monotonic_ns() - began) / 1e9)
+            self.figures.metrics.turn_seconds.observe((time.monotonic_ns() - began) / 1e9)
         due = self.reception.next_due()
         if due is not None and (self._due is None or self._due.call is None or due < self._due_at):
             if self._due is not None:
@@ -70,15 +70,15 @@
                 self.upstream.start(order)
             case StopAttempt(part, attempt):
                 self.upstream.stop(part, attempt)
-            case Owed():
+            case TryAnswer():
                 self.clients.owed(order)
             case AskEnded():
                 self.figures.ended(order)
                 self.guests.ended(self.loop.now, order)
-            case Told(text):
+            case LogLine(text):
                 self.figures.log.warning("module", text=text)
             case Breach(name, detail):
-                self.figures.metrics.breaches.labels(name).inc()
+                self.figures.metrics.contract_breaches.labels(name).inc()
                 self.figures.log.error("contract broken, made harmless", name=name, detail=detail)
-            case ReadList():
+            case RefreshMembership():
                 self.holders.read(force=True)
--- a/quincepath/platform/leaving.py
+++ b/quincepath/platform/outgoing.py
@@ -23,17 +23,17 @@
 class Carrier(Protocol):
     """The connection that an attempt waits for, or has left on."""
 
-    def begun(self, part: "Leaving") -> bool:
+    def begun(self, part: "OutgoingAttempt") -> bool:
         """Whether a byte of its frame may have left."""
         ...
 
-    def give_up(self, part: "Leaving") -> bool:
+    def give_up(self, part: "OutgoingAttempt") -> bool:
         """Nobody waits for an attempt any more; tells whether it certainly never ran."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class Leaving:
+class OutgoingAttempt:
     """One attempt that is out at the edge."""
 
     key: Key
@@ -54,12 +54,12 @@
         if self.handed:
             return self.order.deadline
         begun = self.written and self.carrier is not None and self.carrier.begun(self)
-        return self.order.whole_by if begun else self.leave_by
+        return self.order.send_complete_by if begun else self.leave_by
 
 
 @dataclass(slots=True, eq=False)
 class Frame:
     """Parts of one call whose frame has not begun to leave, or bytes that tell of a part given up."""
 
-    parts: list[Leaving] = field(default_factory=list)
+    parts: list[OutgoingAttempt] = field(default_factory=list)
     data: bytes = b""
