--- a/quincepath/policy/state.py
+++ b/quincepath/policy/state.py
@@ -40,13 +40,11 @@
         self.hedge_tokens = HEDGE_TOKENS_MAX
         self.refused = self.refused_at = 0  # queries refused in this overload, and when the last one was
         self.connection_lost_at = self.dial_failed_at = -SIGNAL_TTL
-        self.ranks: dict[
-            NodeId, Rank | None
-        ] = {}  # of one round; None for a node that may not be sent to yet
-        self.stale: set[int] = set()  # home cells whose first unsent part has to be ranked
-        self.candidates: list[
-            tuple[Rank, int, NodeId]
-        ] = []  # heap of ranked parts, by index, with their node
+        # Of one round: the rank of each node (None where nothing may be sent yet), home cells whose first
+        # unsent part has to be ranked, and a heap of ranked parts, by index, with their best node.
+        self.ranks: dict[NodeId, Rank | None] = {}
+        self.stale: set[int] = set()
+        self.candidates: list[tuple[Rank, int, NodeId]] = []
         self.poison_keys: dict[int, int] = {}  # keys of poison queries, and when each was last recorded
 
     def _typical(self, query: QueryState) -> Latency:
