--- a/quincepath/__init__.py
+++ b/quincepath/__init__.py
@@ -1,10 +1,10 @@
-"""quincepath: the decisions of a query aggregator, as a library.
+"""quincepath: the decision logic of a query aggregator, as a library.
 
-The two names are loaded when they are asked for: ``python -m`` imports this before the program can take a
-signal.
+The two exported names are imported lazily, because ``python -m`` imports this package before the program can
+handle signals.
 """
 
-TYPE_CHECKING = False  # as the type checker knows it, without an import
+TYPE_CHECKING = False  # set by the type checker; spares the import of typing
 if TYPE_CHECKING:
     from quincepath.interface import Settings
     from quincepath.policy import Aggregator
--- a/quincepath/__main__.py
+++ b/quincepath/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m quincepath`` is the command line."""
+"""Entry point of ``python -m quincepath``: the command line."""
 
 from quincepath.cli.main import main
 
--- a/quincepath/net/closing.py
+++ b/quincepath/net/closing.py
@@ -1,31 +1,32 @@
-"""How a connection ends: its states, and the transitions between them. Pure; sockets carry it out.
+"""State machine of closing a connection: states, events and transitions. Pure; sockets carry it out.
 
-There is one way. Guards against a close over unread bytes: the system answers it with a reset, which destroys
-the answer on its way and tells a client whose request crossed the close that its request may have run. So the
-writing side is shut down first (half-close), what still comes is read and dropped, and the socket is closed
-when the peer has ended its side too, or when a bound of time, bytes or room is over.
+There is a single way to close. It guards against closing a socket with unread bytes: the system then sends
+a reset, which destroys the answer in transit and tells a client whose request crossed the close that its
+request may have run. So the write side is shut down first (half-close), further input is read and discarded,
+and the socket is closed when the peer has ended its side too, or when a limit of time, bytes or descriptors
+is exceeded.
 """
 
 from enum import Enum, auto
 
 
 class State(Enum):
-    """Of one connection."""
+    """State of one connection."""
 
     OPEN = auto()
-    DRAINING = auto()  # nothing more is said; what was said is still leaving, what comes is dropped
-    PEER_ENDED = auto()  # the same, and the peer has ended its side
-    HALF_CLOSED = auto()  # our side has ended; what comes is dropped until the peer's end
+    DRAINING = auto()  # no further writes; buffered output is still being sent, input is discarded
+    PEER_ENDED = auto()  # as DRAINING, and the peer has ended its side
+    HALF_CLOSED = auto()  # our side has ended; input is discarded until the peer ends its side
     CLOSED = auto()
 
 
 class Event(Enum):
-    """What moves it on."""
+    """Event that may change the state."""
 
-    FINISH = auto()  # we have said our last
-    WRITTEN = auto()  # the system has taken all that was said
-    PEER_END = auto()  # the end of what the peer sends was read
-    LOST = auto()  # an error, or a bound is over
+    FINISH = auto()  # this side has written its last byte
+    WRITTEN = auto()  # the system has taken all buffered output
+    PEER_END = auto()  # end of stream was read
+    LOST = auto()  # an error, or a limit was exceeded
 
 
 S, E = State, Event
@@ -44,15 +45,15 @@
 
 
 def next_state(state: State, event: Event) -> State:
-    """The next state; an event that means nothing in a state leaves it."""
+    """The state after ``event``; an event without a transition leaves the state unchanged."""
     return TRANSITIONS.get((state, event), state)
 
 
 def accepts_data(state: State) -> bool:
-    """Whether what is read counts. After our last word nothing does: it is read and dropped."""
+    """Whether input is processed. After this side's last write it is only read and discarded."""
     return state is State.OPEN
 
 
 def discards_data(state: State) -> bool:
-    """Whether what comes is read and thrown away."""
+    """Whether input is read and discarded."""
     return state in (State.DRAINING, State.HALF_CLOSED)
--- a/quincepath/net/dial.py
+++ b/quincepath/net/dial.py
@@ -1,4 +1,4 @@
-"""Connecting without blocking, within a time."""
+"""Non-blocking connect with a timeout."""
 
 import errno
 import os
@@ -7,11 +7,11 @@
 
 from quincepath.net.loop import WRITE, Loop
 
-CONNECT_TIMED_OUT = -1  # the code of a connection that was not established in time
+CONNECT_TIMED_OUT = -1  # error code of a connect that timed out
 
 
 def describe_connect_error(code: int) -> str:
-    """The words for a code given to ``on_failed``."""
+    """Text for an error code passed to ``on_failed``."""
     return "not established in time" if code == CONNECT_TIMED_OUT else os.strerror(code)
 
 
@@ -34,7 +34,7 @@
         self.sock: socket.socket | None = None
         try:
             sock = loop.system.stream_socket()
-        except OSError as error:  # out of descriptors: this connection is not had, the broker goes on
+        except OSError as error:  # out of descriptors: only this connection fails, the broker continues
             code = error.errno or errno.EMFILE
             self.timer = loop.call_at(loop.now, lambda: self._fail(code))
             return
@@ -42,15 +42,15 @@
         self.sock = sock
         try:
             code = sock.connect_ex(address)
-        except OSError as error:  # an address that is none
+        except OSError as error:  # invalid address
             code = error.errno or errno.EADDRNOTAVAIL
         if code not in (0, errno.EINPROGRESS):
             self.timer = loop.call_at(loop.now, lambda: self._fail(code))
             return
         self.timer = loop.call_in(timeout, lambda: self._fail(CONNECT_TIMED_OUT))
-        loop.watch(sock, WRITE, self._ready)
+        loop.watch(sock, WRITE, self._on_writable)
 
-    def _ready(self, _: int) -> None:
+    def _on_writable(self, _: int) -> None:
         sock = self.sock
         assert sock is not None
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -58,7 +58,7 @@
             self._fail(code)
             return
         self.timer.cancel()
-        self.loop.watch(sock, 0, self._ready)
+        self.loop.watch(sock, 0, self._on_writable)
         self.sock = None
         self._on_open(sock)
 
@@ -67,9 +67,9 @@
         self._on_failed(code)
 
     def close(self) -> None:
-        """Give up, whatever the state."""
+        """Abandon the attempt in any state."""
         self.timer.cancel()
         if self.sock is not None:
-            self.loop.watch(self.sock, 0, self._ready)
+            self.loop.watch(self.sock, 0, self._on_writable)
             self.sock.close()
             self.sock = None
--- a/quincepath/net/http1.py
+++ b/quincepath/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 without sockets: bytes in, messages out, by httptools, with limits on every size."""
+"""Sans-I/O HTTP/1.1 on httptools: bytes in, messages out, with limits on every size."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,13 +6,13 @@
 
 import httptools
 
-MAX_PIPELINED_REQUESTS = 16  # whole requests held at most; what comes behind is not parsed
-PIECE = 16 * 1024  # bytes parsed at once: over a limit, no more than so many are held
-LINE = 4  # bytes that frame a header line: colon, space, line end
+MAX_PIPELINED_REQUESTS = 16  # complete requests queued per connection; later bytes are not parsed
+PARSE_CHUNK_BYTES = 16 * 1024  # parsed at once; also the most held beyond a limit before it is noticed
+HEADER_OVERHEAD_BYTES = 4  # per header line: colon, space, CR LF
 
 
 class HttpError(Exception):
-    """The peer broke the protocol or a limit; ``status`` is what a server answers before it closes."""
+    """The peer violated the protocol or a limit; a server answers with ``status`` and closes."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Sizes in bytes; ``headers`` counts the header lines of one message."""
+    """Size limits in bytes; ``headers`` applies to all header lines of one message."""
 
     headers: int = 32 * 1024
     body: int = 8 * 1024 * 1024
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One whole request; header names in lower case, repeated ones joined by a comma."""
+    """One complete request; header names in lower case, repeated headers joined by a comma."""
 
     method: str
     target: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """One whole response."""
+    """One complete response."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -53,43 +53,43 @@
     keep_alive: bool = True
 
 
-class _Reader:
-    """What both sides share: header and body accumulation within limits."""
+class _MessageReader:
+    """Common to both sides: accumulates headers and body within the limits."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.error: HttpError | None = None
-        self.busy = False  # inside a message
-        self._unheard = 0  # bytes that the parser took since it last told of anything: it holds them
+        self.busy = False  # within a message
+        self._unreported_bytes = 0  # fed since the last parser callback: the parser buffers them
         self._reset()
 
     def _reset(self) -> None:
         self._headers: dict[str, str] = {}
         self._header_bytes = 0
-        self._body = bytearray()  # one piece: a body in chunks of two bytes would take twenty times its size
+        self._body = bytearray()  # one buffer: a list of two-byte chunks would take 20 times the body's size
 
     def _fail(self, status: int, text: str) -> None:
         self.error = HttpError(status, text)
         raise self.error
 
     def on_message_begin(self) -> None:
-        """Called by the parser: a message begins."""
+        """Parser callback: start of a message."""
         self._reset()
-        self._unheard = 0
+        self._unreported_bytes = 0
         self.busy = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._unheard = 0
-        self._header_bytes += len(name) + len(value) + LINE
+        self._unreported_bytes = 0
+        self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
         if self._header_bytes > self.limits.headers:
             self._fail(431, f"headers of more than {self.limits.headers} bytes")
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
         self._headers[key] = f"{self._headers[key]}, {text}" if key in self._headers else text
 
     def on_headers_complete(self) -> None:
-        """Called by the parser: all headers are in."""
+        """Parser callback: end of the headers."""
         length = self._headers.get("content-length", "0")
-        # Whatever the parser lets pass: a body framed in two ways may hide another request.
+        # Checked whatever the parser accepts: ambiguous framing allows request smuggling.
         if "transfer-encoding" in self._headers and "content-length" in self._headers:
             self._fail(400, "both Content-Length and Transfer-Encoding")
         if not (length.isascii() and length.isdigit()) or len(length) > 18:
@@ -98,7 +98,7 @@
             self._fail(413, f"a body of {length} bytes where {self.limits.body} are allowed")
 
     def on_body(self, body: bytes) -> None:
-        self._unheard = 0
+        self._unreported_bytes = 0
         if len(self._body) + len(body) > self.limits.body:
             self._fail(413, f"a body of more than {self.limits.body} bytes")
         self._body += body
@@ -118,10 +118,10 @@
             raise self.error
 
 
-class RequestReader(_Reader):
-    """Server side: the requests completed by what was fed are in ``done``, in order; pipelining included.
+class RequestReader(_MessageReader):
+    """Server side: ``done`` holds the completed requests in order, pipelined ones included.
 
-    With ``MAX_PIPELINED_REQUESTS`` of them waiting, parsing stops: further bytes are only counted in
+    With ``MAX_PIPELINED_REQUESTS`` of them queued, parsing stops: further bytes are only counted in
     ``dropped``, and no later request can be read from this connection.
     """
 
@@ -134,24 +134,24 @@
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser: a piece of the target."""
-        self._unheard = 0
+        """Parser callback: part of the request target."""
+        self._unreported_bytes = 0
         self._target += url
         if len(self._target) > self.limits.headers:
             self._fail(414, f"a target of more than {self.limits.headers} bytes")
 
     def on_message_begin(self) -> None:
-        """Called by the parser: a message begins."""
+        """Parser callback: start of a message."""
         self._target = b""
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Called by the parser: all headers are in."""
+        """Parser callback: end of the headers."""
         super().on_headers_complete()
         self.wants_continue = self._headers.get("expect", "").lower() == "100-continue"
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the message is whole."""
+        """Parser callback: end of the message."""
         assert self._parser is not None
         self.busy = self.wants_continue = False
         self.done.append(
@@ -165,63 +165,65 @@
         )
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; whole requests are in ``done``. Raises ``HttpError``; ``done`` before it stays good."""
-        for at in range(0, len(data), PIECE):
+        """Parse bytes into ``done``. Raises ``HttpError``; requests completed before the error stay valid."""
+        for offset in range(0, len(data), PARSE_CHUNK_BYTES):
             if self.dropped or len(self.done) >= MAX_PIPELINED_REQUESTS:
-                self.dropped += len(data) - at
+                self.dropped += len(data) - offset
                 return
             if self._parser is None:
                 return
-            piece = data[at : at + PIECE]
-            self._unheard += len(piece)
-            self._feed(self._parser, piece)
-            if self._unheard > self.limits.headers:  # a line without end is held by the parser, and grows
+            chunk = data[offset : offset + PARSE_CHUNK_BYTES]
+            self._unreported_bytes += len(chunk)
+            self._feed(self._parser, chunk)
+            if (
+                self._unreported_bytes > self.limits.headers
+            ):  # the parser buffers an unterminated line without limit
                 self._fail(431, f"a line of more than {self.limits.headers} bytes")
 
     def close(self) -> None:
-        """Take nothing more. The parser holds this reader: without it both are freed at once."""
+        """Stop parsing. Breaks the reference cycle with the parser, so that both are freed at once."""
         self._parser = self.error = None
 
 
-class ResponseReader(_Reader):
-    """Client side of one call at a time; ``done`` is set when its response is whole.
+class ResponseReader(_MessageReader):
+    """Client side, one call at a time; ``done`` is set when its response is complete.
 
-    A response that names no length ends with its connection: the owner says by ``end`` that the peer ended it
-    in order. Whoever never says so takes no such response.
+    A response without a length ends with its connection: the owner calls ``end`` when the peer has closed it
+    cleanly. An owner that never calls it accepts no such response.
     """
 
     def __init__(self, limits: Limits) -> None:
         super().__init__(limits)
         self.done: Response | None = None
-        self._until_end = False  # the body that is read goes on until the connection ends
-        self._more = False  # something came behind a whole response
+        self._until_close = False  # the current body extends to the end of the connection
+        self._trailing = False  # another message followed a complete response
         self._parser = httptools.HttpResponseParser(self)
 
     def on_message_begin(self) -> None:
-        """Called by the parser: a message begins."""
+        """Parser callback: start of a message."""
         super().on_message_begin()
-        self._until_end, self._more = False, self.done is not None
+        self._until_close, self._trailing = False, self.done is not None
 
     def on_headers_complete(self) -> None:
-        """Called by the parser: all headers are in."""
+        """Parser callback: end of the headers."""
         super().on_headers_complete()
         status = self._parser.get_status_code()
         framed = "content-length" in self._headers or "transfer-encoding" in self._headers
-        self._until_end = not framed and status >= 200 and status not in (204, 304)
+        self._until_close = not framed and status >= 200 and status not in (204, 304)
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the message is whole."""
+        """Parser callback: end of the message."""
         self.busy = False
-        if self.done is None and self._parser.get_status_code() >= 200:  # an interim answer is not the answer
+        if self.done is None and self._parser.get_status_code() >= 200:  # 1xx responses are interim
             self.done = self._response(self._parser.should_keep_alive())
 
     def _response(self, keep_alive: bool) -> Response:
         return Response(self._parser.get_status_code(), self._headers, bytes(self._body), keep_alive)
 
     def feed(self, data: bytes) -> Response | None:
-        """Take bytes; the whole response once it is there. Raises ``HttpError``.
+        """Parse bytes; returns the response once it is complete. Raises ``HttpError``.
 
-        Of what comes behind a whole response nothing is read: it is kept, its connection is not.
+        Bytes after a complete response are ignored: the response is valid, but its connection is not reused.
         """
         try:
             self._feed(self._parser, data)
@@ -229,20 +231,20 @@
             if self.done is None:
                 raise
         found, self.done = self.done, None
-        if found is not None and (self._more or self.error is not None):
+        if found is not None and (self._trailing or self.error is not None):
             found.keep_alive = False
         return found
 
     def end(self) -> Response | None:
-        """The peer has ended the connection in order: the response that ends with it, if one does."""
-        if not self.busy or not self._until_end or self.error is not None:
+        """The peer closed the connection cleanly: returns the response delimited by that, if any."""
+        if not self.busy or not self._until_close or self.error is not None:
             return None
         self.busy = False
         return self._response(keep_alive=False)
 
 
-def _head(first: str, headers: dict[str, str]) -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in headers.items()), "", ""]
+def _head(start_line: str, headers: dict[str, str]) -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers.items()), "", ""]
     return "\r\n".join(lines).encode("latin-1", "replace")
 
 
@@ -254,6 +256,6 @@
 
 
 def request_bytes(method: str, target: str, host: str, headers: dict[str, str], body: bytes) -> bytes:
-    """A whole request."""
+    """A complete request."""
     fixed = {"Host": host, **headers, "Content-Length": str(len(body))}
     return _head(f"{method} {target} HTTP/1.1", fixed) + body
--- a/quincepath/net/loop.py
+++ b/quincepath/net/loop.py
@@ -1,8 +1,8 @@
-"""One loop on ``selectors``: sockets, timers, signals, and one hook a turn. Moves bytes and time only.
+"""Event loop on ``selectors``: sockets, timers, signals and turn hooks.
 
-A turn is: wait, run the callbacks of ready sockets, run due timers, run the turn hook. The hook is where the
-broker hands one batch to its driver. All clocks are monotonic nanoseconds; the wait is until the next timer,
-rounded up to the selector's millisecond, so that there is no busy waiting.
+A turn waits, runs the callbacks of ready sockets, then due timers, then the turn hooks. In a hook the broker
+passes one batch of events to its driver. All times are monotonic nanoseconds; the wait lasts until the next
+timer, rounded up to the selector's millisecond, so that there is no busy waiting.
 """
 
 import heapq
@@ -16,11 +16,11 @@
 from quincepath.net.system import System
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-LONGEST_WAIT = 60.0  # seconds; a wait with nothing to do ends so often, which costs nothing
+MAX_WAIT_S = 60.0  # an idle loop wakes up this often, at negligible cost
 
 
 class Timer:
-    """A pending call; ``cancel`` makes it void."""
+    """A scheduled call, cancellable by ``cancel``."""
 
     __slots__ = ("at", "call")
 
@@ -29,38 +29,39 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Never run it; cancelling twice, or after it ran, does nothing."""
+        """Prevent the call; has no effect after it ran or was cancelled."""
         self.call = None
 
 
 class Loop:
-    """Own event loop. Not thread-safe; one per process."""
+    """Event loop. Not thread-safe; one per process."""
 
     def __init__(self, clock: Callable[[], int] = time.monotonic_ns, system: System | None = None) -> None:
         self.clock = clock
         self.system = system or System()
         self._selector = self.system.selector()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._count = 0
+        self._timer_count = 0
         self._stopped = False
-        self._wake: tuple[socket.socket, socket.socket] | None = None
-        self._on_signal: dict[signal.Signals, Callable[[], None]] = {}
-        self._came: dict[int, None] = {}  # signals that wait for their call
+        self._wakeup_pair: tuple[socket.socket, socket.socket] | None = None
+        self._signal_handlers: dict[signal.Signals, Callable[[], None]] = {}
+        self._pending_signals: dict[int, None] = {}  # received, handler not called yet
         self.turn_hooks: list[Callable[[], None]] = []
-        # With this set, an error in one callback is told here and ends its connection, not the process.
+        # If set, receives exceptions of callbacks: each then closes its connection, not the process.
         self.on_error: Callable[[Exception], None] | None = None
         self.turns = 0
         self.now = clock()
-        # How long (ns) what the last wait found may have lain there: the turn before, and a late return.
+        # Longest time (ns) that an event found by the last wait may have been pending: the previous turn's
+        # duration plus the wait's overrun.
         self.lag = 0
 
     def watch(self, sock: socket.socket, mask: int, call: Callable[[int], None]) -> None:
-        """Call ``call(ready mask)`` when the socket is ready; replaces an earlier watch, mask 0 ends it."""
-        known = self._selector.get_map().get(sock.fileno())
+        """Run ``call(ready mask)`` when the socket is ready. Replaces an earlier watch; mask 0 removes it."""
+        registered = self._selector.get_map().get(sock.fileno())
         if not mask:
-            if known is not None:
+            if registered is not None:
                 self._selector.unregister(sock)
-        elif known is None:
+        elif registered is None:
             self._selector.register(sock, mask, call)
         else:
             self._selector.modify(sock, mask, call)
@@ -68,9 +69,9 @@
     def call_at(self, at: int, call: Callable[[], None]) -> Timer:
         """Run ``call`` in the first turn at or after ``at`` (ns)."""
         timer = Timer(at, call)
-        self._count += 1
-        heapq.heappush(self._timers, (at, self._count, timer))
-        if self._count % 4096 == 0:  # cancelled timers must not pile up under long deadlines
+        self._timer_count += 1
+        heapq.heappush(self._timers, (at, self._timer_count, timer))
+        if self._timer_count % 4096 == 0:  # cancelled timers must not accumulate under long deadlines
             self._timers = [item for item in self._timers if item[2].call is not None]
             heapq.heapify(self._timers)
         return timer
@@ -79,54 +80,55 @@
         """Run ``call`` after ``wait`` ns."""
         return self.call_at(self.clock() + wait, call)
 
-    def on_signals(self, names: dict[signal.Signals, Callable[[], None]]) -> None:
-        """Handle signals inside the loop, by the wakeup descriptor: never in the middle of a callback.
+    def on_signals(self, handlers: dict[signal.Signals, Callable[[], None]]) -> None:
+        """Handle signals between callbacks, woken by the wakeup descriptor.
 
-        The descriptor only ends the wait; what came is kept beside it. Guards against more signals in one
-        turn than its buffer takes (some hundreds): the bytes over it are lost, and with them a SIGTERM.
+        The descriptor only ends the wait; received signals are recorded separately. Guards against more
+        signals in one turn than the descriptor's buffer holds (some hundreds): the bytes beyond it are lost,
+        and a SIGTERM could be among them.
         """
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        theirs.setblocking(False)
-        self._wake = (ours, theirs)
-        self._on_signal = names
-        signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
-        for name in names:  # after the descriptor is set: a signal in between would be lost
-            signal.signal(name, lambda number, _: self._came.setdefault(number))
-        self.watch(ours, READ, lambda _: self._drain(ours))
+        reader, writer = socket.socketpair()
+        reader.setblocking(False)
+        writer.setblocking(False)
+        self._wakeup_pair = (reader, writer)
+        self._signal_handlers = handlers
+        signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
+        for number in handlers:  # after the descriptor is set: a signal in between would be lost
+            signal.signal(number, lambda received, _: self._pending_signals.setdefault(received))
+        self.watch(reader, READ, lambda _: self._drain_wakeup(reader))
 
     @staticmethod
-    def _drain(wake: socket.socket) -> None:
-        wake.recv(4096)
+    def _drain_wakeup(reader: socket.socket) -> None:
+        reader.recv(4096)
 
-    def turn(self, longest: float = LONGEST_WAIT) -> None:
-        """One turn; waits at most ``longest`` seconds."""
+    def turn(self, max_wait: float = MAX_WAIT_S) -> None:
+        """Run one turn; waits at most ``max_wait`` seconds."""
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
-        wait, began = longest, self.clock()
+        wait, began = max_wait, self.clock()
         if self._timers:
-            wait = min(max((self._timers[0][0] - began) / 1e9, 0.0), longest)
-        if self._came:
-            wait = 0.0  # one that comes from here on ends the wait
+            wait = min(max((self._timers[0][0] - began) / 1e9, 0.0), max_wait)
+        if self._pending_signals:
+            wait = 0.0  # a signal received after this check ends the wait by the descriptor
         ready = self._wait(wait)
-        before, self.now = self.now, self.clock()
-        self.lag = began - before + max(self.now - began - int(wait * 1e9), 0)
+        previous, self.now = self.now, self.clock()
+        self.lag = began - previous + max(self.now - began - int(wait * 1e9), 0)
         self.turns += 1
-        while self._came:
-            self._guarded(self._on_signal[signal.Signals(self._came.popitem()[0])])
+        while self._pending_signals:
+            self._call_guarded(self._signal_handlers[signal.Signals(self._pending_signals.popitem()[0])])
         for key, mask in ready:
             call: Any = key.data
             if self._selector.get_map().get(key.fd) is key:  # an earlier callback may have closed it
-                self._guarded(call, mask)
+                self._call_guarded(call, mask)
         while self._timers and self._timers[0][0] <= self.now:
             timer = heapq.heappop(self._timers)[2]
-            due, timer.call = timer.call, None
-            if due is not None:
-                self._guarded(due)
+            callback, timer.call = timer.call, None
+            if callback is not None:
+                self._call_guarded(callback)
         for hook in self.turn_hooks:
-            self._guarded(hook)
+            self._call_guarded(hook)
 
-    def _guarded(self, call: Any, *values: Any) -> None:
+    def _call_guarded(self, call: Any, *values: Any) -> None:
         try:
             call(*values)
         except Exception as error:
@@ -138,23 +140,23 @@
                 fail("internal error")
 
     def _wait(self, seconds: float) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for sockets; the one place where time passes. Tests put a virtual clock here."""
+        """Wait for sockets; the only place where time passes. Overridden in tests by a virtual clock."""
         return self._selector.select(seconds)
 
     def run(self) -> None:
-        """Turn until ``stop``."""
+        """Run turns until ``stop``."""
         self._stopped = False
         while not self._stopped:
             self.turn()
 
-    def run_until(self, done: Callable[[], bool], longest: float) -> bool:
-        """Turn until ``done()`` or for ``longest`` seconds; tells whether it is done."""
-        end = self.clock() + int(longest * 1e9)
+    def run_until(self, done: Callable[[], bool], max_wait: float) -> bool:
+        """Run turns until ``done()`` or for ``max_wait`` seconds; returns whether it is done."""
+        end = self.clock() + int(max_wait * 1e9)
         while not done():
-            left = end - self.clock()
-            if left <= 0:
+            remaining = end - self.clock()
+            if remaining <= 0:
                 return False
-            self.turn(left / 1e9)
+            self.turn(remaining / 1e9)
         return True
 
     def stop(self) -> None:
@@ -162,9 +164,9 @@
         self._stopped = True
 
     def close(self) -> None:
-        """Give back the selector and the wakeup pair."""
-        if self._wake:
+        """Close the selector and the wakeup sockets."""
+        if self._wakeup_pair:
             signal.set_wakeup_fd(-1)
-            for sock in self._wake:
+            for sock in self._wakeup_pair:
                 sock.close()
         self._selector.close()
--- a/quincepath/net/server.py
+++ b/quincepath/net/server.py
@@ -1,9 +1,9 @@
-"""HTTP server side on the loop: one request of a connection at a time, in order, within stated times.
+"""HTTP server on the event loop: serves the requests of a connection one at a time, in order, with timeouts.
 
-A pipelined request waits in the reader until the one before it is answered; it is *taken* then, and its
-client's time starts then, because an answer could not pass the earlier one anyway. While a request is open
-the connection is always read, so that a client that leaves is noticed; of what it sends ahead little is held,
-and the rest is dropped. How a connection ends is said in net/closing.py.
+A pipelined request waits in the reader until the one before it is answered. Only then is it passed to the
+handler and its client's time starts, because its answer could not overtake the earlier one anyway. While a
+request is open the connection is always read, so that a disconnect is noticed; little of what the client
+sends ahead is kept, the rest is discarded. Closing is described in net/closing.py.
 """
 
 import socket
@@ -16,40 +16,40 @@
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Listener, Stream
 
-SWEEP = 250_000_000  # ns between looks for connections past a time limit
-LINGER_MOST = 1024 * 1024  # bytes read and dropped from a client that has its last answer
-JOINED = 16 * 1024  # bytes of a body that are copied behind the head
+SWEEP_INTERVAL_NS = 250_000_000  # between checks for connections past a timeout
+MAX_LINGER_BYTES = 1024 * 1024  # read and discarded from a client that was sent its last answer
+MAX_JOINED_BODY_BYTES = 16 * 1024  # a smaller body is copied behind the head and sent with it
 MAX_DISCARDED_BYTES = 1024 * 1024  # sent ahead, read and discarded; over it the connection is closed
-GREETING = 250_000_000  # ns that a new connection has to begin its request while the server drains
-STALE = 20_000_000  # ns that an end may lie unseen; queries must not be sent on 100 ms after it
-TEXT = {"Content-Type": "text/plain; charset=utf-8"}
+DRAIN_FIRST_REQUEST_NS = 250_000_000  # for a new connection to begin its request while draining
+STALE_TURN_NS = 20_000_000  # a disconnect may stay unseen so long; queries must not be sent 100 ms after it
+TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
 
 
 @dataclass(slots=True, frozen=True)
 class Timeouts:
-    """Nanoseconds: between requests, within one request's arrival, without a byte taken by the client.
+    """In ns. ``idle``: between requests. ``request``: for a request to arrive. ``write``: without progress.
 
-    ``first``: from the connect until the first request is whole, 0 where that is as later ones. ``linger``:
-    how long a half-closed connection is still read from, so that what was said arrives.
+    ``first_request``: from the connect until the first request is complete, 0 to treat it as later ones.
+    ``linger``: how long a half-closed connection is still read, so that the answer arrives.
     """
 
     idle: int
     request: int
     write: int
-    first: int = 0
+    first_request: int = 0
     linger: int = 1_000_000_000
 
 
 class Exchange:
-    """One request and the one answer that it is owed."""
+    """One request and its answer."""
 
-    def __init__(self, peer: "ClientConnection", request: Request) -> None:
-        self.connection, self.request = peer, request
+    def __init__(self, connection: "ClientConnection", request: Request) -> None:
+        self.connection, self.request = connection, request
         self.answered = False
         self.on_disconnect: Callable[[], None] | None = None
 
     def respond(self, status: int, headers: dict[str, str], body: bytes = b"") -> bool:
-        """Answer; false, with nothing sent, where the answer was given before or the client has left."""
+        """Answer; returns false and sends nothing if already answered or the client has disconnected."""
         if self.answered or self.connection.stream.closed:
             return False
         self.answered = True
@@ -58,7 +58,7 @@
 
     def text(self, status: int, text: str, headers: dict[str, str] | None = None) -> bool:
         """Answer with a line of plain text."""
-        return self.respond(status, TEXT | (headers or {}), text.encode() + b"\n")
+        return self.respond(status, TEXT_HEADERS | (headers or {}), text.encode() + b"\n")
 
 
 class ClientConnection:
@@ -68,55 +68,57 @@
         self.server = server
         try:
             self.address = str(sock.getpeername()[0])
-        except OSError:  # it has gone already
+        except OSError:  # already disconnected
             self.address = ""
         self.reader = RequestReader(server.limits)
         self.current: Exchange | None = None
-        self.since = server.loop.now  # of the state now: idle, or a request being read
+        self.since = server.loop.now  # start of the current phase: idle, or a request being received
         self.arriving = False
-        self.counted = True  # among the connections of its address
-        self.asked = False  # some request of it was whole
-        self.valued = False  # the handler's mark: it has brought work worth keeping it for
+        self.holds_address_slot = True  # counted among the connections of its address
+        self.asked = False  # some request of it was complete
+        self.valued = False  # set by the handler: it has brought work that makes it worth keeping
         self.error: HttpError | None = None
-        self.behind = 0  # bytes behind an error that waits for its turn
-        self.stream = Stream(server.loop, sock, self._data, self._closed, self._drained)
+        self.bytes_after_error = 0  # received after an error that is not answered yet
+        self.stream = Stream(server.loop, sock, self._on_data, self._on_closed, self._on_drained)
 
     @property
     def closing(self) -> bool:
-        """Whether its last answer was given, or it is told to go: nothing of it is taken any more."""
+        """Whether its last answer was sent or it is being closed: no further request is processed."""
         return self.stream.state is not State.OPEN
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         if not self.arriving:
             self.arriving = True
-            if self.asked or not self.server.times.first:  # the first request's time runs from the connect
+            # The first request is timed from the connect.
+            if self.asked or not self.server.timeouts.first_request:
                 self.since = self.server.loop.now
         if self.error is None:
             try:
                 self.reader.feed(data)
             except HttpError as error:
-                self.error = HttpError(error.status, error.text)  # not its trace, which holds this connection
+                # A copy without the traceback, which refers to this connection.
+                self.error = HttpError(error.status, error.text)
         else:
-            self.behind += len(data)
-        # Not left unread: behind it may lie the client's end, and its open query must not go on then.
-        if self.behind + self.reader.dropped > MAX_DISCARDED_BYTES:
+            self.bytes_after_error += len(data)
+        # Not left unread: the client's disconnect may follow, and must end its open query.
+        if self.bytes_after_error + self.reader.dropped > MAX_DISCARDED_BYTES:
             self.server.counts["flooded"] += 1
-            self.stream.fail("sent too much ahead")
+            self.stream.fail("client sent too many bytes ahead of the answer")
             return
         if self.reader.wants_continue and self.current is None and self.error is None:
             self.reader.wants_continue = False
             self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self._next()
+        self._handle_next()
 
-    def _next(self) -> None:
-        """Take the next whole request, if nothing is open; a protocol error is answered in its turn.
+    def _handle_next(self) -> None:
+        """Handle the next complete request if none is open; a protocol error is answered in order.
 
-        Not while an answer waits for its reader: one who asks on and never reads would fill the memory.
+        Not while output is pending: a client that sends requests and never reads would fill the memory.
         """
         if self.current is not None or self.closing or self.stream.pending:
             return
         if self.reader.done:
-            if not self.asked and not self._still_there():
+            if not self.asked and not self._still_connected():
                 return
             request = self.reader.done.popleft()
             self.arriving = self.reader.busy or bool(self.reader.done)
@@ -127,124 +129,124 @@
             self.server.handler(exchange)
         elif self.error is not None:
             self.server.counts["protocol_errors"] += 1
-            self._send(self.error.status, TEXT, self.error.text.encode() + b"\n", keep_alive=False)
+            self._send(self.error.status, TEXT_HEADERS, self.error.text.encode() + b"\n", keep_alive=False)
         elif self.reader.dropped:
             self.end("read_ahead")
 
-    def _still_there(self) -> bool:
-        """Ahead of the first request: the connection may have waited long for the accept, its end with it."""
-        unread = self.stream.unread()
-        if unread == b"":
+    def _still_connected(self) -> bool:
+        """Before the first request: the client may have disconnected while it waited to be accepted."""
+        next_byte = self.stream.peek()
+        if next_byte == b"":
             self.server.counts["gone_before_taken"] += 1
             self.stream.fail("end of stream")
-        return unread is None  # what has come behind is read first, in the next turn
+        return next_byte is None  # pending input is read first, in the next turn
 
-    def _drained(self) -> None:
-        """Go on to what was sent ahead: not from within the handler, and one request a turn.
+    def _on_drained(self) -> None:
+        """Continue with pipelined requests: not from within the handler, and one request per turn.
 
-        Guards against thousands of small requests sent at once, which held up all others for their turn.
+        Guards against thousands of small requests sent at once, which delayed all other connections.
         """
         if not self.closing and (self.reader.done or self.error is not None or self.reader.dropped):
-            self.server.loop.call_at(self.server.loop.now + 1, self._next)
+            self.server.loop.call_at(self.server.loop.now + 1, self._handle_next)
 
     def respond(self, status: int, headers: dict[str, str], body: bytes, keep_alive: bool) -> None:
-        """Send the open request's answer and go on to the next request."""
+        """Send the open request's answer and proceed to the next request."""
         self.current = None
         self.since = self.server.loop.now
-        last = self.server.last_answers or self.reader.dropped > 0 and not self.reader.done
+        last = self.server.keep_alive_disabled or self.reader.dropped > 0 and not self.reader.done
         self._send(status, headers, body, keep_alive and not last)
 
     def _send(self, status: int, headers: dict[str, str], body: bytes, keep_alive: bool) -> None:
         head = response_head(status, headers, len(body), keep_alive)
-        if len(body) < JOINED:
-            self.stream.write(head + body)  # one call to the system
+        if len(body) < MAX_JOINED_BODY_BYTES:
+            self.stream.write(head + body)  # one system call
         else:
             self.stream.write(head, body)
         if not keep_alive:
             self._finish()
 
     def _finish(self) -> None:
-        """The one way in which this side ends a connection."""
+        """End this side of the connection, after the last write."""
         if not self.closing:
             self.since = self.server.loop.now
-            self.server.uncount(self)
+            self.server.release_address_slot(self)
             self.server.lingering[self] = None
-            self.stream.finish(LINGER_MOST, lambda: self._closed("finished"))
+            self.stream.finish(MAX_LINGER_BYTES, lambda: self._on_closed("finished"))
 
     @property
     def busy(self) -> bool:
-        """Whether a request is open, or the last answer is on its way."""
+        """Whether a request is open or an answer is still being sent."""
         return self.current is not None or self.closing or self.stream.pending > 0
 
     def waits(self) -> bool:
-        """Whether it may be closed without breaking anything off: no request open, none begun or unread."""
-        return not self.busy and not self.arriving and self.stream.quiet()
+        """Whether it can be closed without interrupting anything: no request is open, begun or unread."""
+        return not self.busy and not self.arriving and self.stream.nothing_unread()
 
-    def _closed(self, _why: str) -> None:
+    def _on_closed(self, _reason: str) -> None:
         self.server.forget(self)
         self.reader.close()
         exchange, self.current = self.current, None
         if exchange is not None and exchange.on_disconnect is not None:
             exchange.on_disconnect()
 
-    def fail(self, why: str) -> None:
-        """End this connection after an error of this program."""
-        self.stream.fail(why)
+    def fail(self, reason: str) -> None:
+        """Close this connection after an internal error."""
+        self.stream.fail(reason)
 
-    def refuse(self, why: str) -> None:
-        """Answer before any request and close: the client is told, not just cut off."""
-        self._send(503, {**TEXT, "Retry-After": "1"}, why.encode() + b"\n", keep_alive=False)
+    def reject(self, reason: str) -> None:
+        """Answer 503 before any request and close, so that the client learns the reason."""
+        self._send(503, {**TEXT_HEADERS, "Retry-After": "1"}, reason.encode() + b"\n", keep_alive=False)
 
-    def expire(self, now: int, times: Timeouts) -> None:
-        """End or answer what is past its time."""
+    def expire(self, now: int, timeouts: Timeouts) -> None:
+        """Close or answer the connection if it is past a timeout."""
         if self.stream.pending:
-            if now > self.stream.progress_at + times.write:
+            if now > self.stream.progress_at + timeouts.write:
                 self.abandon("slow_readers")
         elif self.closing:
-            if now > self.stream.state_since + times.linger:  # since the half-close, not since the answer
+            if now > self.stream.state_since + timeouts.linger:  # since the half-close, not since the answer
                 self.abandon("lingered")
         elif self.current is None:
-            self._expire_idle(now, times)
-
-    def _expire_idle(self, now: int, times: Timeouts) -> None:
-        first = not self.asked and times.first > 0
-        if first or self.arriving:
-            late = now - self.since - (times.first if first else times.request)
-            # A whole request may lie unread: it is read in the next turn. Once more, not for ever.
-            if late > SWEEP or late > 0 and self.stream.quiet():
-                self._late()
-            elif self.server.draining and not self.arriving and now > self.since + GREETING:
-                if self.stream.quiet():
+            self._expire_idle(now, timeouts)
+
+    def _expire_idle(self, now: int, timeouts: Timeouts) -> None:
+        awaits_first = not self.asked and timeouts.first_request > 0
+        if awaits_first or self.arriving:
+            overdue = now - self.since - (timeouts.first_request if awaits_first else timeouts.request)
+            # A complete request may be unread: the next turn reads it. Allowed for one sweep only.
+            if overdue > SWEEP_INTERVAL_NS or overdue > 0 and self.stream.nothing_unread():
+                self._reject_late()
+            elif self.server.draining and not self.arriving and now > self.since + DRAIN_FIRST_REQUEST_NS:
+                if self.stream.nothing_unread():
                     self.end("idle_closed")
-        elif (now > self.since + times.idle or self.server.draining) and self.stream.quiet():
+        elif (now > self.since + timeouts.idle or self.server.draining) and self.stream.nothing_unread():
             self.end("idle_closed")
 
-    def _late(self) -> None:
+    def _reject_late(self) -> None:
         self.server.counts["slow_senders"] += 1
-        self._send(408, TEXT, b"the request did not arrive in time\n", keep_alive=False)
+        self._send(408, TEXT_HEADERS, b"the request did not arrive in time\n", keep_alive=False)
 
     def end(self, count: str) -> None:
-        """Half-close without an answer; counted by name. What still comes is dropped, not served."""
+        """Half-close without an answer; counted by name. Further input is discarded, not served."""
         self.server.counts[count] += 1
         self._finish()
 
     def abandon(self, count: str) -> None:
-        """Close now: a bound is over; counted by name."""
+        """Close now, because a limit was exceeded; counted by name."""
         self.server.counts[count] += 1
         self.stream.abandon()
-        self._closed(count)
+        self._on_closed(count)
 
     def reject_incomplete_requests(self) -> None:
-        """The last moment of the process is near: who is not served now is not served any more."""
+        """Shutdown is near: answer an incomplete request with 408, close an idle connection."""
         if self.current is None and not self.closing:
             if self.arriving:
-                self._late()
+                self._reject_late()
             else:
                 self.end("idle_closed")
 
 
 class HttpServer:
-    """A listener and its connections. ``handler(exchange)`` may answer at once or later, once."""
+    """A listener and its connections. ``handler(exchange)`` answers once, at once or later."""
 
     def __init__(
         self,
@@ -253,115 +255,117 @@
         port: int,
         handler: Callable[[Exchange], None],
         limits: Limits,
-        times: Timeouts,
-        most: int,
-        on_paused: Callable[[str], None] = lambda why: None,
-        on_connection: Callable[[ClientConnection], None] = lambda peer: None,
+        timeouts: Timeouts,
+        max_connections: int,
+        on_paused: Callable[[str], None] = lambda reason: None,
+        on_connection: Callable[[ClientConnection], None] = lambda connection: None,
         max_per_address: int = 0,
-        enforce_limit: Callable[["HttpServer", ClientConnection], None] = lambda server, peer: None,
+        enforce_limit: Callable[["HttpServer", ClientConnection], None] = lambda server, connection: None,
     ) -> None:
-        self.enforce_limit = enforce_limit  # asked after each new connection; may cut others, or this one
-        self.last_answers = False  # each answer is the last on its connection
+        self.enforce_limit = enforce_limit  # called after each new connection; may close others or this one
+        self.keep_alive_disabled = False  # each answer is the last on its connection
         self.on_connection = on_connection
-        self.max_per_address = max_per_address  # 0: no bound
+        self.max_per_address = max_per_address  # 0: no limit
         self.by_address: Counter[str] = Counter()
-        self.loop, self.handler, self.limits, self.times = loop, handler, limits, times
+        self.loop, self.handler, self.limits, self.timeouts = loop, handler, limits, timeouts
         self.connections: dict[ClientConnection, None] = {}
-        self.lingering: dict[ClientConnection, None] = {}  # of these: who has our last word, the oldest first
-        self.most = most
+        self.lingering: dict[ClientConnection, None] = {}  # those sent their last answer, oldest first
+        self.max_connections = max_connections
         self.counts: Counter[str] = Counter()
         self.draining = False  # idle connections are closed
 
-        def paused(why: str) -> None:
+        def accepting_paused(reason: str) -> None:
             self.counts["accepting_paused"] += 1
-            on_paused(why)
+            on_paused(reason)
 
-        self.listener = Listener(loop, host, port, self._accept, self._held, most, paused)
+        self.listener = Listener(
+            loop, host, port, self._accept, self._open_connections, max_connections, accepting_paused
+        )
         self.port = self.listener.port
         self._sweep()
-        loop.turn_hooks.append(self._look_for_ends)  # ahead of the hook that sends queries on
+        loop.turn_hooks.append(self._detect_disconnects)  # before the hook that sends queries to nodes
 
-    def _held(self) -> int:
-        """Connections that hold a descriptor. At the bound the oldest half-closed one goes for the next.
+    def _open_connections(self) -> int:
+        """Number of connections that hold a descriptor. At the limit, the oldest half-closed ones are closed.
 
-        Guards against a crowd that does not answer our half-close and thereby keeps the listener resting.
-        One whose answer is still leaving stays.
+        Guards against clients that do not answer the half-close and thereby keep the listener paused. A
+        connection whose answer is still being sent is kept.
         """
-        if len(self.connections) >= self.most:
-            for peer in [peer for peer in self.lingering if peer.stream.state is State.HALF_CLOSED]:
-                peer.abandon("lingered_out")
-                if len(self.connections) < self.most:
+        if len(self.connections) >= self.max_connections:
+            for connection in [item for item in self.lingering if item.stream.state is State.HALF_CLOSED]:
+                connection.abandon("lingered_out")
+                if len(self.connections) < self.max_connections:
                     break
         return len(self.connections)
 
-    def _look_for_ends(self) -> None:
-        """After a long turn, ends of open requests' clients that came meanwhile, ahead of what is sent on.
+    def _detect_disconnects(self) -> None:
+        """After a long turn, detect disconnects of clients with open requests before their queries are sent.
 
-        Only then: commonly the wait has just told of each end, and a look costs a call to the system.
+        Only then: otherwise the wait has just reported every disconnect, and each check costs a system call.
         """
         loop = self.loop
-        if loop.lag + loop.clock() - loop.now < STALE:
+        if loop.lag + loop.clock() - loop.now < STALE_TURN_NS:
             return
-        for peer in [peer for peer in self.connections if peer.current is not None]:
-            if not peer.closing and peer.stream.gone():
+        for connection in [item for item in self.connections if item.current is not None]:
+            if not connection.closing and connection.stream.peer_closed():
                 self.counts["gone_unseen"] += 1
-                peer.stream.fail("end of stream")
+                connection.stream.fail("end of stream")
 
     def _accept(self, sock: socket.socket) -> None:
         self.counts["accepted"] += 1
-        peer = ClientConnection(self, sock)
-        self.connections[peer] = None
-        self.by_address[peer.address] += 1
-        if self.max_per_address and self.by_address[peer.address] > self.max_per_address:
+        connection = ClientConnection(self, sock)
+        self.connections[connection] = None
+        self.by_address[connection.address] += 1
+        if self.max_per_address and self.by_address[connection.address] > self.max_per_address:
             self.counts["too_many_of_address"] += 1
-            peer.refuse("too many connections from this address")
+            connection.reject("too many connections from this address")
             return
-        self.on_connection(peer)
-        self.enforce_limit(self, peer)
-
-    def forget(self, peer: ClientConnection) -> None:
-        """A connection is closed."""
-        if peer in self.connections:
-            del self.connections[peer]
-            self.lingering.pop(peer, None)
-            self.uncount(peer)
-
-    def uncount(self, peer: ClientConnection) -> None:
-        """A connection holds no place of its address any more: it is closed, or has its last answer."""
-        if peer.counted:
-            peer.counted = False
-            self.by_address[peer.address] -= 1
-            if not self.by_address[peer.address]:
-                del self.by_address[peer.address]
+        self.on_connection(connection)
+        self.enforce_limit(self, connection)
+
+    def forget(self, connection: ClientConnection) -> None:
+        """Remove a closed connection."""
+        if connection in self.connections:
+            del self.connections[connection]
+            self.lingering.pop(connection, None)
+            self.release_address_slot(connection)
+
+    def release_address_slot(self, connection: ClientConnection) -> None:
+        """Stop counting a connection for its address: it is closed, or was sent its last answer."""
+        if connection.holds_address_slot:
+            connection.holds_address_slot = False
+            self.by_address[connection.address] -= 1
+            if not self.by_address[connection.address]:
+                del self.by_address[connection.address]
 
     def _sweep(self) -> None:
-        for peer in list(self.connections):
-            peer.expire(self.loop.now, self.times)
+        for connection in list(self.connections):
+            connection.expire(self.loop.now, self.timeouts)
         if not self.listener.closed or self.connections:
-            self.loop.call_in(SWEEP, self._sweep)
+            self.loop.call_in(SWEEP_INTERVAL_NS, self._sweep)
 
-    def retire(self) -> None:
-        """Go on accepting and answering, but each answer is the last on its connection."""
-        self.last_answers = True
+    def disable_keep_alive(self) -> None:
+        """Continue to accept and answer, with each answer the last on its connection."""
+        self.keep_alive_disabled = True
 
     def drain(self) -> None:
-        """Accept no more than who waits now; idle connections close, open requests are still answered."""
-        self.draining = self.last_answers = True
+        """Accept only the queued connections; close idle ones, still answer open requests."""
+        self.draining = self.keep_alive_disabled = True
         self.listener.drain()
-        for peer in list(self.connections):
-            peer.expire(self.loop.now, self.times)
+        for connection in list(self.connections):
+            connection.expire(self.loop.now, self.timeouts)
 
     def reject_incomplete_requests(self) -> None:
-        """Also requests that are not whole are not waited for any more."""
-        for peer in list(self.connections):
-            peer.reject_incomplete_requests()
+        """Stop waiting for requests that are not complete."""
+        for connection in list(self.connections):
+            connection.reject_incomplete_requests()
 
     def close(self) -> None:
-        """Close all at once."""
+        """Close the listener and all connections immediately."""
         self.listener.close()
-        for peer in list(self.connections):
-            peer.stream.abandon()
+        for connection in list(self.connections):
+            connection.stream.abandon()
         self.connections.clear()
         self.lingering.clear()
-        if self._look_for_ends in self.loop.turn_hooks:
-            self.loop.turn_hooks.remove(self._look_for_ends)
+        if self._detect_disconnects in self.loop.turn_hooks:
+            self.loop.turn_hooks.remove(self._detect_disconnects)
--- a/quincepath/net/stream.py
+++ b/quincepath/net/stream.py
@@ -1,4 +1,4 @@
-"""A buffered non-blocking byte stream, and a listener that survives running out of descriptors."""
+"""Buffered non-blocking byte stream, and a listener that tolerates running out of descriptors."""
 
 import errno
 import socket
@@ -9,27 +9,25 @@
 from quincepath.net.closing import Event, State, discards_data, next_state
 from quincepath.net.loop import READ, WRITE, Loop
 
-READ_CHUNK_BYTES = (
-    256 * 1024
-)  # bytes read in one turn from one socket: a fast sender must not starve the others
-# Where bytes are read to. A fresh piece of that size for each read, cut down to what came, stretches the heap
-# for ever: what came lies at its start for a while, and the next piece has to go behind it.
-_ROOM = memoryview(bytearray(READ_CHUNK_BYTES))
-BACKLOG = 1024  # connections that the system holds until they are accepted
-LAST_READS = 8  # reads before a close at a bound: 2 MiB, more than a receive buffer commonly holds
-ACCEPT_PAUSE = 100_000_000  # ns for which a listener pauses when accepting fails for want of descriptors
+READ_CHUNK_BYTES = 256 * 1024  # per socket and turn: a fast sender must not starve the others
+# Shared read buffer. A new buffer of that size for each read, trimmed to the received bytes, grows the heap
+# without bound: the trimmed bytes stay at its start for a while, and the next buffer is allocated after them.
+_READ_BUFFER = memoryview(bytearray(READ_CHUNK_BYTES))
+ACCEPT_BACKLOG = 1024  # connections queued by the system until they are accepted
+MAX_FINAL_READS = 8  # before closing at a limit: 2 MiB, more than a receive buffer commonly holds
+ACCEPT_PAUSE_NS = 100_000_000  # pause of a listener after accepting failed for lack of descriptors
 
 
 def _ignore(_: bytes | str) -> None:
-    """Stands where the owner of a closed stream was told."""
+    """Replaces the callbacks of a closed stream."""
 
 
 class Stream:
-    """One connected socket. ``on_data(bytes)``, ``on_close(why)`` are called from the loop's turn.
+    """One connected socket. ``on_data(bytes)`` and ``on_close(reason)`` are called within the loop's turn.
 
-    Writes go out at once as far as the kernel takes them; the rest waits in ``pending`` bytes.
-    ``progress_at`` is the last time (ns) at which the peer took bytes: for a slow reader's time-out.
-    ``state`` says how far its end is (net/closing.py), ``state_since`` since when.
+    Writes are sent at once as far as the kernel accepts them; ``pending`` bytes of the rest are buffered.
+    ``progress_at`` is the last time (ns) at which the kernel accepted bytes, for the write timeout.
+    ``state`` is the state of closing (net/closing.py), entered at ``state_since``.
     """
 
     def __init__(
@@ -44,13 +42,13 @@
         self._on_data, self._on_close, self._on_drained = on_data, on_close, on_drained
         self._out: deque[memoryview] = deque()
         self.pending = 0
-        self.unsent = 0  # bytes that the system had not taken when it was closed
+        self.unsent = 0  # bytes still buffered here when the stream was closed
         self.progress_at = self.state_since = loop.now
         self.state = State.OPEN
-        self.closed = False  # whether the socket was given back; asked too often for a property
+        self.closed = False  # whether the socket is closed; read too often for a property
         self._reading = True
         self._on_finished: Callable[[], None] | None = None
-        self._discard = 0
+        self._discard_budget = 0
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -58,7 +56,7 @@
         loop.watch(sock, READ, self._ready)
 
     def write(self, *chunks: bytes) -> None:
-        """Send in order; nothing happens once the last was said."""
+        """Send in order; has no effect after ``finish``."""
         if self.state is not State.OPEN:
             return
         if not self._out:
@@ -70,68 +68,68 @@
         self._flush()
 
     def pause(self) -> None:
-        """Stop reading: back-pressure on the peer."""
+        """Stop reading: applies back-pressure to the peer."""
         self._reading = False
         self._rewatch()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         self._reading = True
         self._rewatch()
 
-    def finish(self, most: int, on_finished: Callable[[], None]) -> None:
-        """Say no more: what is written goes out, then the end of the stream; then ``on_finished``.
+    def finish(self, max_discarded: int, on_finished: Callable[[], None]) -> None:
+        """Write no more: sends the buffered output, ends the stream, then calls ``on_finished``.
 
-        What the peer still sends, up to ``most`` bytes, is read and dropped. The caller bounds the time, and
-        calls ``abandon`` when it is over.
+        Up to ``max_discarded`` bytes of further input are read and discarded. The caller limits the time and
+        calls ``abandon`` when it has passed.
         """
         if self.state is not State.OPEN:
             if self.closed:
                 on_finished()
             return
-        self._on_finished, self._discard = on_finished, most
-        self._move(Event.FINISH)
+        self._on_finished, self._discard_budget = on_finished, max_discarded
+        self._apply(Event.FINISH)
         if not self._out:
-            self._move(Event.WRITTEN)
+            self._apply(Event.WRITTEN)
 
     def abandon(self) -> None:
-        """The bound is over: close now, with nothing unread as far as that can be had."""
-        self._move(Event.LOST)
+        """Close now, because a limit was exceeded; discards unread input first, as far as possible."""
+        self._apply(Event.LOST)
 
-    def _move(self, event: Event) -> None:
-        """Carry out what the table says."""
+    def _apply(self, event: Event) -> None:
+        """Make the transition for ``event``, if there is one."""
         state = next_state(self.state, event)
         if state is self.state:
             return
         if state is State.CLOSED:
             if event is not Event.PEER_END:
-                self._drop_unread()
-            done, self._on_finished = self._on_finished, None
+                self._discard_unread()
+            callback, self._on_finished = self._on_finished, None
             self.close()
-            if done is not None:
-                done()
+            if callback is not None:
+                callback()
             return
         self.state, self.state_since = state, self.loop.now
         if state is State.HALF_CLOSED:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
-            except OSError:  # it was reset
-                self._move(Event.LOST)
+            except OSError:  # the connection was reset
+                self._apply(Event.LOST)
                 return
         self._reading = discards_data(state)
         self._rewatch()
 
-    def _drop_unread(self) -> None:
-        """Read what has come, so that the close does not reset; a sender without end gets its reset."""
+    def _discard_unread(self) -> None:
+        """Read pending input, so that closing sends no reset; an endless sender is reset all the same."""
         try:
-            for _ in range(LAST_READS):
-                if not self.sock.recv_into(_ROOM):
+            for _ in range(MAX_FINAL_READS):
+                if not self.sock.recv_into(_READ_BUFFER):
                     return
         except OSError:
             return
 
-    def unread(self) -> bytes | None:
-        """A look at what would be read next: None for nothing, no bytes for the peer's end or an error."""
+    def peek(self) -> bytes | None:
+        """The next unread byte: None if there is none yet, empty at end of stream or after an error."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -139,22 +137,22 @@
         except OSError:
             return b""
 
-    def quiet(self) -> bool:
-        """Whether nothing that the peer sent lies unread. An error or the end is nothing to be read."""
-        return not self.unread()
+    def nothing_unread(self) -> bool:
+        """Whether no input is unread. An error or the end of the stream is not input."""
+        return not self.peek()
 
-    def gone(self) -> bool:
-        """Whether the peer's end, or a reset, is what would be read next."""
-        return self.unread() == b""
+    def peer_closed(self) -> bool:
+        """Whether the next read would return the end of the stream or a reset."""
+        return self.peek() == b""
 
     def close(self, reset: bool = False) -> None:
-        """Close at once without a word to ``on_close``; ``reset`` drops what is buffered and sends RST."""
+        """Close at once without calling ``on_close``; ``reset`` discards buffered output and sends RST."""
         if self.closed:
             return
         self.state, self.state_since, self.closed = State.CLOSED, self.loop.now, True
         self._out.clear()
         self.unsent, self.pending = self.pending, 0
-        # Whoever holds this stream is held by these: cut, so that both go at once and not at some collection.
+        # The callbacks refer to the owner: breaking the cycle frees both at once, not at a later collection.
         self._on_data, self._on_close, self._on_drained, self._on_finished = _ignore, _ignore, None, None
         self.loop.watch(self.sock, 0, self._ready)
         if reset:
@@ -174,20 +172,20 @@
             self._flush()
         if mask & READ and not self.closed and self._reading:
             try:
-                size = self.sock.recv_into(_ROOM)
+                size = self.sock.recv_into(_READ_BUFFER)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
                 self._lost(error.strerror or str(error))
                 return
             if discards_data(self.state):
-                self._discard -= size
+                self._discard_budget -= size
                 if not size:
-                    self._move(Event.PEER_END)
-                elif self._discard < 0:
-                    self._move(Event.LOST)
+                    self._apply(Event.PEER_END)
+                elif self._discard_budget < 0:
+                    self._apply(Event.LOST)
             elif size:
-                self._on_data(bytes(_ROOM[:size]))
+                self._on_data(bytes(_READ_BUFFER[:size]))
             else:
                 self._lost("end of stream")
 
@@ -210,29 +208,29 @@
         if self._out:
             return
         if self.state is not State.OPEN:
-            self._move(Event.WRITTEN)
+            self._apply(Event.WRITTEN)
         elif self._on_drained is not None:
             self._on_drained()
 
-    def _lost(self, why: str) -> None:
+    def _lost(self, reason: str) -> None:
         if self.state is not State.OPEN:
-            self._move(Event.LOST)
+            self._apply(Event.LOST)
             return
         on_close = self._on_close
         self.close()
-        on_close(why)
+        on_close(reason)
 
-    def fail(self, why: str) -> None:
-        """End this connection, with no further word to the peer; its owner is told."""
+    def fail(self, reason: str) -> None:
+        """Close this connection without a further write, and notify its owner."""
         if not self.closed:
-            self._drop_unread()
-            self._lost(why)
+            self._discard_unread()
+            self._lost(reason)
 
 
 class Listener:
-    """Accepts on one address. At ``most`` open streams, or out of descriptors, it pauses and does not spin.
+    """Accepts on one address; pauses at ``max_open`` streams or out of descriptors, without busy looping.
 
-    ``open_streams()`` tells how many are open; ``on_paused(why)`` is told of each pause.
+    ``open_streams()`` returns the number of open streams; ``on_paused(reason)`` is called at each pause.
     """
 
     def __init__(
@@ -242,23 +240,28 @@
         port: int,
         on_accept: Callable[[socket.socket], None],
         open_streams: Callable[[], int],
-        most: int,
-        on_paused: Callable[[str], None] = lambda why: None,
+        max_open: int,
+        on_paused: Callable[[str], None] = lambda reason: None,
     ) -> None:
-        self.loop, self._on_accept, self._open, self.most = loop, on_accept, open_streams, most
+        self.loop, self._on_accept, self._open_streams, self.max_open = (
+            loop,
+            on_accept,
+            open_streams,
+            max_open,
+        )
         self._on_paused = on_paused
-        self.sock = loop.system.listening_socket(host, port, BACKLOG)
+        self.sock = loop.system.listening_socket(host, port, ACCEPT_BACKLOG)
         self.sock.setblocking(False)
         self.port: int = self.sock.getsockname()[1]
         self.closed = False
         loop.watch(self.sock, READ, self._ready)
 
     def _ready(self, _: int) -> None:
-        self._accept(64, self.most)
+        self._accept(64, self.max_open)
 
-    def _accept(self, turns: int, most: int) -> None:
-        for _turn in range(turns):
-            if self._open() >= most:
+    def _accept(self, max_accepts: int, max_open: int) -> None:
+        for _ in range(max_accepts):
+            if self._open_streams() >= max_open:
                 self._pause_accepting("connection limit reached")
                 return
             try:
@@ -267,37 +270,38 @@
                 return
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    # The waiting client stays in the backlog; a ready listener would spin the loop.
+                    # The waiting client stays in the backlog; watching a ready listener would be a busy loop.
                     self._pause_accepting(error.strerror or str(error))
                     return
                 raise
             self._on_accept(sock)
 
-    def _pause_accepting(self, why: str) -> None:
-        self._on_paused(why)
-        if self.closed:  # it accepts for the last time
+    def _pause_accepting(self, reason: str) -> None:
+        self._on_paused(reason)
+        if self.closed:  # accepting for the last time, in ``drain``
             return
         self.loop.watch(self.sock, 0, self._ready)
-        self.loop.call_in(ACCEPT_PAUSE, self._wake)
+        self.loop.call_in(ACCEPT_PAUSE_NS, self._resume_accepting)
 
-    def _wake(self) -> None:
+    def _resume_accepting(self) -> None:
         if not self.closed:
             self.loop.watch(self.sock, READ, self._ready)
 
     def drain(self) -> None:
-        """Accept who waits, then close: closing resets them, and their requests may be here already.
+        """Accept the queued connections, then close: closing would reset them, and requests may have arrived.
 
-        Over ``most`` as well: it is their last chance. Nothing is done between the accept that finds nobody
-        and the close; who comes in between is reset. (Shutting the listener down first resets all who wait.)
+        Exceeds ``max_open`` if need be, since they are not accepted later. Nothing runs between the accept
+        that finds none and the close; a connection made in between is reset. (Shutting the listener down
+        first resets all queued connections.)
         """
         if not self.closed:
             self.closed = True
             self.loop.watch(self.sock, 0, self._ready)
-            self._accept(2 * BACKLOG, self.most + BACKLOG)
+            self._accept(2 * ACCEPT_BACKLOG, self.max_open + ACCEPT_BACKLOG)
             self.sock.close()
 
     def close(self) -> None:
-        """Stop accepting; streams already open go on."""
+        """Stop accepting; open streams are not affected."""
         if not self.closed:
             self.closed = True
             self.loop.watch(self.sock, 0, self._ready)
--- a/quincepath/net/system.py
+++ b/quincepath/net/system.py
@@ -1,7 +1,7 @@
-"""What the loop and the edge take from the operating system, in one place, so that it can be replaced.
+"""Operating system services used by the loop and the I/O modules, behind one replaceable interface.
 
-``System`` is the real one: kernel sockets, the selector of the platform, the wall clock, random bytes. The
-laboratory puts an in-memory one in its place and then a run repeats byte for byte.
+``System`` is the real one: kernel sockets, the platform's selector, the wall clock, random bytes. Simulations
+replace it with an in-memory implementation, so that a run repeats byte for byte.
 """
 
 import os
@@ -12,25 +12,25 @@
 
 
 class System:
-    """Sockets, wall clock and entropy of the operating system. Errors are those of the calls: ``OSError``."""
+    """Sockets, wall clock and entropy of the operating system. Failing calls raise ``OSError``."""
 
-    # Bytes of memory that a broker is taken to hold. None: what the process holds is measured.
+    # Resident memory to assume for a broker, in bytes. None: the process is measured.
     resident_bytes: Callable[[], int] | None = None
 
     def selector(self) -> selectors.BaseSelector:
-        """The selector that waits for this system's sockets; one a loop."""
+        """A selector for this system's sockets; one per loop."""
         return selectors.DefaultSelector()
 
     def stream_socket(self) -> socket.socket:
-        """A TCP socket that is not connected yet."""
+        """An unconnected TCP socket."""
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
     def datagram_socket(self) -> socket.socket:
-        """A UDP socket that is not bound yet."""
+        """An unbound UDP socket."""
         return socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
     def listening_socket(self, host: str, port: int, backlog: int) -> socket.socket:
-        """A TCP socket that listens; port 0 takes a free one."""
+        """A listening TCP socket; port 0 selects a free port."""
         return socket.create_server((host, port), backlog=backlog)
 
     def wall_ns(self) -> int:
@@ -42,5 +42,5 @@
         return self.wall_ns() // 1_000_000
 
     def entropy(self, count: int) -> bytes:
-        """That many random bytes."""
+        """``count`` random bytes."""
         return os.urandom(count)
--- a/quincepath/observe/__init__.py
+++ b/quincepath/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics."""
+"""Logs, metrics and traces."""
--- a/quincepath/observe/logs.py
+++ b/quincepath/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by structlog: JSON lines or a console, to standard error."""
+"""Structured logs by structlog, as JSON lines or console text, to standard error."""
 
 import logging
 import sys
@@ -9,15 +9,17 @@
 Format = Literal["json", "console"]
 
 
-def setup(form: Format = "json", level: str = "info") -> None:
-    """Configure once a process; ``level`` is a name of the standard library's."""
-    render: Any = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer()
+def setup(output_format: Format = "json", level: str = "info") -> None:
+    """Configure logging, once per process; ``level`` is a level name of the standard library."""
+    renderer: Any = (
+        structlog.processors.JSONRenderer() if output_format == "json" else structlog.dev.ConsoleRenderer()
+    )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelNamesMapping()[level.upper()]),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -26,5 +28,5 @@
 
 
 def logger(**fields: Any) -> Any:
-    """A logger with these fields on each line."""
+    """A logger that adds these fields to each line."""
     return structlog.get_logger().bind(**fields)
--- a/quincepath/observe/metrics.py
+++ b/quincepath/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by prometheus-client, on a registry of one broker."""
+"""Metrics by prometheus-client, with one registry per broker."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -10,11 +10,11 @@
 )
 
 disable_created_metrics()  # type: ignore[no-untyped-call]
-TIMES = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+DURATION_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
 
 class Metrics:
-    """All series of one broker. Labels are bounded: classes, outcomes and causes come from fixed sets."""
+    """All metrics of one broker. Label values are bounded: classes, outcomes and causes are fixed sets."""
 
     def __init__(self) -> None:
         self.registry = registry = CollectorRegistry()
@@ -23,18 +23,18 @@
         )
         self.query_seconds = Histogram(
             "quincepath_query_seconds", "Time from taking a query to its final answer", ["class"],
-            buckets=TIMES, registry=registry,
+            buckets=DURATION_BUCKETS_S, registry=registry,
         )  # fmt: skip
         self.resident_bytes = Gauge(
-            "quincepath_resident_bytes", "Memory that the process holds", registry=registry
+            "quincepath_resident_bytes", "Resident memory of the process", registry=registry
         )
         self.tries = Counter(
-            "quincepath_tries", "Requests that were owed an answer, by how they came to it", ["how"],
+            "quincepath_tries", "Requests by the way in which they were answered", ["how"],
             registry=registry,
         )  # fmt: skip
         self.bad_requests = Counter(
             "quincepath_bad_requests",
-            "Requests that became no query, by status",
+            "Requests rejected before they became a query, by status",
             ["status"],
             registry=registry,
         )
@@ -43,35 +43,43 @@
             registry=registry,
         )  # fmt: skip
         self.contract_breaches = Counter(
-            "quincepath_contract_breaches", "Broken contracts made harmless", ["name"], registry=registry
+            "quincepath_contract_breaches",
+            "Contract violations that were contained",
+            ["name"],
+            registry=registry,
         )
         self.internal_errors = Counter(
-            "quincepath_internal_errors", "Queries failed by a fault of this program", registry=registry
+            "quincepath_internal_errors", "Queries failed by an internal error", registry=registry
         )
         self.open_queries = Gauge("quincepath_open_queries", "Queries open", registry=registry)
         self.open_parts = Gauge("quincepath_open_parts", "Parts held", registry=registry)
         self.fair_waiting = Gauge(
-            "quincepath_fair_waiting", "Slow queries that wait for their turn", registry=registry
+            "quincepath_fair_waiting", "Slow queries waiting in the fair queue", registry=registry
         )
         self.connections = Gauge("quincepath_connections", "Connections open", ["side"], registry=registry)
         self.rejected = Counter(
-            "quincepath_turned_away", "Queries refused at the door: too much open, or stopping", ["why"],
+            "quincepath_turned_away", "Queries rejected at admission: too much open, or stopping", ["why"],
             registry=registry,
         )  # fmt: skip
         self.holders = Gauge("quincepath_holders", "Holders listed, by phase", ["phase"], registry=registry)
         self.list_errors = Counter(
-            "quincepath_list_errors", "Reads of the list that failed", registry=registry
+            "quincepath_list_errors", "Failed reads of the holder list", registry=registry
         )
         self.duplicates = Counter(
             "quincepath_merge_duplicate_samples", "Samples dropped as duplicates", registry=registry
         )
         self.conflicts = Counter(
-            "quincepath_merge_conflicts", "Dropped duplicates that differed", registry=registry
+            "quincepath_merge_conflicts",
+            "Dropped duplicate samples with a different value",
+            registry=registry,
         )
         self.turn_seconds = Histogram(
-            "quincepath_turn_seconds", "Time of one turn's work on the loop", buckets=TIMES, registry=registry
+            "quincepath_turn_seconds",
+            "Processing time per turn of the event loop",
+            buckets=DURATION_BUCKETS_S,
+            registry=registry,
         )
 
     def render(self) -> bytes:
-        """The text format."""
+        """All metrics in the text exposition format."""
         return generate_latest(self.registry)
--- a/quincepath/observe/traces.py
+++ b/quincepath/observe/traces.py
@@ -1,8 +1,8 @@
-"""Traces by OpenTelemetry: a span an ask, one an attempt beneath it, written to a file as JSON lines.
+"""Traces by OpenTelemetry: a span per ask with a child span per attempt, written to a file as JSON lines.
 
-Spans are made when an ask has ended, from what was noted on the way, so that it is known by then which are
-worth keeping: failed, refused, partial and late ones always, of the others a share by trace id. A client's
-``traceparent`` is taken up: its trace goes on here, and what it samples is kept.
+Tail sampling: spans are created when an ask has ended, from events recorded meanwhile, because only then it
+is known which to keep. Failed, refused, partial and late asks are always kept, a share of the others by
+trace id. A client's ``traceparent`` is continued, and traces that it samples are kept.
 """
 
 import random
@@ -28,22 +28,22 @@
 
 PARENT_HEADER = "traceparent"
 TRACE_HEADER = "Quincepath-Trace"
-MOST_ATTEMPTS = 512  # noted of one ask; more are only counted
+MAX_ATTEMPTS = 512  # recorded per ask; further ones are only counted
 
 
-class _Ids(IdGenerator):
-    """Ids from a seeded source of this broker's own."""
+class _SeededIds(IdGenerator):
+    """Span and trace ids from a random source seeded per broker."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        self.trace = 0  # of the next span without a parent
+        self.next_trace = 0  # id for the next span without a parent; 0: draw one
 
     def generate_span_id(self) -> int:
         return self._random.getrandbits(64) or 1
 
     def generate_trace_id(self) -> int:
-        known, self.trace = self.trace, 0
-        return known or self._random.getrandbits(128) or 1
+        preset, self.next_trace = self.next_trace, 0
+        return preset or self._random.getrandbits(128) or 1
 
 
 @dataclass(slots=True)
@@ -59,101 +59,102 @@
 
 
 @dataclass(slots=True)
-class _Noted:
+class _OpenTrace:
     trace: int
     parent: SpanContext | None
     begin: int
     attempts: dict[tuple[int, int], _Attempt] = field(default_factory=dict)
-    more: int = 0
+    not_recorded: int = 0
 
 
 class Traces:
-    """One a broker. ``wall`` gives ns since the epoch of a time of the broker's own clock."""
+    """The traces of one broker. ``wall`` converts a time of the broker's clock to ns since the epoch."""
 
     def __init__(self, path: Path, share: float, seed: int, broker: int, wall: Callable[[int], int]) -> None:
-        self.share, self._wall, self._ids = share, wall, _Ids(seed)
+        self.share, self._wall, self._ids = share, wall, _SeededIds(seed)
         self._file = path.open("a", encoding="utf-8")
         exporter = ConsoleSpanExporter(out=self._file, formatter=_line)
         resource = Resource.create({"service.name": "quincepath", "service.instance.id": str(broker)})
         self._provider = TracerProvider(ALWAYS_ON, resource, id_generator=self._ids)
         self._provider.add_span_processor(SimpleSpanProcessor(exporter))
         self._tracer = self._provider.get_tracer("quincepath")
-        self._open: dict[int, _Noted] = {}
+        self._open: dict[int, _OpenTrace] = {}
         self.kept = self.dropped = 0
 
     def begin(self, ask: int, now: int, headers: Mapping[str, str]) -> str:
-        """An ask has begun; the trace's id, for logs and the reply."""
-        found = get_current_span(TraceContextTextMapPropagator().extract(dict(headers))).get_span_context()
-        parent = found if found.is_valid else None
+        """Open the trace of an ask; returns its id for logs and the reply."""
+        context = get_current_span(TraceContextTextMapPropagator().extract(dict(headers))).get_span_context()
+        parent = context if context.is_valid else None
         trace = parent.trace_id if parent else self._ids.generate_trace_id()
-        self._open[ask] = _Noted(trace, parent, now)
+        self._open[ask] = _OpenTrace(trace, parent, now)
         return format_trace_id(trace)
 
     def trace_id(self, ask: int) -> str:
-        """The trace's id of an open ask; empty where there is none."""
-        noted = self._open.get(ask)
-        return format_trace_id(noted.trace) if noted else ""
+        """The trace id of an open ask; empty if there is none."""
+        open_trace = self._open.get(ask)
+        return format_trace_id(open_trace.trace) if open_trace else ""
 
     def attempt_sent(
         self, ask: int, part: int, attempt: int, shard: int, step: int, node: str, now: int
     ) -> None:
-        """An attempt went out."""
+        """Record that an attempt was sent."""
         if ask not in self._open:
-            self.begin(ask, now, {})  # a run that began without a request of its own
-        noted = self._open[ask]
-        if len(noted.attempts) >= MOST_ATTEMPTS:
-            noted.more += 1
+            self.begin(ask, now, {})  # a run that started without a client request
+        open_trace = self._open[ask]
+        if len(open_trace.attempts) >= MAX_ATTEMPTS:
+            open_trace.not_recorded += 1
         else:
-            noted.attempts[part, attempt] = _Attempt(shard, step, attempt, node, now)
+            open_trace.attempts[part, attempt] = _Attempt(shard, step, attempt, node, now)
 
     def attempt_ended(self, ask: int, part: int, attempt: int, outcome: str, cause: str, now: int) -> None:
-        """An attempt ended."""
-        noted = self._open.get(ask)
-        known = noted.attempts.get((part, attempt)) if noted else None
-        if known is not None:
-            known.end, known.outcome, known.cause = now, outcome, cause
+        """Record the end of an attempt."""
+        open_trace = self._open.get(ask)
+        record = open_trace.attempts.get((part, attempt)) if open_trace else None
+        if record is not None:
+            record.end, record.outcome, record.cause = now, outcome, cause
 
     def end(
         self, ask: int, now: int, name: str, answer: str, late: bool, values: Mapping[str, str | int]
     ) -> None:
-        """An ask is over: its spans are written, or dropped. ``late``: past its class's target."""
-        noted = self._open.pop(ask, None)
-        if noted is None:
+        """Close the trace of an ask: write or drop its spans. ``late``: past the target of its class."""
+        open_trace = self._open.pop(ask, None)
+        if open_trace is None:
             return
-        if answer == "whole" and not late and not self._sampled(noted):
+        if answer == "whole" and not late and not self._sampled(open_trace):
             self.dropped += 1
             return
         self.kept += 1
-        self._ids.trace = 0 if noted.parent else noted.trace  # the one that logs and the reply have told
-        above = set_span_in_context(NonRecordingSpan(noted.parent)) if noted.parent else None
+        # The id given in logs and the reply; with a parent the span takes the parent's.
+        self._ids.next_trace = 0 if open_trace.parent else open_trace.trace
+        outer = set_span_in_context(NonRecordingSpan(open_trace.parent)) if open_trace.parent else None
         span = self._tracer.start_span(
-            "ask", above, SpanKind.SERVER, {"query": name, "answer": answer, "late": late, **values},
-            start_time=self._wall(noted.begin),
+            "ask", outer, SpanKind.SERVER, {"query": name, "answer": answer, "late": late, **values},
+            start_time=self._wall(open_trace.begin),
         )  # fmt: skip
         inner = set_span_in_context(span)
-        for one in noted.attempts.values():
+        for record in open_trace.attempts.values():
             child = self._tracer.start_span(
                 "attempt", inner, SpanKind.CLIENT,
-                {"shard": one.shard, "step": one.step, "attempt": one.number, "node": one.node,
-                 "outcome": one.outcome, "cause": one.cause},
-                start_time=self._wall(one.begin),
+                {"shard": record.shard, "step": record.step, "attempt": record.number, "node": record.node,
+                 "outcome": record.outcome, "cause": record.cause},
+                start_time=self._wall(record.begin),
             )  # fmt: skip
-            if one.outcome not in ("ok", "stopped", "cancelled"):
-                child.set_status(Status(StatusCode.ERROR, one.cause or one.outcome))
-            child.end(self._wall(one.end if one.end is not None else now))
-        if noted.more:
-            span.set_attribute("attempts_not_shown", noted.more)
+            if record.outcome not in ("ok", "stopped", "cancelled"):
+                child.set_status(Status(StatusCode.ERROR, record.cause or record.outcome))
+            child.end(self._wall(record.end if record.end is not None else now))
+        if open_trace.not_recorded:
+            span.set_attribute("attempts_not_shown", open_trace.not_recorded)
         if answer not in ("whole", "partial"):
             span.set_status(Status(StatusCode.ERROR, answer))
         span.end(self._wall(now))
 
-    def _sampled(self, noted: _Noted) -> bool:
-        if noted.parent is not None and noted.parent.trace_flags.sampled:
+    def _sampled(self, open_trace: _OpenTrace) -> bool:
+        if open_trace.parent is not None and open_trace.parent.trace_flags.sampled:
             return True
-        return (noted.trace & (2**64 - 1)) / 2**64 < self.share
+        return (open_trace.trace & (2**64 - 1)) / 2**64 < self.share
 
     def close(self) -> None:
-        """Write what is left and close the file."""
+        """Flush the exporter and close the file."""
         self._provider.shutdown()
         self._file.close()
 
--- a/quincepath/store/__init__.py
+++ b/quincepath/store/__init__.py
@@ -1,1 +1,1 @@
-"""What survives: one LMDB environment a broker. Loaded only by a broker that keeps something."""
+"""Persistent state: one LMDB environment per broker, imported only by brokers that store consensus state."""
--- a/quincepath/store/check.py
+++ b/quincepath/store/check.py
@@ -1,6 +1,6 @@
-"""``python -m quincepath.store.check PATH``: read all of a store; status 1 and its trouble if it is unsound.
+"""``python -m quincepath.store.check PATH``: verify a store; prints the problem and exits 1 if it is invalid.
 
-A process of its own, because a damaged file may end the one that maps it.
+Runs as a separate process, because a damaged file may crash the process that maps it.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """0 where the store is sound or empty."""
+    """Exit status: 0 if the store is valid or empty."""
     path = Path(sys.argv[1])
     try:
         env = lmdb.open(str(path), readonly=True, lock=False, subdir=True)
--- a/quincepath/upstream/__init__.py
+++ b/quincepath/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken to holders: pools, calls, and what each ending means."""
+"""Client side towards holders: connection pools, calls and the outcome of each call."""
--- a/quincepath/upstream/outcomes.py
+++ b/quincepath/upstream/outcomes.py
@@ -1,7 +1,7 @@
-"""What a holder's answer means to the module. Pure; the table in docs/design/broker.md is this file's.
+"""Maps the end of a call to a holder to an attempt's ``Result``. Pure; tabulated in docs/design/broker.md.
 
-The module's outcomes are facts about the attempt, never guesses: CONNECT_FAILED and FULL say that it
-certainly did not run, so only what proves that may become one of them.
+Results state facts about the attempt, never guesses: CONNECT_FAILED and FULL mean that it certainly did not
+run, so only an end that proves it is mapped to one of them.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 
 class CallEnd(Enum):
-    """How the transport of a call ended without a whole response."""
+    """How a call ended without a complete response."""
 
     REFUSED = "connection refused"
     UNREACHABLE = "address unreachable"
@@ -38,7 +38,7 @@
     CallEnd.NOT_SENT: Result.CONNECT_FAILED,
     CallEnd.LOST_UNSENT: Result.CONNECT_FAILED,
     CallEnd.LOST: Result.RESET,
-    CallEnd.CLOSED_AFTER_BAD_ANSWER: Result.CANCELLED,  # by this broker; the node neither failed nor died
+    CallEnd.CLOSED_AFTER_BAD_ANSWER: Result.CANCELLED,  # by this broker: the node neither failed nor died
     CallEnd.CLOSED_AFTER_PARTIAL_WRITE: Result.CANCELLED,  # by this broker, too
     CallEnd.PROTOCOL: Result.ERROR,
     CallEnd.TIMEOUT: Result.TIMEOUT,
@@ -48,22 +48,22 @@
 
 @dataclass(slots=True, frozen=True)
 class CallOutcome:
-    """An outcome and the words for logs and metrics."""
+    """A result, and its cause as text for logs and metrics."""
 
     result: Result
     cause: str
 
 
 def transport_outcome(end: CallEnd, detail: str = "") -> CallOutcome:
-    """The meaning of a call without a whole response."""
+    """The outcome of a call that ended without a complete response."""
     return CallOutcome(TRANSPORT_RESULTS[end], f"{end.value}: {detail}" if detail else end.value)
 
 
 def status_outcome(status: int, headers: Mapping[str, str]) -> CallOutcome:
-    """The meaning of a whole response by its status alone; a 2xx body is still to be decoded.
+    """The outcome of a complete response by its status alone; a 2xx body has yet to be decoded.
 
-    429, and 503 with ``Retry-After``, are a door that was shut before the request was looked at. Any other
-    503 may be a store that failed half way: it may have run.
+    429, and 503 with ``Retry-After``, mean that the request was rejected before any processing. Any other
+    503 may come from a store that failed midway, so that the request may have run.
     """
     if 200 <= status < 300:
         return CallOutcome(Result.OK, "")
--- a/quincepath/upstream/remote_read.py
+++ b/quincepath/upstream/remote_read.py
@@ -1,4 +1,4 @@
-"""What is spoken to holders: remote read, one request a call, the queries of all its parts in a row. Pure."""
+"""Remote read towards holders: one request per call, with the queries of all its parts in order. Pure."""
 
 from collections.abc import Sequence
 
@@ -8,52 +8,52 @@
 from quincepath.net.http1 import Response
 from quincepath.orders import AttemptOrder
 
-PARTS_HEADER = "X-Quincepath-Parts"  # name/shard/step/attempt of each part, for the holder's log
-BROKER_HEADER = "X-Quincepath-Broker"  # the number of the broker that calls
+PARTS_HEADER = "X-Quincepath-Parts"  # query/shard/step/attempt of each part, for the holder's log
+BROKER_HEADER = "X-Quincepath-Broker"  # number of the calling broker
 
 
 class BadResponse(ValueError):
-    """A 2xx answer that is not one: it may have run, and cannot be used."""
+    """A 2xx response with an unusable body; the call may have run."""
 
 
 class RemoteReadCodec:
-    """Encodes calls and decodes their answers; ``most`` bytes of an answer, decompressed."""
+    """Encodes calls and decodes their responses, of up to ``max_bytes`` decompressed."""
 
-    def __init__(self, most: int, broker: int = 0) -> None:
-        self.most, self.broker = most, str(broker)
+    def __init__(self, max_bytes: int, broker: int = 0) -> None:
+        self.max_bytes, self.broker = max_bytes, str(broker)
 
     def encode(self, attempts: Sequence[AttemptOrder]) -> tuple[dict[str, str], bytes]:
         """Headers and body of one call."""
         request = ReadRequest()
-        names = []
+        part_names = []
         for order in attempts:
             fetch: PartFetch = order.payload
             request.queries.extend(query for _, query in fetch.queries)
-            names.append(f"{order.query_name or '-'}/{order.shard}/{order.step}/{order.attempt}")
+            part_names.append(f"{order.query_name or '-'}/{order.shard}/{order.step}/{order.attempt}")
         headers = {
-            **HEADERS, **VERSION_HEADER, "Accept-Encoding": "snappy", PARTS_HEADER: ", ".join(names),
+            **HEADERS, **VERSION_HEADER, "Accept-Encoding": "snappy", PARTS_HEADER: ", ".join(part_names),
             BROKER_HEADER: self.broker,
         }  # fmt: skip
         return headers, encode(request)
 
     def decode(self, attempts: Sequence[AttemptOrder], response: Response) -> list[PartBody]:
-        """The parts' bodies, in the order of the attempts. Raises ``BadResponse``."""
+        """The bodies of the parts, in the order of the attempts. Raises ``BadResponse``."""
         try:
-            answer = decode_response(response.body, self.most)
+            decoded = decode_response(response.body, self.max_bytes)
         except CodecError as error:
             raise BadResponse(str(error)) from None
-        wanted = sum(len(order.payload.queries) for order in attempts)
-        if len(answer.results) != wanted:
-            raise BadResponse(f"{len(answer.results)} results for {wanted} queries")
+        expected = sum(len(order.payload.queries) for order in attempts)
+        if len(decoded.results) != expected:
+            raise BadResponse(f"{len(decoded.results)} results for {expected} queries")
         bodies: list[PartBody] = []
-        at = 0
+        offset = 0
         for order in attempts:
             fetch: PartFetch = order.payload
             bodies.append(
                 tuple(
-                    (index, list(answer.results[at + i].timeseries))
+                    (index, list(decoded.results[offset + i].timeseries))
                     for i, (index, _) in enumerate(fetch.queries)
                 )
             )
-            at += len(fetch.queries)
+            offset += len(fetch.queries)
         return bodies
