--- a/quincepath/net/http1.py
+++ b/quincepath/net/http1.py
@@ -175,9 +175,8 @@
             chunk = data[offset : offset + PARSE_CHUNK_BYTES]
             self._unreported_bytes += len(chunk)
             self._feed(self._parser, chunk)
-            if (
-                self._unreported_bytes > self.limits.headers
-            ):  # the parser buffers an unterminated line without limit
+            # The parser buffers an unterminated line without limit.
+            if self._unreported_bytes > self.limits.headers:
                 self._fail(431, f"a line of more than {self.limits.headers} bytes")
 
     def close(self) -> None:
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -1,7 +1,7 @@
-"""Targets that are fed bytes from outside: each either makes something of them or says clearly why not.
+"""Fuzz targets for all decoders of external input: each accepts the bytes or reports a clear error.
 
-A target takes bytes and raises nothing. ``mutated`` gives inputs near valid ones. Used in CI with few inputs
-and fixed seeds, and by ``benchmarks/fuzz.py`` with many.
+A target takes bytes and must not raise. ``mutated_inputs`` generates inputs close to valid ones. Used in CI
+with few inputs and fixed seeds, and by ``benchmarks/fuzz.py`` with many.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 ROOT = Path(__file__).parent.parent
 LIMITS = Limits(headers=4096, body=1 << 16)
-MOST = 1 << 20
+MAX_DECODED_BYTES = 1 << 20
 
 
 def sample_request() -> ReadRequest:
@@ -56,25 +56,25 @@
 
 
 def http_request(data: bytes) -> None:
-    """The same messages or the same error, however the bytes are cut."""
+    """The same messages or the same error, however the bytes are split."""
 
-    def read(pieces: list[bytes]) -> tuple[list[tuple[str, str, int]], int]:
+    def read(chunks: list[bytes]) -> tuple[list[tuple[str, str, int]], int]:
         reader = RequestReader(LIMITS)
         try:
-            for piece in pieces:
-                reader.feed(piece)
+            for chunk in chunks:
+                reader.feed(chunk)
         except HttpError as error:
             assert 400 <= error.status <= 599 and error.text
             return [(r.method, r.target, len(r.body)) for r in reader.done], error.status
         assert all(len(request.body) <= LIMITS.body for request in reader.done)
         return [(r.method, r.target, len(r.body)) for r in reader.done], 0
 
-    whole, cut = read([data]), read([data[n : n + 7] for n in range(0, len(data), 7)])
-    assert whole == cut, (whole, cut)
+    whole, split = read([data]), read([data[n : n + 7] for n in range(0, len(data), 7)])
+    assert whole == split, (whole, split)
 
 
 def http_response(data: bytes) -> None:
-    """A response, an error, or more is wanted."""
+    """A response, an error, or an incomplete message."""
     try:
         ResponseReader(LIMITS).feed(data)
     except HttpError as error:
@@ -82,16 +82,16 @@
 
 
 def protobuf(data: bytes) -> None:
-    """Snappy and protobuf of both directions."""
+    """Snappy and protobuf, requests and responses."""
     for decode in (decode_request, decode_response):
         try:
-            decode(data, MOST)
+            decode(data, MAX_DECODED_BYTES)
         except CodecError as error:
             assert str(error)
 
 
 def front(data: bytes) -> None:
-    """A whole request body through the front: an ask or a 4xx in words."""
+    """A request body through the front end: an ask, or a 4xx with a message."""
     request = Request("POST", "/api/v1/read", {k.lower(): v for k, v in HEADERS.items()}, data)
     found = FRONT.read(request, 1, "q")
     if isinstance(found, Reply):
@@ -100,12 +100,12 @@
 
 
 def plan(data: bytes) -> None:
-    """A request's protobuf, well packed: what is wrong then is inside (types, times, expressions, limits)."""
+    """Validly compressed protobuf of a request: errors are inside it (types, times, expressions, limits)."""
     front(compress(data))
 
 
 def header_values(data: bytes) -> None:
-    """What clients and brokers write into our headers."""
+    """Values of the headers set by clients and brokers."""
     text = data.decode("latin-1")
     names = [
         "x-quincepath-timeout",
@@ -133,7 +133,7 @@
 
 
 def recording(data: bytes) -> None:
-    """A recording that may be damaged anywhere."""
+    """A recording damaged at any position."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "x.qprec"
         path.write_bytes(data)
@@ -150,7 +150,7 @@
 
 
 def platform_query(data: bytes) -> None:
-    """A body of the platform's protocol, and the same bytes as each header that matters."""
+    """A body of the platform protocol, and the same bytes as the value of each relevant header."""
     text = data.decode("latin-1")
     good = {"req-id": "q", "req-kind": "any", "req-owner": "acme", "req-deadline-ms": "9"}
     changes = [{}, *({name: text} for name in good)]
@@ -166,7 +166,7 @@
 
 
 def platform_frames(data: bytes) -> None:
-    """What a node sends: replies, or a spoilt connection; the same however the bytes are cut."""
+    """Bytes from a node: replies or a protocol error, the same however the bytes are split."""
     found = []
     for size in (len(data) or 1, 3):
         reader, spoilt = FrameReader(), False
@@ -180,7 +180,7 @@
 
 
 def platform_list(data: bytes) -> None:
-    """What discovery sends."""
+    """Node lists from discovery."""
     try:
         read_list(data)
     except BadList as error:
@@ -206,7 +206,7 @@
 
 
 def mutate(random: np.random.Generator, seed: bytes) -> bytes:
-    """One input near a valid one: bytes flipped, cut out, doubled, put in, or a length blown up."""
+    """An input close to a valid one: bits flipped; bytes removed, repeated, inserted; huge length; cut."""
     data = bytearray(seed)
     for _ in range(int(random.integers(1, 6))):
         at = int(random.integers(len(data) + 1))
@@ -226,8 +226,8 @@
     return bytes(data)
 
 
-def mutated(seeds: list[bytes]) -> st.SearchStrategy[bytes]:
-    """For hypothesis: anything, or something near a valid input."""
+def mutated_inputs(seeds: list[bytes]) -> st.SearchStrategy[bytes]:
+    """Strategy for hypothesis: arbitrary bytes, or an input close to a valid one."""
     near = st.builds(
         lambda seed, number: mutate(np.random.default_rng(number), seed),
         st.sampled_from(seeds),
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -1,4 +1,4 @@
-"""The table of a connection's end."""
+"""The state machine of closing a connection."""
 
 from itertools import product
 
@@ -10,24 +10,26 @@
 
 
 @pytest.mark.parametrize(("state", "event"), list(product(State, Event)))
-def test_a_connection_only_goes_on_towards_its_end(state: State, event: Event) -> None:
+def test_transitions_only_advance_towards_closed(state: State, event: Event) -> None:
     after = next_state(state, event)
     assert ORDER.index(after) >= ORDER.index(state)
     if state is not State.OPEN:
-        assert not accepts_data(after), "what is read after the last word must never count again"
+        assert not accepts_data(after), "input after the last write must never be processed again"
     if state is State.CLOSED:
         assert after is State.CLOSED
 
 
 @pytest.mark.parametrize("state", State)
-def test_an_error_or_a_bound_closes_at_once_whatever_the_state(state: State) -> None:
+def test_an_error_or_exceeded_limit_closes_in_any_state(state: State) -> None:
     assert next_state(state, Event.LOST) is State.CLOSED
 
 
 @pytest.mark.parametrize("state", State)
-def test_what_is_read_is_taken_or_dropped_or_there_is_nothing_to_read(state: State) -> None:
-    read = {State.OPEN: "taken", State.DRAINING: "dropped", State.HALF_CLOSED: "dropped"}.get(state, "")
-    assert (accepts_data(state), discards_data(state)) == (read == "taken", read == "dropped")
+def test_input_is_processed_or_discarded_or_not_read(state: State) -> None:
+    read = {State.OPEN: "processed", State.DRAINING: "discarded", State.HALF_CLOSED: "discarded"}.get(
+        state, ""
+    )
+    assert (accepts_data(state), discards_data(state)) == (read == "processed", read == "discarded")
 
 
 @pytest.mark.parametrize(
@@ -38,9 +40,14 @@
         ([Event.PEER_END, Event.FINISH], [State.CLOSED, State.CLOSED]),
         ([Event.WRITTEN, Event.FINISH, Event.FINISH], [State.OPEN, State.DRAINING, State.DRAINING]),
     ],
-    ids=["we end first", "the peer ends while the answer leaves", "the peer ends first", "said twice"],
+    ids=[
+        "this side ends first",
+        "the peer ends while output drains",
+        "the peer ends first",
+        "finished twice",
+    ],
 )
-def test_the_ways_through(events: list[Event], states: list[State]) -> None:
+def test_event_sequences_lead_to_the_expected_states(events: list[Event], states: list[State]) -> None:
     state, seen = State.OPEN, []
     for event in events:
         seen.append(state := next_state(state, event))
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Every decoder of bytes from outside: no crash, no exception but its own, no memory past its limit."""
+"""Decoders of external input: no crash, no foreign exception, no memory beyond the limit."""
 
 import tracemalloc
 
@@ -9,16 +9,16 @@
 from quincepath.fronts.remote_read.codec import CodecError, decode_request
 from quincepath.fronts.remote_read.front import name_of
 from quincepath.net.http1 import Request
-from tests.fuzzing import MOST, TARGETS, mutated
+from tests.fuzzing import MAX_DECODED_BYTES, TARGETS, mutated_inputs
 
 
 @pytest.mark.parametrize("name", TARGETS)
-def test_inputs_from_outside_are_taken_or_refused_in_words(name: str) -> None:
+def test_external_input_is_accepted_or_rejected_with_a_message(name: str) -> None:
     target, seeds = TARGETS[name]
     for seed in seeds:
         target(seed)
 
-    @given(mutated(seeds))
+    @given(mutated_inputs(seeds))
     @fuzz(max_examples=150, derandomize=True, deadline=2000)
     def run(data: bytes) -> None:
         target(data)
@@ -26,31 +26,31 @@
     run()
 
 
-FOUND = [
-    # Latin-1 superscripts are digits to str.isdigit and not to int: a holder's handler failed on them.
+REGRESSIONS = [
+    # Latin-1 superscripts pass str.isdigit but not int(): a holder's handler failed on them.
     ("header values", "q5/0/1/0, q2/\xb9/1/0"),
     ("header values", "q1/0\xb2/1/0"),
-    # More digits than a float holds: an overflow, and the client was told of an internal error.
+    # More digits than a float holds: overflowed, and the client got an internal error.
     ("header values", "9" * 400 + "s"),
     ("yaml", "roster_poll: " + "9" * 400 + "s\nlimits: {max_answer: " + "9" * 400 + "MB}"),
 ]
 
 
-@pytest.mark.parametrize(("name", "text"), FOUND)
-def test_what_was_found_stays_mended(name: str, text: str) -> None:
+@pytest.mark.parametrize(("name", "text"), REGRESSIONS)
+def test_inputs_that_failed_before(name: str, text: str) -> None:
     TARGETS[name][0](text.encode("latin-1"))
 
 
-def test_a_number_with_a_superscript_is_not_taken_for_a_broker_or_an_id() -> None:
+def test_a_superscript_digit_is_rejected_in_a_request_id() -> None:
     request = Request("POST", "/", {"x-request-id": "q\xb9"})
     assert name_of(request, 7) == "q7"
 
 
-def test_a_few_bytes_that_state_gigabytes_take_no_memory() -> None:
+def test_a_short_input_that_declares_gigabytes_allocates_little() -> None:
     tracemalloc.start()
-    for stated in (b"\xff\xff\xff\xff\x0f", b"\x80\x80\x80\x80\x04", b"\xff\xff\xff\x7f"):
+    for declared in (b"\xff\xff\xff\xff\x0f", b"\x80\x80\x80\x80\x04", b"\xff\xff\xff\x7f"):
         with pytest.raises(CodecError, match="are allowed"):
-            decode_request(stated + b"\0" * 20, MOST)
+            decode_request(declared + b"\0" * 20, MAX_DECODED_BYTES)
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert peak < MOST
+    assert peak < MAX_DECODED_BYTES
