--- a/benchmarks/capacity/exchanges.py
+++ b/benchmarks/capacity/exchanges.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.site import SETS, list_body, node_entry, settings
 from benchmarks.capacity.target import BROKERS, NODES
 from quincepath.fleet.messages import About, size
-from quincepath.fleet.overload.facts import OverloadSettings
+from quincepath.fleet.overload.types import OverloadSettings
 from quincepath.fleet.view.facts import ViewSettings
 from quincepath.net.http1 import request_bytes, response_head
 from quincepath.platform.descriptors import MAX_CONNECTIONS_PER_NODE
--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -18,13 +18,13 @@
 from quincepath.fleet.edge import CONNECTIONS
 from quincepath.fleet.forecast.messages import Gathering
 from quincepath.fleet.forecast.messages import Message as SampleMessage
-from quincepath.fleet.ledger.facts import LedgerSettings
-from quincepath.fleet.ledger.kept import MEMBERS_MOST as SUMMED_MOST
-from quincepath.fleet.ledger.tally import Tally
-from quincepath.fleet.ledger.tree import Tree
+from quincepath.fleet.load_control.failure_attribution import MAX_REPLICA_SETS, FailureShares
+from quincepath.fleet.load_reports.load_counter import LoadCounter
+from quincepath.fleet.load_reports.member_counts import MAX_MEMBERS as SUMMED_MOST
+from quincepath.fleet.load_reports.tree import AggregationTree
+from quincepath.fleet.load_reports.types import LoadReportSettings
 from quincepath.fleet.messages import FRAME, MEMBERS_MOST, About, Full, Rejected, body_of, pack, unpack
 from quincepath.fleet.permits import Permits
-from quincepath.fleet.sharing.blame import SETS_MOST, Shares
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.net.http1 import HttpError, Limits, ResponseReader
 from quincepath.platform.descriptors import allocate
@@ -153,33 +153,35 @@
 
 
 def _cells_counted() -> LimitFound:
-    tally = Tally(0)
+    tally = LoadCounter(0)
     for cell in range(SETS):
-        tally.cell(cell, 1)
+        tally.count_replica_set(cell, 1)
     return LimitFound(
-        "replica sets in load reports", "fleet/ledger/facts.py CELLS_MOST", LOAD, len(tally.counts(1).cells),
-        SETS, "sets", f"not counted: {tally.beyond} of {SETS}",
+        "replica sets in load reports", "fleet/load_reports/types.py MAX_REPLICA_SETS", LOAD,
+        len(tally.snapshot(1).replica_sets), SETS, "sets", f"not counted: {tally.uncounted} of {SETS}",
     )  # fmt: skip
 
 
 def _sets_blamed() -> LimitFound:
-    shares = Shares()
+    shares = FailureShares()
     for cell in range(SETS):
-        shares.note(cell, True)
-    kept = sum(1 for cell in range(SETS) if shares.of(cell) > 0)
+        shares.record(cell, True)
+    kept = sum(1 for cell in range(SETS) if shares.share(cell) > 0)
     return LimitFound(
-        "replica sets remembered as failing", "fleet/sharing/blame.py SETS_MOST", LOAD, kept, SETS, "sets",
-        f"the oldest beyond {SETS_MOST} is forgotten",
+        "replica sets remembered as failing",
+        "fleet/load_control/failure_attribution.py MAX_REPLICA_SETS", LOAD, kept, SETS, "sets",
+        f"the oldest beyond {MAX_REPLICA_SETS} is forgotten",
     )  # fmt: skip
 
 
 def _members_summed() -> LimitFound:
     names = broker_names(BROKERS)
-    tree = Tree(names[0], names, BROKERS, LedgerSettings())
-    needed = max(len(tree.below(0, place)) for place in range(tree.groups))
+    tree = AggregationTree(names[0], names, BROKERS, LoadReportSettings())
+    needed = max(len(tree.members_of(0, place)) for place in range(tree.groups))
     return LimitFound(
-        "members summed up in one place", "fleet/ledger/kept.py MEMBERS_MOST", LOAD, SUMMED_MOST, needed,
-        "members", f"{tree.groups} groups at the lowest of {tree.top + 1} levels",
+        "members summed up in one place", "fleet/load_reports/member_counts.py MAX_MEMBERS", LOAD,
+        SUMMED_MOST, needed,
+        "members", f"{tree.groups} groups at the lowest of {tree.top_level + 1} levels",
     )  # fmt: skip
 
 
--- a/benchmarks/capacity/scale/load.py
+++ b/benchmarks/capacity/scale/load.py
@@ -3,9 +3,9 @@
 import hashlib
 from enum import StrEnum
 
-from quincepath.fleet.ledger.facts import Count, Spend
+from quincepath.fleet.load_reports.types import Count, SendKind
+from quincepath.fleet.load_service import LoadService
 from quincepath.fleet.overload import Arrival
-from quincepath.fleet.shared import Shared
 
 MS = 1_000_000
 
@@ -32,7 +32,7 @@
 class Queries:
     """The queries of one broker; ``arrive`` counts so many more."""
 
-    def __init__(self, name: str, profile: Profile, shared: Shared) -> None:
+    def __init__(self, name: str, profile: Profile, shared: LoadService) -> None:
         self._profile, self._shared = profile, shared
         self._number = hashlib.blake2b(name.encode()).digest()[0]  # brokers are at different places
 
@@ -45,20 +45,22 @@
                 self._one_of_target()
 
     def _one_of_demo(self) -> None:
-        tally = self._shared.sharing.tally
-        self._shared.arrive(Arrival(0, 1.0, "", "", tuple(range(SETS_OF_DEMO)), 0))
-        tally.spent(Spend.FIRST, SETS_OF_DEMO * PARTS_A_SET)
-        tally.ended(0, Count.IN_TIME)
+        tally = self._shared.control.counter
+        self._shared.on_arrival(Arrival(0, 1.0, "", "", tuple(range(SETS_OF_DEMO)), 0))
+        tally.count_sends(SendKind.FIRST, SETS_OF_DEMO * PARTS_A_SET)
+        tally.count_outcome(0, Count.IN_TIME)
 
     def _one_of_target(self) -> None:
         self._number += 1
-        number, tally = self._number, self._shared.sharing.tally
+        number, tally = self._number, self._shared.control.counter
         kind, cell = number % CLASSES, number * 7 % SETS
-        self._shared.arrive(Arrival(kind, number * GOLDEN % 1.0, "", "", (cell,), 0))
-        tally.cell(cell, PARTS - 1, int(number % REFUSED_ONE_IN == 0))  # one part is counted on arrival
-        tally.spent(Spend.FIRST, PARTS)
+        self._shared.on_arrival(Arrival(kind, number * GOLDEN % 1.0, "", "", (cell,), 0))
+        tally.count_replica_set(
+            cell, PARTS - 1, int(number % REFUSED_ONE_IN == 0)
+        )  # one part is counted on arrival
+        tally.count_sends(SendKind.FIRST, PARTS)
         if number % FURTHER_ONE_IN == 0:
-            tally.spent(Spend.FURTHER)
-        tally.ended(kind, Count.LATE if number % LATE_ONE_IN == 0 else Count.IN_TIME)
+            tally.count_sends(SendKind.FURTHER)
+        tally.count_outcome(kind, Count.LATE if number % LATE_ONE_IN == 0 else Count.IN_TIME)
         if kind == 0:
-            tally.slot_time(f"tenant-{number // CLASSES % TENANTS:02}", SLOT_TIME)
+            tally.add_slot_time(f"tenant-{number // CLASSES % TENANTS:02}", SLOT_TIME)
--- a/benchmarks/capacity/scale/meter.py
+++ b/benchmarks/capacity/scale/meter.py
@@ -14,8 +14,8 @@
 from quincepath.fleet.agreed import Agreed
 from quincepath.fleet.distribution import Distribution
 from quincepath.fleet.edge import Edge
+from quincepath.fleet.load_service import LoadService
 from quincepath.fleet.service import Fleet
-from quincepath.fleet.shared import Shared
 from quincepath.net.loop import Loop, Timer
 
 VIEW, LEDGER, LOG, CONFIGURATION = "view", "ledger", "log", "configuration"
@@ -25,7 +25,7 @@
 HARNESS = "harness"  # the run's own work
 _OWNERS: tuple[tuple[type, str], ...] = (
     (Edge, VIEW),
-    (Shared, LEDGER),
+    (LoadService, LEDGER),
     (Agreed, LOG),
     (Distribution, CONFIGURATION),
     (Fleet, METRICS),
--- a/benchmarks/capacity/totals.py
+++ b/benchmarks/capacity/totals.py
@@ -8,7 +8,14 @@
 from benchmarks.capacity.results import Point
 from benchmarks.capacity.site import SECOND
 from benchmarks.capacity.target import QUERIES_OF_A_BROKER
-from quincepath.fleet.ledger import Heard, Ledger, Living, Own, Packet, Totals
+from quincepath.fleet.load_reports import (
+    DatagramReceived,
+    LiveMembers,
+    LoadReporter,
+    OwnCounts,
+    Packet,
+    Totals,
+)
 from quincepath.lab.fleet.ledger_world import CELLS, LedgerWorld
 
 SIZES = (50, 100, 250, 500, 1000)
@@ -17,12 +24,14 @@
 HEADERS = 28  # of UDP and IPv4
 
 
-class TimedLedger(Ledger):
+class TimedLedger(LoadReporter):
     """Adds up the processor time of its steps."""
 
     seconds = 0.0
 
-    def step(self, now: int, inputs: Sequence[Own | Heard | Living] = ()) -> list[Packet | Totals]:
+    def step(
+        self, now: int, inputs: Sequence[OwnCounts | DatagramReceived | LiveMembers] = ()
+    ) -> list[Packet | Totals]:
         """The ledger's step."""
         began = time.process_time()
         out = super().step(now, inputs)
@@ -51,7 +60,7 @@
         self.work_most = max(work)
 
     @staticmethod
-    def _so_far(sent: int, packets: int, ledger: Ledger) -> tuple[float, float, float]:
+    def _so_far(sent: int, packets: int, ledger: LoadReporter) -> tuple[float, float, float]:
         assert isinstance(ledger, TimedLedger)
         return sent + packets * HEADERS, packets, ledger.seconds
 
--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -17,12 +17,12 @@
 import click
 
 from benchmarks.bad_day import RESULTS, machine
-from quincepath.fleet.ledger import Counts, Ledger
+from quincepath.fleet.load_reports import Counts, LoadReporter
 from quincepath.lab.fleet.ledger_ways import PushSum, ToAll
 from quincepath.lab.fleet.ledger_world import SECOND, LedgerWorld, Network
 
 FILE = RESULTS / "fleet_ledger.json"
-WAYS: dict[str, type[Ledger]] = {"sums by few": Ledger, "to all": ToAll, "push-sum": PushSum}
+WAYS: dict[str, type[LoadReporter]] = {"sums by few": LoadReporter, "to all": ToAll, "push-sum": PushSum}
 SIZES, LOSSES = (10, 50, 200, 500), (0.0, 0.05, 0.3)
 STEP, END, LOOK = 12 * SECOND, 26 * SECOND, SECOND // 5
 BYTES_ONLY = {("to all", 200), ("to all", 500)}  # up to half a million datagrams a period: none is delivered
@@ -144,7 +144,7 @@
 @click.argument("depth", type=int)
 def explore(depth: int) -> None:
     """Every choice of so many steps."""
-    from tests.fleet.ledger.test_worlds import explore as explored
+    from tests.fleet.load_reports.test_worlds import explore as explored
 
     begun = time.monotonic()
     ends, wrong = explored(depth)
--- a/quincepath/broker/service/sharing.py
+++ b/quincepath/broker/service/sharing.py
@@ -8,11 +8,11 @@
 from quincepath.broker.driver import Driver, OpenPart
 from quincepath.broker.pending import QUEUE_REFUSAL
 from quincepath.broker.service.guest import Arrival, Guest
-from quincepath.fleet.ledger.facts import Count, Spend, Totals
+from quincepath.fleet.load_control.failure_attribution import FailureAttribution
+from quincepath.fleet.load_reports.types import Count, SendKind, Totals
+from quincepath.fleet.load_service import LoadService
 from quincepath.fleet.overload import Arrival as Asked
-from quincepath.fleet.overload.facts import Out
-from quincepath.fleet.shared import Shared
-from quincepath.fleet.sharing.blame import Blame
+from quincepath.fleet.overload.types import Decision
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
 from quincepath.interface import Allowance, Result
@@ -30,15 +30,15 @@
     """``note`` puts an input into the driver's next batch; ``dials`` counts connections begun to holders."""
 
     def __init__(
-        self, shared: Shared, driver: Driver, shard_map: ShardMap, note: Callable[[Input], None],
+        self, shared: LoadService, driver: Driver, shard_map: ShardMap, note: Callable[[Input], None],
         dials: Callable[[], int], room: "FairPendingQueue | None" = None,
     ) -> None:  # fmt: skip
         self.shared, self.driver, self.note, self.dials = shared, driver, note, dials
         self.room = room
         self._cell = shard_map.cell_of_shard
-        self.blame = Blame()
+        self.blame = FailureAttribution()
         self._dials = 0
-        shared.on_out = self._told
+        shared.on_decision = self._told
         shared.on_totals = self._totals
 
     def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
@@ -48,48 +48,50 @@
         # What is asked is part of who asks: a gateway's queries, or a tenant's, must not all have one place.
         client = f"{attempt.client} {attempt.digest.hex()}"
         asked = Asked(ask.kind, worth, attempt.scope, client, cells, left, ask.repeat)
-        shed = self.shared.arrive(asked)
-        return None if shed is None else Rejection(shed.why.value, shed.retry_in)
+        shed = self.shared.on_arrival(asked)
+        return None if shed is None else Rejection(shed.reason.value, shed.retry_in)
 
     def sent(self, now: int, order: StartCall) -> None:
-        tally = self.shared.sharing.tally
+        tally = self.shared.control.counter
         for one in order.attempts:
-            tally.spent(Spend.FURTHER if one.attempt else Spend.FIRST)
+            tally.count_sends(SendKind.FURTHER if one.attempt else SendKind.FIRST)
 
     def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         if item.result is Result.OK or item.result in TURNED:
-            self.blame.note(self._cell(part.ask.shard), item.result is not Result.OK)
+            self.blame.record_attempt(self._cell(part.ask.shard), item.result is not Result.OK)
 
     def turned(self, now: int, arrival: Arrival) -> None:
-        self.shared.sharing.tally.ended(arrival.ask.kind, Count.TURNED_AWAY)
+        self.shared.control.counter.count_outcome(arrival.ask.kind, Count.TURNED_AWAY)
 
     def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
-        tally, finish = self.shared.sharing.tally, ended.finish
+        tally, finish = self.shared.control.counter, ended.finish
         how = how_of(finish, ended.context.entry.target)
-        tally.ended(ended.context.kind, how)
+        tally.count_outcome(ended.context.kind, how)
         asked = [self._cell(part.shard) for part in ended.context.parts]
         if how in (Count.IN_TIME, Count.REFUSED, Count.FAILED):
-            self.blame.ended(asked, how is not Count.IN_TIME)
+            self.blame.record_query(asked, how is not Count.IN_TIME)
         if finish is not None and how in (Count.REFUSED, Count.FAILED):
             came = Counter(self._cell(shard) for step, shard, _ in finish.bodies if step == 1)
-            for cell in self.blame.of(asked, came):
-                tally.cell(cell, 0, 1)
+            for cell in self.blame.sets_at_fault(asked, came):
+                tally.count_replica_set(cell, 0, 1)
 
-    def _told(self, out: Out) -> None:
+    def _told(self, out: Decision) -> None:
         """Dials are counted here, once a news: the pool opens them by itself."""
         dials = self.dials()
-        self.shared.sharing.tally.spent(Spend.DIAL, dials - self._dials)
+        self.shared.control.counter.count_sends(SendKind.DIAL, dials - self._dials)
         self._dials = dials
-        spending = out.spending
+        spending = out.send_budget
         self.note(AllowanceUpdate(Allowance(spending.extras, spending.trials, spending.until)))
 
     def _totals(self, totals: Totals) -> None:
         """Turns go by what tenants got at all brokers; what they got here is told to the others."""
         if self.room is not None:
-            sharing = self.shared.sharing
+            sharing = self.shared.control
             for tenant, used in self.room.served().items():
-                sharing.tally.slot_time(tenant, used)
-            self.room.add_remote_usage(sharing.elsewhere.served, max(self.shared.loop.now - totals.at, 0))
+                sharing.counter.add_slot_time(tenant, used)
+            self.room.add_remote_usage(
+                sharing.remote_slot_time.by_tenant, max(self.shared.loop.now - totals.at, 0)
+            )
 
     def close(self) -> None:
         self.shared.close()
--- a/quincepath/fleet/agreed.py
+++ b/quincepath/fleet/agreed.py
@@ -32,7 +32,7 @@
 from quincepath.fleet.agreement.post import Body, Report, Sampled, pack, unpack
 from quincepath.fleet.agreement.storing import Storage, StoreError
 from quincepath.fleet.configuration.commands import ChangeConfiguration, refusal_before
-from quincepath.fleet.drains import Progress
+from quincepath.fleet.drains import DrainProgress
 from quincepath.fleet.messages import Rejected
 from quincepath.fleet.permits import Command, Permits, encode
 from quincepath.fleet.proposals import Proposal, Proposals
@@ -79,7 +79,7 @@
         self.loop, self.entry, self.hooks, self.log = loop, entry, hooks, log
         self._peers = frozenset(peer.name for peer in entry.peers)
         self.machine = Permits()
-        self.progress = Progress()
+        self.progress = DrainProgress()
         self.maps = hooks.maps(self.machine)
         self.trouble = ""
         self.store: Storage | None = None
@@ -175,7 +175,7 @@
             return
         match body:
             case Report(applied, out):
-                self.progress.hear(post.sender, self.loop.clock(), applied, out)
+                self.progress.apply_report(post.sender, self.loop.clock(), applied, out)
             case MapReport():
                 if self.maps is not None:
                     self.maps.gathered.hear(post.sender, self.loop.clock(), body)
@@ -285,7 +285,7 @@
             self._post(others[self._asked % len(others)], self.follower.ask())
         if self.machine.drained():
             out = {name: count for name, count in self.hooks.out().items() if count}
-            self.progress.hear(self.entry.member, now, self.applied, out)
+            self.progress.apply_report(self.entry.member, now, self.applied, out)
             for name in others:
                 self._post(name, Report(self.applied, out))
         self._change_maps(now, others)
--- a/quincepath/fleet/budget.py
+++ b/quincepath/fleet/budget.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-SHOWN = 5  # names in one refusal
+MAX_NAMES_SHOWN = 5  # names in one refusal
 
 
 class Reason(Enum):
@@ -44,12 +44,12 @@
     share: float | None = None
     least: int = 1
 
-    def most(self, configured: int) -> int:
+    def maximum(self, configured: int) -> int:
         """Of so many; the smaller one where both are stated, all where neither is."""
-        found = configured if self.number is None else self.number
+        maximum = configured if self.number is None else self.number
         if self.share is not None:
-            found = min(found, max(int(self.share * configured + 1e-9), self.least))
-        return found
+            maximum = min(maximum, max(int(self.share * configured + 1e-9), self.least))
+        return maximum
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,10 +71,10 @@
     out: tuple[tuple[str, str], ...]  # name and reason
 
     def __str__(self) -> str:
-        said = ", ".join(f"{name} ({why})" for name, why in self.out[:SHOWN])
-        more = f" and {len(self.out) - SHOWN} more" if len(self.out) > SHOWN else ""
-        now = f"{said or 'none'}{more}"
-        return f"{self.limit}: at most {self.most} out, would be {self.would_be}; out now: {now}"
+        named = ", ".join(f"{name} ({why})" for name, why in self.out[:MAX_NAMES_SHOWN])
+        more = f" and {len(self.out) - MAX_NAMES_SHOWN} more" if len(self.out) > MAX_NAMES_SHOWN else ""
+        out_now = f"{named or 'none'}{more}"
+        return f"{self.limit}: at most {self.most} out, would be {self.would_be}; out now: {out_now}"
 
 
 class Check(msgspec.Struct, frozen=True):
@@ -88,15 +88,15 @@
 def checks(wanted: str, units: Mapping[str, Unit], limits: Mapping[str, Limits]) -> tuple[Check, ...]:
     """All limits that one more going out must keep. Raises ``KeyError`` for a name that is not configured."""
     unit = units[wanted]
-    mine = limits[unit.kind]
+    own_limits = limits[unit.kind]
     same = [one for one in units.values() if one.kind == unit.kind]
     zone = tuple(one.name for one in same if one.zone == unit.zone)
-    found = [Check(f"{unit.kind}s", mine.total.most(len(same)), tuple(one.name for one in same))]
+    found = [Check(f"{unit.kind}s", own_limits.total.maximum(len(same)), tuple(one.name for one in same))]
     if unit.zone:
-        found.append(Check(f"{unit.kind}s of zone {unit.zone!r}", mine.zone.most(len(zone)), zone))
+        found.append(Check(f"{unit.kind}s of zone {unit.zone!r}", own_limits.zone.maximum(len(zone)), zone))
     for name in unit.sets:
         members = tuple(one.name for one in same if name in one.sets)
-        most = max(len(members) - mine.ready_least, 0)
+        most = max(len(members) - own_limits.ready_least, 0)
         found.append(Check(f"holders of replica set {name!r}", most, members))
     return tuple(found)
 
@@ -109,8 +109,8 @@
     """
     found = []
     for check in checks:
-        gone = tuple((name, out[name].value) for name in check.members if name in out)
-        would_be = len(gone) + int(wanted not in out)
+        out_now = tuple((name, out[name].value) for name in check.members if name in out)
+        would_be = len(out_now) + int(wanted not in out)
         if would_be > check.most:
-            found.append(Refusal(check.limit, check.most, would_be, gone))
+            found.append(Refusal(check.limit, check.most, would_be, out_now))
     return found
--- a/quincepath/fleet/drains.py
+++ b/quincepath/fleet/drains.py
@@ -9,16 +9,16 @@
 
 from quincepath.fleet.permits import Permit
 
-FRESH = 2_500_000_000  # ns that a report counts for
+REPORT_LIFETIME_NS = 2_500_000_000  # ns that a report counts for
 
 
 @dataclass(slots=True)
-class Progress:
+class DrainProgress:
     """Reports of all brokers, as this one has them."""
 
     reports: dict[str, tuple[int, int, dict[str, int]]] = field(default_factory=dict)  # at, applied, out
 
-    def hear(self, name: str, now: int, applied: int, out: dict[str, int]) -> None:
+    def apply_report(self, name: str, now: int, applied: int, out: dict[str, int]) -> None:
         """One broker's report; an older one of another connection changes nothing back."""
         known = self.reports.get(name)
         if known is None or applied >= known[1]:
@@ -26,17 +26,17 @@
 
     def waits_for(self, permit: Permit, brokers: Iterable[str], left: set[str], now: int) -> dict[str, str]:
         """By broker, why a drain is not done yet; empty where it is."""
-        found = {}
+        waiting = {}
         for name in brokers:
             if name in left:
                 continue
             report = self.reports.get(name)
             if report is None:
-                found[name] = "has not reported"
+                waiting[name] = "has not reported"
             elif report[1] < permit.index:
-                found[name] = "has not applied it"
-            elif now > report[0] + FRESH:
-                found[name] = "reports no more, and may still send"
+                waiting[name] = "has not applied it"
+            elif now > report[0] + REPORT_LIFETIME_NS:
+                waiting[name] = "reports no more, and may still send"
             elif report[2].get(permit.name):
-                found[name] = f"has {report[2][permit.name]} out there"
-        return found
+                waiting[name] = f"has {report[2][permit.name]} out there"
+        return waiting
--- a/quincepath/fleet/sharing/__init__.py
+++ b/quincepath/fleet/load_control/__init__.py
@@ -4,8 +4,8 @@
 together, as a machine without clock or socket. The running broker and the laboratory hold the same one.
 """
 
-from quincepath.fleet.sharing.core import News, Sharing
-from quincepath.fleet.sharing.elsewhere import ServedElsewhere
-from quincepath.fleet.sharing.windows import Windows
+from quincepath.fleet.load_control.core import LoadControl, StepResult
+from quincepath.fleet.load_control.count_window import CountWindow
+from quincepath.fleet.load_control.remote_slot_time import RemoteSlotTime
 
-__all__ = ["News", "ServedElsewhere", "Sharing", "Windows"]
+__all__ = ["CountWindow", "LoadControl", "RemoteSlotTime", "StepResult"]
--- /dev/null
+++ b/quincepath/fleet/load_reports/fields.py
@@ -0,0 +1,95 @@
+"""What is counted, as numbered fields, so that merging, cutting and adding are one thing for all counts.
+
+Fields are given new numbers only; none is used again for something else. Slot time is in ms here, as it is on
+the wire: parts of a ms are counted as soon as they make a whole one.
+"""
+
+from collections.abc import Iterable, Iterator
+
+from quincepath.fleet.load_reports.types import (
+    MAX_CLASSES,
+    MAX_REPLICA_SETS,
+    MS,
+    PRIORITY_BANDS,
+    Count,
+    Counts,
+    SendKind,
+)
+
+MAX_VALUE = (1 << 53) - 1  # a count beyond is no count of anything that happened
+FIRST_SEND_FIELD = MAX_CLASSES * len(Count)
+SLOT_TIME_FIELD = 264  # ms of slots used by slow queries
+FIRST_ARRIVAL_FIELD = 272
+FIRST_REPLICA_SET_FIELD = 512  # demand and refusals by turns
+FIELD_COUNT = FIRST_REPLICA_SET_FIELD + 2 * MAX_REPLICA_SETS
+TAKEN, ENDED, ARRIVED, SENT, SLOT_TIME, DEMAND, REFUSED = range(7)
+FAMILY_COUNT = 7  # fields whose sum has one bound
+
+
+def family_of(number: int) -> int:
+    """The family that a field belongs to."""
+    if number < FIRST_SEND_FIELD:
+        return ENDED if number % len(Count) else TAKEN
+    if number >= FIRST_REPLICA_SET_FIELD:
+        return REFUSED if number % 2 else DEMAND
+    if number >= FIRST_ARRIVAL_FIELD:
+        return ARRIVED
+    return SLOT_TIME if number == SLOT_TIME_FIELD else SENT
+
+
+FAMILY_BY_FIELD = tuple(family_of(number) for number in range(FIELD_COUNT))
+
+
+def flatten(counts: Counts) -> dict[int, int]:
+    """Counts by number, those that are not zero; classes and replica sets beyond the bounds are left out."""
+    fields: dict[int, int] = {}
+    for query_class, row in enumerate(counts.by_class[:MAX_CLASSES]):
+        for outcome, value in enumerate(row[: len(Count)]):
+            fields[query_class * len(Count) + outcome] = value
+    for index, value in enumerate(counts.sends[: len(SendKind)]):
+        fields[FIRST_SEND_FIELD + index] = value
+    fields[SLOT_TIME_FIELD] = counts.slot_time // MS
+    for index, value in enumerate(counts.arrivals[:PRIORITY_BANDS]):
+        fields[FIRST_ARRIVAL_FIELD + index] = value
+    for replica_set, count in counts.replica_sets.items():
+        if 0 <= replica_set < MAX_REPLICA_SETS:
+            fields[FIRST_REPLICA_SET_FIELD + 2 * replica_set] = count.demand
+            fields[FIRST_REPLICA_SET_FIELD + 2 * replica_set + 1] = count.refused
+    return {number: min(value, MAX_VALUE) for number, value in fields.items() if value > 0}
+
+
+def encode_runs(values: dict[int, int], numbers: Iterable[int]) -> tuple[int, ...]:
+    """Some fields as (first number, how many, values ...) one after the other; ``numbers`` in order."""
+    runs: list[int] = []
+    length_at, next_number = -1, -1
+    for number in numbers:
+        if number != next_number:
+            runs += (number, 0)
+            length_at = len(runs) - 1
+        runs.append(values[number])
+        runs[length_at] += 1
+        next_number = number + 1
+    return tuple(runs)
+
+
+def decode_runs(runs: tuple[int, ...]) -> Iterator[tuple[int, int]]:
+    """The (number, value) pairs. Raises ValueError where it is no such list, or a number is out of range."""
+    position = 0
+    while position < len(runs):
+        if position + 2 > len(runs):
+            raise ValueError(f"runs: at {position}: expected a number and how many")
+        first, length = runs[position], runs[position + 1]
+        if not 0 < length <= FIELD_COUNT - first or position + 2 + length > len(runs):
+            raise ValueError(
+                f"runs: at {position}: {length} fields from {first}, of {FIELD_COUNT} that there are"
+            )
+        for offset in range(length):
+            yield first + offset, runs[position + 2 + offset]
+        position += 2 + length
+
+
+def encoded_width(value: int) -> int:
+    """Bytes of a whole number on the wire."""
+    if value < 128:
+        return 1
+    return 2 if value < 1 << 8 else 3 if value < 1 << 16 else 5 if value < 1 << 32 else 9
--- a/quincepath/fleet/ledger/facts.py
+++ b/quincepath/fleet/load_reports/types.py
@@ -14,10 +14,10 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-BANDS = 64  # steps of the one order of queries in which arrivals are counted
-CLASSES_MOST = 32  # classes of query that are told apart
-CELLS_MOST = 1024  # replica sets that are told apart
-TENANTS_MOST = 32  # heavy tenants named in one report; the others are one rest
+PRIORITY_BANDS = 64  # steps of the one order of queries in which arrivals are counted
+MAX_CLASSES = 32  # classes of query that are told apart
+MAX_REPLICA_SETS = 1024  # replica sets that are told apart
+MAX_NAMED_TENANTS = 32  # heavy tenants named in one report; the others are one rest
 
 
 class Count(IntEnum):
@@ -33,7 +33,7 @@
     LEFT = 7  # its client went away
 
 
-class Spend(IntEnum):
+class SendKind(IntEnum):
     """What was sent to holders."""
 
     FIRST = 0  # first attempts of parts
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class CellCount:
+class ReplicaSetCount:
     """Of one replica set at one broker: parts asked for, and refused or turned away; grow only."""
 
     demand: int = 0
@@ -68,14 +68,14 @@
     """All that a broker counts of itself since its start. All but ``waiting`` and ``line`` only grow."""
 
     by_class: list[list[int]] = field(default_factory=list)  # [class][Count]
-    spends: list[int] = field(default_factory=lambda: [0] * len(Spend))
-    arrivals: list[int] = field(default_factory=lambda: [0] * BANDS)  # by place in the one order
+    sends: list[int] = field(default_factory=lambda: [0] * len(SendKind))
+    arrivals: list[int] = field(default_factory=lambda: [0] * PRIORITY_BANDS)  # by place in the one order
     tenants: dict[str, TenantCount] = field(default_factory=dict)
-    cells: dict[int, CellCount] = field(default_factory=dict)
-    line: float = 0.0  # where this broker has the fleet's line now, 0 (nothing shed) to 1
+    replica_sets: dict[int, ReplicaSetCount] = field(default_factory=dict)
+    threshold: float = 0.0  # where this broker has the fleet's line now, 0 (nothing shed) to 1
     slot_time: int = 0  # ns, of all tenants, also those not named
     waiting: int = 0  # slow queries that wait now, of all tenants
-    up: int = 0  # ns since it began to count
+    uptime: int = 0  # ns since it began to count
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CellTotal:
+class ReplicaSetTotal:
     """Of one replica set, at all brokers heard, within the window."""
 
     demand: float
@@ -106,28 +106,28 @@
 
     at: int
     window: int
-    heard: int
-    of: int
+    reporting: int
+    live: int
     by_class: tuple[tuple[float, ...], ...] = ()  # [class][Count]
-    spends: tuple[float, ...] = (0.0,) * len(Spend)
-    arrivals: tuple[float, ...] = (0.0,) * BANDS
+    sends: tuple[float, ...] = (0.0,) * len(SendKind)
+    arrivals: tuple[float, ...] = (0.0,) * PRIORITY_BANDS
     tenants: Mapping[str, TenantTotal] = field(default_factory=dict)
     rest: TenantTotal = TenantTotal(0.0, 0.0)  # of all tenants that are not named
-    cells: Mapping[int, CellTotal] = field(default_factory=dict)
-    line: float = 0.0  # mean of the lines of those heard
+    replica_sets: Mapping[int, ReplicaSetTotal] = field(default_factory=dict)
+    threshold: float = 0.0  # mean of the lines of those heard
 
     @property
     def coverage(self) -> float:
         """Share of the members believed to live that are in the sums, 0 to 1."""
-        return min(self.heard / self.of, 1.0) if self.of else 0.0
+        return min(self.reporting / self.live, 1.0) if self.live else 0.0
 
-    def count(self, what: Count) -> float:
+    def count(self, outcome: Count) -> float:
         """Over all classes."""
-        return sum(row[what] for row in self.by_class)
+        return sum(row[outcome] for row in self.by_class)
 
 
 @dataclass(slots=True, frozen=True)
-class LedgerSettings:
+class LoadReportSettings:
     """How the ledger is kept. Times in ns."""
 
     period: int = 500 * MS  # between reports of one broker
@@ -137,23 +137,23 @@
     most_rate: float = 2000.0  # queries a second that one broker counts for at most; its other counts in step
     share_most: float = 8.0  # and at most so many times the mean of the others, where three or more are heard
     free_rate: float = 100.0  # queries a second that count whatever the others have
-    sends_most: float = 64.0  # sends, and parts asked of replica sets, for each of these queries
-    slots_most: float = 256.0  # slots of slow queries that one broker counts for at most
-    group: int = 16  # members, or groups, that are summed up in one place
-    packets: int = 2  # datagrams of one report or sum in one period
-    summers: int = 3  # members that sum up at the same time
+    max_sends_per_query: float = 64.0  # sends, and parts asked of replica sets, for each of these queries
+    max_slots: float = 256.0  # slots of slow queries that one broker counts for at most
+    group_size: int = 16  # members, or groups, that are summed up in one place
+    report_datagrams: int = 2  # datagrams of one report or sum in one period
+    aggregators: int = 3  # members that sum up at the same time
 
     def __post_init__(self) -> None:
-        least = {
+        minimums = {
             "period": MS,
             "window": self.period,
             "fresh_within": self.period,
             "forget": self.fresh_within,
         }
-        for name, value in {**least, "group": 2, "summers": 1, "packets": 1}.items():
+        for name, value in {**minimums, "group_size": 2, "aggregators": 1, "report_datagrams": 1}.items():
             if getattr(self, name) < value:
                 raise ValueError(f"ledger.{name}: {getattr(self, name)}; expected {value} or more")
-        for name in ("most_rate", "share_most", "sends_most", "slots_most"):
+        for name in ("most_rate", "share_most", "max_sends_per_query", "max_slots"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"ledger.{name}: {getattr(self, name)}; expected more than 0")
         if not 0 <= self.free_rate <= self.most_rate:
--- a/quincepath/fleet/shared.py
+++ b/quincepath/fleet/load_service.py
@@ -13,23 +13,23 @@
 
 from quincepath.config.schema import Config, FleetEntry, LedgerEntry
 from quincepath.fleet.edge import Edge
-from quincepath.fleet.ledger.facts import Count, LedgerSettings, Totals
-from quincepath.fleet.ledger.told import Living
+from quincepath.fleet.load_control import LoadControl
+from quincepath.fleet.load_reports.events import LiveMembers
+from quincepath.fleet.load_reports.types import Count, LoadReportSettings, Totals
 from quincepath.fleet.overload import Arrival, OverloadSettings, Shed
-from quincepath.fleet.overload.facts import Out
-from quincepath.fleet.sharing import Sharing
+from quincepath.fleet.overload.types import Decision
 from quincepath.fleet.view.core import View
 from quincepath.net.loop import Loop, Timer
 
-BURST = 64  # datagrams that wait at most; with more, the machine is called at once
-OPEN = 1e-6  # a line below that sheds nothing
-KNOWN = 0.5  # coverage from which the fleet's figures are called known, for the log
+MAX_WAITING_DATAGRAMS = 64  # datagrams that wait at most; with more, the machine is called at once
+MIN_THRESHOLD = 1e-6  # a line below that sheds nothing
+MIN_KNOWN_COVERAGE = 0.5  # coverage from which the fleet's figures are called known, for the log
 
 
-def ledger_settings(entry: LedgerEntry) -> LedgerSettings:
+def load_report_settings(entry: LedgerEntry) -> LoadReportSettings:
     """As configured; reports are fresh for four periods."""
     fresh = min(4 * entry.period, entry.window)
-    return LedgerSettings(
+    return LoadReportSettings(
         period=entry.period, window=entry.window, fresh_within=fresh, forget=entry.forget,
         most_rate=entry.most_rate,
     )  # fmt: skip
@@ -37,19 +37,19 @@
 
 def overload_settings(config: Config, entry: FleetEntry) -> OverloadSettings | None:
     """As configured; None where each broker is alone."""
-    one = entry.overload
-    if one is None:
+    section = entry.overload
+    if section is None:
         return None
     return OverloadSettings(
-        late_share=one.late_share, calm_share=one.calm_share, budget_ratio=one.further_ratio,
-        budget_free=one.further_free, trial_rate=one.trial_rate, dial_rate=one.dial_rate,
-        alone_share=one.alone_share, brokers=config.broker.brokers,
-        return_most=config.limits.max_retry_after,
+        late_share=section.late_share, calm_share=section.calm_share, budget_ratio=section.further_ratio,
+        budget_free=section.further_free, trial_rate=section.trial_rate, dial_rate=section.dial_rate,
+        alone_share=section.alone_share, brokers=config.broker.brokers,
+        max_retry_after=config.limits.max_retry_after,
         weights={tenant.name: tenant.weight for tenant in config.tenants},
     )  # fmt: skip
 
 
-class Shared:
+class LoadService:
     """One broker's. ``on_out`` gets what is decided, ``on_totals`` what is known of the fleet."""
 
     def __init__(
@@ -59,20 +59,20 @@
         if entry.ledger is None:
             raise ValueError("fleet.ledger: expected a section")
         self.loop, self.view, self.edge, self.log = loop, view, edge, log
-        self.known = len({peer.name for peer in entry.peers} | {entry.member})
-        self.sharing = Sharing(
-            entry.name, entry.member, view.own.boot, ledger_settings(entry.ledger),
+        self.configured = len({peer.name for peer in entry.peers} | {entry.member})
+        self.control = LoadControl(
+            entry.name, entry.member, view.own.boot, load_report_settings(entry.ledger),
             overload_settings(config, entry), seed, loop.clock(),
         )  # fmt: skip
-        self.on_out: Callable[[Out], None] = lambda out: None
+        self.on_decision: Callable[[Decision], None] = lambda decision: None
         self.on_totals: Callable[[Totals], None] = lambda totals: None
-        self.out: Out | None = None
-        self._waiting: list[bytes] = []
-        self._boots: dict[str, int] = {}
+        self.decision: Decision | None = None
+        self._datagrams: list[bytes] = []
+        self._live_boots: dict[str, int] = {}
         self._timer: Timer | None = None
         self._closed = False
         self._states = (False, False)
-        self._shown: Counts[str] = Counts()
+        self._exported_drops: Counts[str] = Counts()
         self.coverage = Gauge(
             "quincepath_ledger_coverage", "Share of the living brokers in the fleet's sums", registry=registry
         )
@@ -84,10 +84,10 @@
         self.dropped = Counter(
             "quincepath_ledger_dropped", "Reports that did not count, by cause", ["cause"], registry=registry
         )
-        self.line = Gauge(
+        self.threshold = Gauge(
             "quincepath_overload_line", "Place in the order below which queries are shed", registry=registry
         )
-        self.cells = Gauge(
+        self.full_sets = Gauge(
             "quincepath_overload_full_sets", "Replica sets with a line of their own", registry=registry
         )
         self.shed = Counter(
@@ -96,83 +96,88 @@
         self.spending = Gauge(
             "quincepath_overload_spending", "What this broker may spend a second", ["what"], registry=registry
         )
-        edge.on_other = self._heard
+        edge.on_other = self._on_datagram
         self._step()
 
     # --- queries ---
 
-    def arrive(self, arrival: Arrival) -> Shed | None:
+    def on_arrival(self, arrival: Arrival) -> Shed | None:
         """A query before any part goes out."""
-        shed = self.sharing.arrive(self.loop.now, arrival)
+        shed = self.control.on_arrival(self.loop.now, arrival)
         if shed is not None:
-            self.shed.labels(shed.why.name.lower()).inc()
+            self.shed.labels(shed.reason.name.lower()).inc()
         return shed
 
     # --- the machine ---
 
-    def _heard(self, data: bytes) -> None:
-        self._waiting.append(data)
-        if len(self._waiting) >= BURST:
+    def _on_datagram(self, data: bytes) -> None:
+        self._datagrams.append(data)
+        if len(self._datagrams) >= MAX_WAITING_DATAGRAMS:
             self._step()
 
-    def _living(self) -> Living | None:
+    def _live_members(self) -> LiveMembers | None:
         """Who lives, where it changed."""
-        found = {one.name: one.boot for one in self.view.table.all() if one.living}
-        found[self.view.settings.name] = self.view.own.boot
-        if found == self._boots:
+        boots = {member.name: member.boot for member in self.view.table.all() if member.living}
+        boots[self.view.settings.name] = self.view.own.boot
+        if boots == self._live_boots:
             return None
-        self._boots = found
-        return Living(found, self.known)
+        self._live_boots = boots
+        return LiveMembers(boots, self.configured)
 
     def _step(self) -> None:
         if self._closed:
             return
         now = self.loop.clock()
-        data, self._waiting = self._waiting, []
+        data, self._datagrams = self._datagrams, []
         # The order among equals changes with the hour of the wall clock; a clock that is off changes no more.
-        news = self.sharing.step(now, data, self._living(), self.loop.system.wall_ns())
-        for packet in news.packets:
+        result = self.control.step(now, data, self._live_members(), self.loop.system.wall_ns())
+        for packet in result.packets:
             self.edge.post(packet.to, packet.data)
-        if news.totals is not None:
-            self.on_totals(news.totals)
-        if news.out is not None:
-            self.out = news.out
-            self.on_out(news.out)
-        self._show(now)
+        if result.totals is not None:
+            self.on_totals(result.totals)
+        if result.decision is not None:
+            self.decision = result.decision
+            self.on_decision(result.decision)
+        self._export(now)
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.call_at(max(self.sharing.due, now + 1), self._step)
+        self._timer = self.loop.call_at(max(self.control.due, now + 1), self._step)
 
-    def _show(self, now: int) -> None:
+    def _export(self, now: int) -> None:
         """Figures and lines for people; a line in the log where a state begins or ends."""
-        totals, out = self.sharing.totals, self.out
+        totals, decision = self.control.totals, self.decision
         coverage = 0.0
         if totals is not None:
             coverage = totals.coverage
             self.age.set((now - totals.at) / 1e9)
-            for how in Count:
-                self.fleet_rate.labels(how.name.lower()).set(totals.count(how) * 1e9 / max(totals.window, 1))
+            for outcome in Count:
+                self.fleet_rate.labels(outcome.name.lower()).set(
+                    totals.count(outcome) * 1e9 / max(totals.window, 1)
+                )
         self.coverage.set(coverage)
-        for cause, count in self.sharing.ledger.causes.items():
-            self.dropped.labels(cause).inc(count - self._shown[cause])
-            self._shown[cause] = count
+        for cause, count in self.control.reporter.causes.items():
+            self.dropped.labels(cause).inc(count - self._exported_drops[cause])
+            self._exported_drops[cause] = count
         shedding = False
-        if out is not None:
-            shedding = out.line > OPEN or bool(out.cells)
-            self.line.set(out.line)
-            self.cells.set(len(out.cells))
+        if decision is not None:
+            shedding = decision.threshold > MIN_THRESHOLD or bool(decision.replica_set_thresholds)
+            self.threshold.set(decision.threshold)
+            self.full_sets.set(len(decision.replica_set_thresholds))
             for what in ("extras", "trials", "dials"):
-                self.spending.labels(what).set(getattr(out.spending, what))
-        states = (coverage >= KNOWN, shedding)
+                self.spending.labels(what).set(getattr(decision.send_budget, what))
+        states = (coverage >= MIN_KNOWN_COVERAGE, shedding)
         if states[0] != self._states[0]:
-            said = "known" if states[0] else "unknown: each broker goes by its own share"
-            heard, of = (totals.heard, totals.of) if totals is not None else (0, len(self._boots))
-            self.log.info(f"ledger: the fleet's figures are {said}", heard=heard, of=of)
+            state = "known" if states[0] else "unknown: each broker goes by its own share"
+            reporting, live = (
+                (totals.reporting, totals.live) if totals is not None else (0, len(self._live_boots))
+            )
+            self.log.info(f"ledger: the fleet's figures are {state}", heard=reporting, of=live)
         if states[1] != self._states[1]:
-            if shedding and out is not None:
+            if shedding and decision is not None:
                 self.log.warning(
-                    "overload: the fleet sheds", line=round(out.line, 3), full_sets=sorted(out.cells)[:16],
-                    trust=round(out.trust, 2),
+                    "overload: the fleet sheds", line=round(decision.threshold, 3),
+                    full_sets=sorted(decision.replica_set_thresholds)[:16],
+                    trust=round(decision.confidence, 2),
                 )  # fmt: skip
             else:
                 self.log.info("overload: over, nothing is shed")
--- a/quincepath/fleet/overload/order.py
+++ b/quincepath/fleet/overload/ordering.py
@@ -9,45 +9,47 @@
 from collections.abc import Mapping
 from hashlib import blake2b
 
-from quincepath.fleet.ledger.facts import BANDS, TenantTotal, Totals
+from quincepath.fleet.load_reports.types import PRIORITY_BANDS, TenantTotal, Totals
 
-WORTHS = 8
-OVERS = 4  # up to the share, to twice, to four times, beyond
+WORTH_STEPS = 8
+OVER_SHARE_STEPS = 4  # up to the share, to twice, to four times, beyond
 
 
 def worth_step(worth: float) -> int:
     """Step of a worth of 0 to 1; out of range counts as the nearest."""
-    return round(min(max(worth, 0.0), 1.0) * (WORTHS - 1))
+    return round(min(max(worth, 0.0), 1.0) * (WORTH_STEPS - 1))
 
 
-def draw(tenant: str, client: str, epoch: int) -> float:
+def stable_fraction(tenant: str, client: str, epoch: int) -> float:
     """0 to below 1, the same at all brokers for an epoch."""
     digest = blake2b(f"{epoch}\0{tenant}\0{client}".encode(), digest_size=6).digest()
     return int.from_bytes(digest) / (1 << 48)
 
 
-def over_step(over: float) -> int:
+def over_share_step(over_share: float) -> int:
     """0 up to its share, 1 to twice, 2 to four times, 3 beyond; not known (0.0) counts as within."""
-    return 0 if over <= 1 else 1 if over <= 2 else 2 if over <= 4 else 3
+    return 0 if over_share <= 1 else 1 if over_share <= 2 else 2 if over_share <= 4 else 3
 
 
-def place(worth: float, over: float, tenant: str, client: str, epoch: int) -> float:
+def priority(worth: float, over_share: float, tenant: str, client: str, epoch: int) -> float:
     """Where a query stands in the order."""
-    within = (OVERS - 1 - over_step(over) + draw(tenant, client, epoch)) / OVERS
-    return (worth_step(worth) + within) / WORTHS
+    within = (
+        OVER_SHARE_STEPS - 1 - over_share_step(over_share) + stable_fraction(tenant, client, epoch)
+    ) / OVER_SHARE_STEPS
+    return (worth_step(worth) + within) / WORTH_STEPS
 
 
-def band(place: float) -> int:
+def band(priority: float) -> int:
     """In which step of the histogram of arrivals it is counted."""
-    return min(int(place * BANDS), BANDS - 1)
+    return min(int(priority * PRIORITY_BANDS), PRIORITY_BANDS - 1)
 
 
-def over_shares(totals: Totals, weights: Mapping[str, float], most: int) -> dict[str, float]:
+def over_shares(totals: Totals, weights: Mapping[str, float], max_tenants: int) -> dict[str, float]:
     """Slot time of each named tenant over its weighted share; at most so many, the heaviest first.
 
     The tenants that are not named count together as one of weight 1. With one tenant alone nobody is over.
     """
-    named: list[tuple[str, TenantTotal]] = sorted(totals.tenants.items(), key=lambda one: -one[1].slot_time)
+    named: list[tuple[str, TenantTotal]] = sorted(totals.tenants.items(), key=lambda item: -item[1].slot_time)
     used = sum(total.slot_time for _, total in named) + totals.rest.slot_time
     active = [name for name, total in named if total.slot_time > 0]
     parts = sum(weights.get(name, 1.0) for name in active) + (1.0 if totals.rest.slot_time > 0 else 0.0)
@@ -55,5 +57,5 @@
         return {}
     return {
         name: total.slot_time / used * parts / max(weights.get(name, 1.0), 1e-9)
-        for name, total in named[:most]
+        for name, total in named[:max_tenants]
     }
--- a/quincepath/fleet/overload/trials.py
+++ b/quincepath/fleet/overload/trial_turns.py
@@ -7,25 +7,25 @@
 
 from hashlib import blake2b
 
-from quincepath.fleet.ledger.facts import SECOND, Totals
-from quincepath.fleet.overload.facts import OverloadSettings
+from quincepath.fleet.load_reports.types import SECOND, Totals
+from quincepath.fleet.overload.types import OverloadSettings
 
 
-def living(totals: Totals | None, weight: float, settings: OverloadSettings) -> float:
+def broker_count(totals: Totals | None, confidence: float, settings: OverloadSettings) -> float:
     """Brokers that take turns; as configured without knowledge. A belief never makes it fewer than half
     of those configured: who hears few must not take the turns of all the others."""
-    if totals is None or weight <= 0:
+    if totals is None or confidence <= 0:
         return float(max(settings.brokers, 1))
-    believed = max(totals.of, 1, settings.brokers / 2)
-    return settings.brokers + weight * (believed - settings.brokers)
+    live = max(totals.live, 1, settings.brokers / 2)
+    return settings.brokers + confidence * (live - settings.brokers)
 
 
-def trials(count: float, settings: OverloadSettings) -> float:
+def trial_rate(count: float, settings: OverloadSettings) -> float:
     """Sends a second of this broker to one doubted, cold or returned holder."""
     return min(settings.trial_rate / max(count, 1.0), settings.alone_trials)
 
 
-def dials(count: float, settings: OverloadSettings) -> float:
+def dial_rate(count: float, settings: OverloadSettings) -> float:
     """New connections a second of this broker to one holder."""
     return min(settings.dial_rate / max(count, 1.0), settings.alone_dials)
 
@@ -34,7 +34,7 @@
     """When this broker's next turn at a holder begins, ns: the first after ``now``."""
     if rate <= 0:
         return now + 3600 * SECOND
-    length = max(int(SECOND / rate), 1)
+    interval = max(int(SECOND / rate), 1)
     digest = blake2b(f"{broker}\0{holder}".encode(), digest_size=6).digest()
-    first = since + (int.from_bytes(digest) * length >> 48)
-    return first if first > now else first + ((now - first) // length + 1) * length
+    first = since + (int.from_bytes(digest) * interval >> 48)
+    return first if first > now else first + ((now - first) // interval + 1) * interval
--- a/quincepath/fleet/overload/facts.py
+++ b/quincepath/fleet/overload/types.py
@@ -12,7 +12,7 @@
 SECOND = 1000 * MS
 
 
-class Why(Enum):
+class ShedReason(Enum):
     """Why a query is shed."""
 
     FLEET = "the fleet is overloaded"
@@ -29,7 +29,7 @@
     worth: float  # of its class, 0 to 1
     tenant: str
     client: str
-    cells: tuple[int, ...]
+    replica_sets: tuple[int, ...]
     time_left: int
     marked_retry: bool = False
 
@@ -38,13 +38,13 @@
 class Shed:
     """It is refused at once. ``retry_in``: ns until its client should come back, spread; 0: no advice."""
 
-    why: Why
-    place: float
+    reason: ShedReason
+    priority: float
     retry_in: int
 
 
 @dataclass(slots=True, frozen=True)
-class Spending:
+class SendBudget:
     """What this broker may spend until a time: becomes the module's ``Allowance``.
 
     ``extras``: further sends a second; ``trials``: sends a second to any one doubted or cold holder;
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Local:
+class LocalStats:
     """What this broker saw itself within a window (ns) that ended now: news that no network can take away.
 
     ``arrivals``: by band of the order; ``let``: queries that passed the lines; ``ended``: of those, the ones
@@ -69,7 +69,7 @@
 
     window: int
     arrivals: tuple[float, ...]
-    let: float = 0.0
+    admitted: float = 0.0
     ended: float = 0.0
     bad: float = 0.0
     refused: float = 0.0
@@ -78,14 +78,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Out:
+class Decision:
     """What one step decided. ``line``: for ``Counts.line``; ``trust``: weight of the fleet's line, 0 to 1."""
 
-    line: float
-    trust: float
-    cells: dict[int, float]
-    spending: Spending
-    spread: int  # advice is drawn over this time, ns
+    threshold: float
+    confidence: float
+    replica_set_thresholds: dict[int, float]
+    send_budget: SendBudget
+    retry_window: int  # advice is drawn over this time, ns
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,18 +95,24 @@
     period: int = 500 * MS  # between moves of a line
     late_share: float = 0.03  # late, refused and failed of those let in: above it a line goes up
     calm_share: float = 0.01  # and below this one it comes down: between the two it stands (hysteresis)
-    growth_share: float = 0.08  # of what is let in that may be on its way beyond what ends
-    rise: float = 0.8  # most of the let-in work that one move takes away
-    fall: float = 0.02  # and gives back at first; each calm move in a row gives back 1.4 times as much,
-    fall_most: float = 0.2  # up to this
-    able_fades: int = 8 * SECOND  # what the fleet can do fades to 1/e in this time over the share of bad ends
-    best_kept: float = 0.85  # of it: while less is served and nothing ends badly, the line opens quickly
-    let_least: float = 0.02  # share of the arrivals that is let in at least: the way back stays open
-    window_least: int = 2 * SECOND  # shorter windows move no line: what is on its way is too much of them
-    sample_least: float = 20.0  # ended queries that a move needs to go by
-    coverage_least: float = 0.4  # of the fleet that has to be heard for the fleet's line to count at all,
-    coverage_full: float = 0.6  # and to count in full: between the two its weight grows evenly
-    old: int = 2 * SECOND  # totals older than that fade to the configured share, until ``forget``
+    max_growth_share: float = 0.08  # of what is let in that may be on its way beyond what ends
+    max_decrease: float = 0.8  # most of the let-in work that one move takes away
+    min_increase: float = (
+        0.02  # and gives back at first; each calm move in a row gives back 1.4 times as much,
+    )
+    max_increase: float = 0.2  # up to this
+    capacity_decay: int = (
+        8 * SECOND
+    )  # what the fleet can do fades to 1/e in this time over the share of bad ends
+    capacity_margin: float = (
+        0.85  # of it: while less is served and nothing ends badly, the line opens quickly
+    )
+    min_admitted_share: float = 0.02  # share of the arrivals that is let in at least: the way back stays open
+    min_window: int = 2 * SECOND  # shorter windows move no line: what is on its way is too much of them
+    min_sample: float = 20.0  # ended queries that a move needs to go by
+    min_coverage: float = 0.4  # of the fleet that has to be heard for the fleet's line to count at all,
+    full_coverage: float = 0.6  # and to count in full: between the two its weight grows evenly
+    stale_after: int = 2 * SECOND  # totals older than that fade to the configured share, until ``forget``
     forget: int = 10 * SECOND
     budget_ratio: float = 0.1  # further sends of all brokers for each first one
     budget_free: float = 1.0  # and a second for the whole fleet besides
@@ -118,9 +124,9 @@
     alone_trials: float = 0.25  # sends a second to one doubted holder that it may spend alone
     alone_dials: float = 10.0  # and new connections
     epoch: int = 3600 * SECOND  # of the fleet's age: so long the order among equals stays
-    return_least: int = 250 * MS  # advice: at least, and at most
-    return_most: int = 10 * SECOND
+    min_retry_after: int = 250 * MS  # advice: at least, and at most
+    max_retry_after: int = 10 * SECOND
     retry_share: float = 0.5  # marked retries taken of a tenant for each of its first tries, while shedding
-    tenants_most: int = 256  # tenants told apart; the others are one
-    cells_most: int = 1024  # replica sets that may have a line; further ones have none
+    max_tenants: int = 256  # tenants told apart; the others are one
+    max_replica_sets: int = 1024  # replica sets that may have a line; further ones have none
     weights: dict[str, float] = field(default_factory=dict)  # of tenants; 1 where not named
--- a/quincepath/fleet/permits.py
+++ b/quincepath/fleet/permits.py
@@ -17,8 +17,8 @@
 from quincepath.fleet.configuration.history import History
 from quincepath.fleet.messages import Millis, Name, Text
 
-HISTORY_MOST = 2000
-IDS_MOST = 4000  # commands remembered, so that a repeat does nothing twice
+MAX_HISTORY = 2000
+MAX_RESULTS = 4000  # commands remembered, so that a repeat does nothing twice
 SCHEMA = 3  # 1: without maps, 2: without a configuration; read as one that has none
 DRAIN = "drain"  # the purpose of a permit by which all brokers drain its holder
 
@@ -124,8 +124,8 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_commands: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
-_states = msgspec.msgpack.Decoder(State)
+_command_decoder: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
+_state_decoder = msgspec.msgpack.Decoder(State)
 
 
 def encode(command: Command) -> bytes:
@@ -145,36 +145,36 @@
     def apply(self, entry: Entry) -> None:
         """One committed entry. What cannot be read changes nothing, and stands in the history."""
         try:
-            command = _commands.decode(entry.data)
+            command = _command_decoder.decode(entry.data)
         except msgspec.MsgspecError as error:
             self._note(entry.index, 0, "unknown", "unreadable", "", f"refused: {error}"[:200])
             return
         if command.id in self.state.results:
             return  # asked again: it was done, or refused, before
-        result = self._do(command, entry.index)
+        result = self._execute(command, entry.index)
         self.state.results[command.id] = result
-        while len(self.state.results) > IDS_MOST:
+        while len(self.state.results) > MAX_RESULTS:
             del self.state.results[next(iter(self.state.results))]
         name = getattr(command, "name", "")
-        said = f"refused: {result}" if result else "done"
-        self._note(entry.index, command.at, command.by, type(command).__name__.lower(), name, said)
+        text = f"refused: {result}" if result else "done"
+        self._note(entry.index, command.at, command.by, type(command).__name__.lower(), name, text)
 
     def _note(self, index: int, at: int, by: str, what: str, name: str, result: str) -> None:
         self.state.history.append(Line(index, at, by, what, name, result))
-        del self.state.history[:-HISTORY_MOST]
+        del self.state.history[:-MAX_HISTORY]
 
-    def _do(self, command: Command, index: int) -> str:
+    def _execute(self, command: Command, index: int) -> str:
         """What stands in its way; empty where it is done."""
         permits, topology = self.state.permits, self.state.topology
         if isinstance(command, MAP_COMMANDS):
-            return do(topology, command, index, self.in_the_way())[:400]
+            return do(topology, command, index, self.map_change_blocker())[:400]
         match command:
             case ChangeConfiguration():
                 return apply_command(self.configuration, command)[:400]
             case Grant():
-                why = self.why_not(command.name, command.checks, _reasons(command.out), command.at)
-                if why:
-                    return "; ".join(why)[:400]
+                reasons = self.grant_refusals(command.name, command.checks, _reasons(command.out), command.at)
+                if reasons:
+                    return "; ".join(reasons)[:400]
                 permits[command.name] = Permit(
                     command.name, command.purpose, command.by, command.at, command.overdue_at, index=index
                 )
@@ -195,7 +195,7 @@
                     disturbed(topology, command.at)
         return ""
 
-    def in_the_way(self) -> str:
+    def map_change_blocker(self) -> str:
         """Of a change of the shard map: it and what is out do not go together."""
         if self.state.halted:
             return f"halted: {self.state.halted}"
@@ -204,13 +204,13 @@
 
     def dump(self) -> bytes:
         """For a snapshot."""
-        touched = self.configuration.revision or self.configuration.answers
-        self.state.configuration = self.configuration.dump() if touched else b""
+        changed = self.configuration.revision or self.configuration.answers
+        self.state.configuration = self.configuration.dump() if changed else b""
         return _encoder.encode(self.state)
 
     def load(self, data: bytes) -> None:
         """From a snapshot; nothing is the beginning. Raises ``ValueError`` for another schema."""
-        self.state = _states.decode(data) if data else State()
+        self.state = _state_decoder.decode(data) if data else State()
         if not 1 <= self.state.schema <= SCHEMA:
             raise ValueError(f"permits of schema {self.state.schema}, this program reads 1 to {SCHEMA}")
         self.state.schema = SCHEMA
@@ -233,7 +233,7 @@
         """Those with a permit whose time is over: they may be out still."""
         return sorted(name for name, permit in self.state.permits.items() if now > permit.overdue_at)
 
-    def why_not(
+    def grant_refusals(
         self, name: str, checks: tuple[Check, ...], believed: dict[str, Reason], now: int
     ) -> list[str]:
         """What stands in the way of a grant; empty where nothing does."""
@@ -263,6 +263,6 @@
         }
 
 
-def _reasons(named: dict[str, str]) -> dict[str, Reason]:
-    known = {reason.name: reason for reason in Reason}
-    return {name: known.get(why, Reason.SUSPECT) for name, why in named.items()}
+def _reasons(names: dict[str, str]) -> dict[str, Reason]:
+    by_name = {reason.name: reason for reason in Reason}
+    return {name: by_name.get(text, Reason.SUSPECT) for name, text in names.items()}
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -29,7 +29,7 @@
     from quincepath.fleet.configuration.commands import ChangeConfiguration
     from quincepath.fleet.configuration_requests import ConfigurationRequests
     from quincepath.fleet.distribution import Distribution
-    from quincepath.fleet.shared import Shared
+    from quincepath.fleet.load_service import LoadService
     from quincepath.fleet.topology import Maps
 
 OWN = ("number", "seed", "zone")  # what may differ from broker to broker within one configuration
@@ -151,11 +151,13 @@
             self.edge.on_agreed = self.agreed.receive
             if entry.configuration is not None:
                 self._distribute(config, entry.configuration, boot, seed, registry)
-        self.shared: Shared | None = None
+        self.shared: LoadService | None = None
         if entry.ledger is not None:
-            from quincepath.fleet import shared  # only where brokers tell each other of their load
+            from quincepath.fleet import load_service  # only where brokers tell each other of their load
 
-            self.shared = shared.Shared(config, entry, loop, self.view, self.edge, seed, self.log, registry)
+            self.shared = load_service.LoadService(
+                config, entry, loop, self.view, self.edge, seed, self.log, registry
+            )
         self._look()
 
     @property
--- a/quincepath/fleet/topology.py
+++ b/quincepath/fleet/topology.py
@@ -184,7 +184,7 @@
 
     def next(self, now: int, wall: int) -> MapCommand | None:
         """What this broker proposes while it leads, where nothing is waited for."""
-        way = self.machine.in_the_way()
+        way = self.machine.map_change_blocker()
         return self.gathered.next(self.topology, now, wall, self.member, self.measured(wall), way)
 
     # --- one of all ---
@@ -254,7 +254,7 @@
         waits: dict[str, str] = {}
         if found.step in (Step.STAGING, Step.MEASURING):
             if keeps:
-                way = self.machine.in_the_way()
+                way = self.machine.map_change_blocker()
                 waits = self.gathered.waits_for(found, now, wall, self.measured(wall), way)
             if not leader:
                 waits["keepers"] = "no leader is known here: a majority of them may be out of reach"
--- a/quincepath/lab/fleet/faults.py
+++ b/quincepath/lab/fleet/faults.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from quincepath.fleet.ledger.facts import LedgerSettings
-from quincepath.fleet.ledger.tree import Tree
+from quincepath.fleet.load_reports.tree import AggregationTree
+from quincepath.fleet.load_reports.types import LoadReportSettings
 from quincepath.lab.fleet.links import Ways
 from quincepath.lab.fleet.script import FaultEntry, FleetScript, Some
 from quincepath.lab.fleet.verdict import SECOND, Watcher
@@ -15,9 +15,9 @@
 
 def summers(names: list[str]) -> list[str]:
     """Who sums up the ledger of a fleet in which all these live."""
-    tree = Tree(names[0], names, len(names), LedgerSettings())
-    places = [(level, place) for level in range(tree.top + 1) for place in range(tree.groups)]
-    return sorted({name for level, place in places for name in tree.lanes(level, place)})
+    tree = AggregationTree(names[0], names, len(names), LoadReportSettings())
+    places = [(level, place) for level in range(tree.top_level + 1) for place in range(tree.groups)]
+    return sorted({name for level, place in places for name in tree.aggregators(level, place)})
 
 
 class Stage(Protocol):
--- a/quincepath/lab/fleet/ledger_world.py
+++ b/quincepath/lab/fleet/ledger_world.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from quincepath.fleet.ledger import (
+from quincepath.fleet.load_reports import (
     Count,
     Counts,
-    Heard,
-    Ledger,
-    LedgerSettings,
-    Living,
-    Own,
+    DatagramReceived,
+    LiveMembers,
+    LoadCounter,
+    LoadReporter,
+    LoadReportSettings,
+    OwnCounts,
     Packet,
-    Spend,
-    Tally,
+    SendKind,
     Totals,
 )  # fmt: skip
 
@@ -48,8 +48,8 @@
 
     name: str
     boot: int
-    ledger: Ledger
-    tally: Tally
+    ledger: LoadReporter
+    tally: LoadCounter
     begun: int
     load: Callable[[str, int], float]
     living: dict[str, int] = field(default_factory=dict)
@@ -74,13 +74,13 @@
         seed: int,
         load: Callable[[str, int], float],
         network: Network | None = None,
-        settings: LedgerSettings | None = None,
+        settings: LoadReportSettings | None = None,
         view: int = 3 * SECOND,
-        make: Callable[..., Ledger] = Ledger,
+        make: Callable[..., LoadReporter] = LoadReporter,
     ) -> None:
         self.random = random.Random(f"{seed} ledgers")
         self.seed, self.load, self.view, self.make = seed, load, view, make
-        self.network, self.settings = network or Network(), settings or LedgerSettings()
+        self.network, self.settings = network or Network(), settings or LoadReportSettings()
         self.names = [f"b{place:03}" for place in range(members)]
         self.now = 0
         self.processes: list[Process] = []
@@ -114,7 +114,7 @@
         self._boots += 1
         boot = 1000 + self._boots
         ledger = self.make("lab", name, boot, self.settings, self.seed, self.now)
-        process = Process(name, boot, ledger, Tally(self.now), self.now, self.load, at=self.now)
+        process = Process(name, boot, ledger, LoadCounter(self.now), self.now, self.load, at=self.now)
         process.taken.append((self.now, 0))
         self.processes.append(process)
         if not clone:
@@ -122,7 +122,7 @@
             self.at(self.now + self.view, self.tell) if told else None
         else:
             process.living = dict(self.of[name].living)
-        self._step(process, [Living(process.living, len(self.names))])
+        self._step(process, [LiveMembers(process.living, len(self.names))])
         self.at(ledger.due, lambda: self._due(process))
         return process
 
@@ -149,17 +149,17 @@
         if not process.killed:
             side = self.sides.get(process.name, 0)
             process.living = {n: p.boot for n, p in self.of.items() if self.sides.get(n, 0) == side}
-            self._step(process, [Living(process.living, len(self.names))])
+            self._step(process, [LiveMembers(process.living, len(self.names))])
 
     def _due(self, process: Process) -> None:
         if process.killed:
             return
         self._advance(process)
-        counts = process.tally.counts(self.now, 0.25)
-        self._step(process, [Own(process.bend(counts) if process.bend else counts)])
+        counts = process.tally.snapshot(self.now, 0.25)
+        self._step(process, [OwnCounts(process.bend(counts) if process.bend else counts)])
         self.at(process.ledger.due, lambda: self._due(process))
 
-    def _step(self, process: Process, inputs: list[Own | Heard | Living]) -> None:
+    def _step(self, process: Process, inputs: list[OwnCounts | DatagramReceived | LiveMembers]) -> None:
         for out in process.ledger.step(self.now, inputs):
             if isinstance(out, Packet):
                 process.packets += 1
@@ -182,7 +182,7 @@
         process = self.of.get(packet.to)
         if process is not None and self.sides.get(sender, 0) == self.sides.get(packet.to, 0):
             process.heard += len(packet.data)
-            self._step(process, [Heard(packet.data)])
+            self._step(process, [DatagramReceived(packet.data)])
 
     # --- what is true ---
 
@@ -193,14 +193,14 @@
         process.total += process.load(process.name, self.now) * (self.now - process.at) / SECOND
         for number in range(process.counted, int(process.total)):
             tally, kind = process.tally, number % KINDS
-            tally.arrived(kind, number * 0.381966 % 1.0)
-            tally.ended(kind, Count.LATE if number % 10 == 0 else Count.IN_TIME)
-            tally.spent(Spend.FIRST, 8)
+            tally.count_arrival(kind, number * 0.381966 % 1.0)
+            tally.count_outcome(kind, Count.LATE if number % 10 == 0 else Count.IN_TIME)
+            tally.count_sends(SendKind.FIRST, 8)
             if number % 5 == 0:
-                tally.spent(Spend.FURTHER)
-            tally.cell(number * 7 % CELLS, 8, int(number % 20 == 0))
+                tally.count_sends(SendKind.FURTHER)
+            tally.count_replica_set(number * 7 % CELLS, 8, int(number % 20 == 0))
             if kind == 0:
-                tally.slot_time(f"tenant-{number % 12:02}", 40 * MS)
+                tally.add_slot_time(f"tenant-{number % 12:02}", 40 * MS)
         process.counted, process.at = int(process.total), self.now
         process.taken.append((self.now, process.counted))
         del process.taken[:-HISTORY]
--- a/quincepath/lab/overload_world/brokers.py
+++ b/quincepath/lab/overload_world/brokers.py
@@ -8,9 +8,9 @@
 import random
 from dataclasses import dataclass
 
-from quincepath.fleet.ledger.facts import BANDS, Count, Spend
-from quincepath.fleet.overload import Overload, Spending
-from quincepath.fleet.overload.trials import next_turn
+from quincepath.fleet.load_reports.types import PRIORITY_BANDS, Count, SendKind
+from quincepath.fleet.overload import OverloadControl, SendBudget
+from quincepath.fleet.overload.trial_turns import next_turn
 from quincepath.lab.overload_world.plan import MS, SECOND, Plan, Way
 
 SPARE_MOST = 10.0  # as the module's: saved up, and for each first send, calm and crowded
@@ -31,8 +31,8 @@
     def __init__(self, plan: Plan) -> None:
         self.classes = len(plan.worths)
         self.spends = self.classes * len(Count)
-        self.arrivals = self.spends + len(Spend)
-        self.cells = self.arrivals + BANDS
+        self.arrivals = self.spends + len(SendKind)
+        self.cells = self.arrivals + PRIORITY_BANDS
         self.tenants = self.cells + 2 * plan.cells
         self.extra = self.tenants + plan.tenants  # let in
         self.size = self.extra + 1
@@ -71,13 +71,15 @@
         self.draw = random.Random(f"{seed}/{number}")
         self.row = [0] * layout.size
         self.nodes = [Seen() for _ in range(plan.holders)]
-        self.core = Overload(plan.settings, seed * 1000 + number, self.draw.randrange(plan.settings.period))
+        self.core = OverloadControl(
+            plan.settings, seed * 1000 + number, self.draw.randrange(plan.settings.period)
+        )
         self.line = 0.0
         self.saved = SPARE_MOST / 2
         self.mean = self.base = plan.work * 1.2
         self.deviation = self.mean / 2
         self.waits = [Waits(self.mean) for _ in range(plan.cells)]
-        self.spending: Spending | None = None
+        self.spending: SendBudget | None = None
         self.spent_at = 0
         self.tokens, self.tokens_at = 0.0, 0
         if way is Way.ONE:
@@ -144,14 +146,14 @@
             if load < least:
                 best, least = number, load
         if doubted >= 0:
-            self.row[self.layout.spends + Spend.TRIAL] += 1
+            self.row[self.layout.spends + SendKind.TRIAL] += 1
             self.nodes[doubted].next_trial = self._next_trial(now, doubted)
             return doubted
         if best < 0:
             return last
         if self.nodes[best].cold_until > now:
             self.nodes[best].credit -= 1
-            self.row[self.layout.spends + Spend.TRIAL] += 1
+            self.row[self.layout.spends + SendKind.TRIAL] += 1
         return best
 
     def doubts(self, now: int, seen: Seen) -> bool:
@@ -202,7 +204,7 @@
 
     def first(self) -> None:
         """A first send earns."""
-        self.row[self.layout.spends + Spend.FIRST] += 1
+        self.row[self.layout.spends + SendKind.FIRST] += 1
         if self.way is not Way.ONE:
             self.saved = min(self.saved + (CROWDED if self.crowded() else CALM), SPARE_MOST)
 
@@ -215,7 +217,7 @@
         if self.saved < 1:
             return False
         self.saved -= 1
-        self.row[self.layout.spends + Spend.FURTHER] += 1
+        self.row[self.layout.spends + SendKind.FURTHER] += 1
         return True
 
     def within_fixed(self, now: int, rate: float) -> bool:
--- a/quincepath/lab/overload_world/news.py
+++ b/quincepath/lab/overload_world/news.py
@@ -6,8 +6,15 @@
 import numpy as np
 import numpy.typing as npt
 
-from quincepath.fleet.ledger.facts import BANDS, CellTotal, Count, Spend, TenantTotal, Totals
-from quincepath.fleet.overload import Local
+from quincepath.fleet.load_reports.types import (
+    PRIORITY_BANDS,
+    Count,
+    ReplicaSetTotal,
+    SendKind,
+    TenantTotal,
+    Totals,
+)
+from quincepath.fleet.overload import LocalStats
 from quincepath.lab.overload_world.brokers import Broker, Layout
 from quincepath.lab.overload_world.plan import MS, SECOND, Plan
 
@@ -39,7 +46,7 @@
                 self._dead_at.setdefault(broker.number, now)
         self._made = {key: value for key, value in self._made.items() if key[0] > now - 5 * SECOND}
 
-    def local(self, broker: Broker) -> Local:
+    def local(self, broker: Broker) -> LocalStats:
         """What one broker saw itself in the last window."""
         _, rows, _ = self._rows[max(len(self._rows) - 1 - self._plan.news.window // TICK, 0)]
         at = self._rows[max(len(self._rows) - 1 - self._plan.news.window // TICK, 0)][0]
@@ -47,15 +54,15 @@
         got = np.array(broker.row) - rows[broker.number]
         kinds = got[: self._layout.spends].reshape(self._layout.classes, len(Count)).sum(axis=0)
         bad = float(kinds[Count.LATE] + kinds[Count.REFUSED] + kinds[Count.FAILED])
-        return Local(
+        return LocalStats(
             window=window,
             arrivals=tuple(got[self._layout.arrivals : self._layout.cells].tolist()),
-            let=float(got[self._layout.extra]),
+            admitted=float(got[self._layout.extra]),
             ended=float(kinds[Count.IN_TIME]) + bad,
             bad=bad,
             refused=float(kinds[Count.REFUSED] + kinds[Count.SHED] + kinds[Count.TURNED_AWAY]),
-            first=float(got[self._layout.spends + Spend.FIRST]),
-            first_rate=self._rate(broker, self._layout.spends + Spend.FIRST),
+            first=float(got[self._layout.spends + SendKind.FIRST]),
+            first_rate=self._rate(broker, self._layout.spends + SendKind.FIRST),
         )
 
     def _rate(self, broker: Broker, place: int) -> float:
@@ -99,11 +106,11 @@
         cells = got[layout.cells : layout.tenants].reshape(plan.cells, 2).tolist()
         tenants = got[layout.tenants : layout.extra].tolist()
         return Totals(
-            at=at, window=max(at - begun, TICK), heard=len(heard), of=of,
+            at=at, window=max(at - begun, TICK), reporting=len(heard), live=of,
             by_class=tuple(tuple(float(n) for n in row) for row in kinds),
-            spends=tuple(float(n) for n in got[layout.spends : layout.arrivals]),
-            arrivals=tuple(float(n) for n in got[layout.arrivals : layout.arrivals + BANDS]),
+            sends=tuple(float(n) for n in got[layout.spends : layout.arrivals]),
+            arrivals=tuple(float(n) for n in got[layout.arrivals : layout.arrivals + PRIORITY_BANDS]),
             tenants={f"t{n}": TenantTotal(float(used), 0.0) for n, used in enumerate(tenants) if used},
-            cells={n: CellTotal(float(d), float(r)) for n, (d, r) in enumerate(cells) if d},
-            line=float(lines[heard].mean()) if heard else 0.0,
+            replica_sets={n: ReplicaSetTotal(float(d), float(r)) for n, (d, r) in enumerate(cells) if d},
+            threshold=float(lines[heard].mean()) if heard else 0.0,
         )  # fmt: skip
--- a/quincepath/lab/overload_world/world.py
+++ b/quincepath/lab/overload_world/world.py
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-from quincepath.fleet.ledger.facts import Count
-from quincepath.fleet.overload import Arrival, Why
-from quincepath.fleet.overload.order import band
+from quincepath.fleet.load_reports.types import Count
+from quincepath.fleet.overload import Arrival, ShedReason
+from quincepath.fleet.overload.ordering import band
 from quincepath.lab.overload_world.brokers import Broker, Layout
 from quincepath.lab.overload_world.figures import BIN, Record
 from quincepath.lab.overload_world.holders import Holder
@@ -102,7 +102,7 @@
         if broker.alive:
             broker.core.step(self.now, self.ledger.local(broker))
             out = broker.core.step(self.now, self.ledger.totals(self.now, broker.number))
-            broker.line, broker.spending = out.line, out.spending
+            broker.line, broker.spending = out.threshold, out.send_budget
         self.at(self.now + self.plan.settings.period, self._step, broker)
 
     def _lose(self, loss: Loss) -> None:
@@ -181,22 +181,22 @@
             query.kind, plan.worths[query.kind], f"t{query.tenant}", f"c{query.client}", query.cells,
             plan.target, plan.marked and query.tries > 1,
         )  # fmt: skip
-        shed = broker.core.arrive(self.now, arrival)
-        if shed is not None and shed.why is Why.RETRY:  # it has no place in the order
+        shed = broker.core.on_arrival(self.now, arrival)
+        if shed is not None and shed.reason is ShedReason.RETRY:  # it has no place in the order
             row[query.kind * len(Count) + Count.TURNED_AWAY] += 1
             self._refused(query, shed.retry_in, True)
             return False
-        at = shed.place if shed is not None else broker.core.place(self.now, arrival)
+        at = shed.priority if shed is not None else broker.core.priority(self.now, arrival)
         if not arrival.marked_retry:
             row[self.layout.arrivals + band(at)] += 1
-        if shed is None or shed.why is Why.CELL:
+        if shed is None or shed.reason is ShedReason.CELL:
             for cell in query.cells:
                 row[self.layout.cells + 2 * cell] += 1
         if shed is None:
             return True
         row[query.kind * len(Count) + Count.SHED] += 1
         self.record.shed[self.now // BIN] += 1
-        if shed.why is Why.CELL:
+        if shed.reason is ShedReason.CELL:
             for cell in query.cells:
                 self.record.shed_cells[cell] = self.record.shed_cells.get(cell, 0) + 1
         else:
--- a/tests/conformance/run_ledger.py
+++ b/tests/conformance/run_ledger.py
@@ -6,10 +6,19 @@
 
 from typing import Any
 
-from quincepath.fleet.ledger import Count, Counts, Heard, Ledger, LedgerSettings, Living, TenantCount, Totals
-from quincepath.fleet.ledger.facts import MS
-from quincepath.fleet.ledger.fields import flatten, runs_of
-from quincepath.fleet.ledger.messages import Report, Use, encode, pack
+from quincepath.fleet.load_reports import (
+    Count,
+    Counts,
+    DatagramReceived,
+    LiveMembers,
+    LoadReporter,
+    LoadReportSettings,
+    TenantCount,
+    Totals,
+)
+from quincepath.fleet.load_reports.fields import encode_runs, flatten
+from quincepath.fleet.load_reports.messages import Report, TenantUse, encode, pack
+from quincepath.fleet.load_reports.types import MS
 from tests.conformance.runner import runner
 
 
@@ -17,17 +26,17 @@
     counts = Counts(by_class=[[message.get("taken", 0)] + [0] * 7], slot_time=message.get("slots", 0) * MS)
     counts.by_class[0][Count.LATE] = message.get("late", 0)
     counts.tenants = {n: TenantCount(*values) for n, values in message.get("tenants", {}).items()}
-    uses = tuple(Use(n, one.slot_time, one.waiting, one.base) for n, one in counts.tenants.items())
+    uses = tuple(TenantUse(n, one.slot_time, one.waiting, one.base) for n, one in counts.tenants.items())
     values = flatten(counts)
     up, line = message.get("up", message["at"]), message.get("line", 0)
-    runs = runs_of(values, sorted(values))
+    runs = encode_runs(values, sorted(values))
     return Report(message["number"], up, line, sum(u.waiting for u in uses), runs, uses)
 
 
 @runner("ledger")
 def run(given: dict[str, Any]) -> dict[str, Any]:
-    settings = LedgerSettings(**{"summers": 5, **given.get("settings", {})})
-    ledger = Ledger("f", "reader", 1, settings, 0)
+    settings = LoadReportSettings(**{"aggregators": 5, **given.get("settings", {})})
+    ledger = LoadReporter("f", "reader", 1, settings, 0)
     boots = {"reader": 1, **given["living"]}
     events = [(message["at"], message) for message in given["messages"]]
     events += [(entry["at"], entry) for entry in given.get("views", [])]
@@ -40,23 +49,23 @@
                 last = out if isinstance(out, Totals) else last
 
     # With as many summers as members the reader is one of them; the others tell it nothing.
-    ledger.step(0, [Living(boots, len(boots))])
+    ledger.step(0, [LiveMembers(boots, len(boots))])
     for at, event in sorted(events, key=lambda one: one[0]):
         until(at * MS)
         if "living" in event:
-            ledger.step(at * MS, [Living({"reader": 1, **event["living"]}, len(boots))])
+            ledger.step(at * MS, [LiveMembers({"reader": 1, **event["living"]}, len(boots))])
         else:
             raw = encode(report(event))
             data = pack(event.get("fleet", "f"), event["from"], event["boot"], "reader", raw)
-            ledger.step(at * MS, [Heard(data)] * event.get("times", 1))
+            ledger.step(at * MS, [DatagramReceived(data)] * event.get("times", 1))
     until(given["read"] * MS)
     assert last is not None
     return {
         "taken": last.count(Count.TAKEN),
         "late": last.count(Count.LATE),
-        "heard": last.heard,
-        "of": last.of,
-        "line": last.line,
+        "heard": last.reporting,
+        "of": last.live,
+        "line": last.threshold,
         "tenants": {n: [one.slot_time / MS, one.waiting] for n, one in last.tenants.items()},
         "rest": last.rest.slot_time / MS,
         "causes": {cause: many for cause, many in ledger.causes.items() if many},
--- a/tests/exact/plays.py
+++ b/tests/exact/plays.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from quincepath.config.load import load
-from quincepath.fleet.ledger.facts import SECOND
+from quincepath.fleet.load_reports.types import SECOND
 from quincepath.lab import map_world
 from quincepath.lab.emulator.rehearsal import rehearse
 from quincepath.lab.emulator.script import Script
--- a/tests/fleet/ledger/test_kept.py
+++ b/tests/fleet/load_reports/test_member_counts.py
@@ -12,15 +12,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import quincepath.fleet.ledger.kept as kept_module
-from quincepath.fleet.ledger import Count, LedgerSettings, Tally
-from quincepath.fleet.ledger.facts import MS, SECOND, TENANTS_MOST
-from quincepath.fleet.ledger.fields import CELLS_AT, FIELDS, SLOT, flatten, read_runs, runs_of
-from quincepath.fleet.ledger.messages import ROOM, Report, Sum, Telling, Use, cut, encode, fit, pack, unpack
-from quincepath.fleet.ledger.tally import TENANTS_KEPT
+import quincepath.fleet.load_reports.member_counts as member_counts
+from quincepath.fleet.load_reports import Count, LoadCounter, LoadReportSettings
+from quincepath.fleet.load_reports.fields import (
+    FIELD_COUNT,
+    FIRST_REPLICA_SET_FIELD,
+    SLOT_TIME_FIELD,
+    decode_runs,
+    encode_runs,
+    flatten,
+)
+from quincepath.fleet.load_reports.load_counter import MAX_TRACKED_TENANTS
+from quincepath.fleet.load_reports.messages import (
+    MAX_BODY_BYTES,
+    Report,
+    ReportBuilder,
+    SumMessage,
+    TenantUse,
+    encode,
+    fit_tenants,
+    pack,
+    split_sum,
+    unpack,
+)
+from quincepath.fleet.load_reports.types import MAX_NAMED_TENANTS, MS, SECOND
 from quincepath.fleet.messages import PACKET, Rejected
 
-LONG = LedgerSettings(window=1000 * SECOND, forget=1000 * SECOND)
+LONG = LoadReportSettings(window=1000 * SECOND, forget=1000 * SECOND)
 # (boot, number, ms that it has counted, queries taken); the second boot began at 2.0 s, after the first ended
 SENT = [(1, 1, 500, 2), (1, 2, 1000, 5), (1, 3, 1500, 9), (2, 1, 400, 1), (2, 2, 900, 4)]
 STARTED = {1: 0, 2: 2000}
@@ -30,7 +48,7 @@
 
 def mutant(name: str, *changes: tuple[str, str]) -> Any:
     """The module with some of its lines changed."""
-    source = Path(str(kept_module.__file__)).read_text()
+    source = Path(str(member_counts.__file__)).read_text()
     for old, new in changes:
         assert source.count(old) == 1, old
         source = source.replace(old, new)
@@ -44,15 +62,15 @@
     module: Any, sent: list[tuple[int, ...]], started: dict[int, int], views: list[int | None]
 ) -> list[str]:
     """Deliver in this order, one every 100 ms from 3 s on; what was found wrong."""
-    kept = module.Kept(LONG, Counter())
+    kept = module.MemberCounts(LONG, Counter())
     most: dict[int, int] = {}
     last, wrong = 0, []
     for step, ((boot, number, told, taken), believed) in enumerate(zip(sent, views, strict=True)):
         now = 3000 + 100 * step
         up = now - started[boot] if started else told
-        kept.take(now * MS, "a", boot, Report(number, up, 0, 0, (0, 1, taken)), believed)
+        kept.apply_report(now * MS, "a", boot, Report(number, up, 0, 0, (0, 1, taken)), believed)
         most[boot] = max(most.get(boot, 0), taken)
-        [(_, sums)] = kept.windows(now * MS)
+        [(_, sums)] = kept.window_sums(now * MS)
         found = sums.values.get(0, 0)
         if found > sum(most.values()):
             wrong.append(f"{found} of {most} at most")
@@ -83,7 +101,7 @@
 
 
 def test_no_order_loss_or_doubling_counts_anything_twice_or_takes_it_back() -> None:
-    plays, wrong = explored(kept_module, 4)
+    plays, wrong = explored(member_counts, 4)
     assert plays == 15 * (5 + 25 + 125 + 625)
     assert wrong == []
 
@@ -91,53 +109,60 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        pytest.param([("if value > (last or 0):", "if value != (last or 0):")], id="merged by last"),
+        pytest.param([("if value > (previous or 0):", "if value != (previous or 0):")], id="merged by last"),
         pytest.param(
             [
-                ("if new.boot not in member.past:", "if True:"),
-                ("if new.began > old.heard_at - self._set.period", "if True"),
+                ("if new.boot not in member.previous_boots:", "if True:"),
+                ("if new.started_at > old.last_report_at - self._settings.period", "if True"),
             ],
             id="a new boot adds its old counts",
         ),
     ],
 )  # fmt: skip
 def test_planted_bugs_are_found(changes: list[tuple[str, str]]) -> None:
-    assert explored(mutant("kept_planted", *changes), 3)[1]
+    assert explored(mutant("member_counts_planted", *changes), 3)[1]
 
 
 def test_a_clean_restart_counts_both_boots_whole() -> None:
-    kept = kept_module.Kept(LONG, Counter())
+    kept = member_counts.MemberCounts(LONG, Counter())
     for now, boot, up, taken, believed in [(500, 1, 500, 9, 1), (2400, 2, 400, 1, 1), (2900, 2, 900, 4, 2)]:
-        kept.take(now * MS, "a", boot, Report(now, up, 0, 0, (0, 1, taken)), believed)
-    [(_, sums)] = kept.windows(2900 * MS)
+        kept.apply_report(now * MS, "a", boot, Report(now, up, 0, 0, (0, 1, taken)), believed)
+    [(_, sums)] = kept.window_sums(2900 * MS)
     assert sums.values == {0: 13}
 
 
 def test_what_is_kept_is_bounded() -> None:
-    kept = kept_module.Kept(LedgerSettings(), Counter())
+    kept = member_counts.MemberCounts(LoadReportSettings(), Counter())
     for step in range(3000):
         now = step * 10 * MS
-        uses = (Use(f"tenant-{step}", step),)
-        kept.take(now, f"b{step % 300}", step % 7, Report(step, step, 0, 0, (0, 1, step), uses), None)
-    assert len(kept) == kept_module.MEMBERS_MOST
+        uses = (TenantUse(f"tenant-{step}", step),)
+        kept.apply_report(now, f"b{step % 300}", step % 7, Report(step, step, 0, 0, (0, 1, step), uses), None)
+    assert len(kept) == member_counts.MAX_MEMBERS
     for member in kept._members.values():
-        assert len(member.rivals) <= kept_module.RIVALS_MOST and len(member.past) <= kept_module.PAST_MOST
-    one = kept_module.Kept(LedgerSettings(), Counter())
+        assert (
+            len(member.competing) <= member_counts.MAX_COMPETING
+            and len(member.previous_boots) <= member_counts.MAX_PREVIOUS_BOOTS
+        )
+    one = member_counts.MemberCounts(LoadReportSettings(), Counter())
     for step in range(3000):
-        one.take(
-            step * MS * 10, "a", 1, Report(step, step * 10, 0, 0, (0, 1, step), (Use(f"t{step}", step),)), 1
+        one.apply_report(
+            step * MS * 10,
+            "a",
+            1,
+            Report(step, step * 10, 0, 0, (0, 1, step), (TenantUse(f"t{step}", step),)),
+            1,
         )
     member = one._members["a"]
-    assert len(member.uses) <= kept_module.NAMES_MOST and len(member.marks) < 64
-    one.tidy(100 * SECOND)
+    assert len(member.tenant_slot_ms) <= member_counts.MAX_MEMBER_TENANTS and len(member.checkpoints) < 64
+    one.expire(100 * SECOND)
     assert len(one) == 0
 
 
-@pytest.mark.parametrize("runs", [(0,), (0, 2, 1), (FIELDS, 1, 1), (5, 0), (FIELDS - 1, 2, 1, 1)])
+@pytest.mark.parametrize("runs", [(0,), (0, 2, 1), (FIELD_COUNT, 1, 1), (5, 0), (FIELD_COUNT - 1, 2, 1, 1)])
 def test_runs_that_cannot_be_read_change_nothing(runs: tuple[int, ...]) -> None:
-    kept = kept_module.Kept(LedgerSettings(), Counter())
+    kept = member_counts.MemberCounts(LoadReportSettings(), Counter())
     with pytest.raises(ValueError, match="runs"):
-        kept.take(0, "a", 1, Report(1, 0, 0, 0, runs), None)
+        kept.apply_report(0, "a", 1, Report(1, 0, 0, 0, runs), None)
     assert len(kept) == 0
 
 
@@ -145,16 +170,16 @@
 
 
 def test_a_hundred_thousand_names_and_the_heavy_ones_are_still_named() -> None:
-    tally, source = Tally(0), random.Random(1)
+    tally, source = LoadCounter(0), random.Random(1)
     used: Counter[str] = Counter()
     before: dict[str, int] = {}
     for step in range(100_000):
         name = f"loud-{step // 2 % 8}" if step % 2 else f"invented-{source.randrange(100_000)}"
-        tally.slot_time(name, 10 * MS)
+        tally.add_slot_time(name, 10 * MS)
         used[name] += 10 * MS
         if step % 5000 == 4999:
-            counts = tally.counts(step * MS)
-            assert len(counts.tenants) <= TENANTS_MOST and len(tally._tenants) <= TENANTS_KEPT
+            counts = tally.snapshot(step * MS)
+            assert len(counts.tenants) <= MAX_NAMED_TENANTS and len(tally._tenants) <= MAX_TRACKED_TENANTS
             assert {f"loud-{place}" for place in range(8)} <= set(counts.tenants)
             for tenant, count in counts.tenants.items():
                 assert count.slot_time - count.base <= used[tenant]  # never more than it used
@@ -164,53 +189,57 @@
 
 
 def test_classes_and_replica_sets_beyond_the_bounds_are_counted_as_such() -> None:
-    tally = Tally(0)
-    tally.arrived(99, 0.5)
-    tally.cell(5000, demand=1)
-    tally.slot_time("x" * 65, MS)
-    tally.ended(0, Count.LATE)
-    counts = tally.counts(SECOND)
-    assert tally.beyond == 2 and not counts.cells and not counts.tenants and counts.slot_time == MS
+    tally = LoadCounter(0)
+    tally.count_arrival(99, 0.5)
+    tally.count_replica_set(5000, demand=1)
+    tally.add_slot_time("x" * 65, MS)
+    tally.count_outcome(0, Count.LATE)
+    counts = tally.snapshot(SECOND)
+    assert tally.uncounted == 2 and not counts.replica_sets and not counts.tenants and counts.slot_time == MS
     with pytest.raises(ValueError, match="TAKEN"):
-        tally.ended(0, Count.TAKEN)
+        tally.count_outcome(0, Count.TAKEN)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(
-    st.dictionaries(st.integers(0, FIELDS - 1), st.integers(1, (1 << 53) - 1), max_size=400),
+    st.dictionaries(st.integers(0, FIELD_COUNT - 1), st.integers(1, (1 << 53) - 1), max_size=400),
     st.integers(0, 1 << 30),
 )
 def test_reports_fit_datagrams_and_everything_comes_round(values: dict[int, int], seed: int) -> None:
-    source, telling = random.Random(seed), Telling(2)
+    source, telling = random.Random(seed), ReportBuilder(2)
     heard: dict[int, int] = {}
-    uses = [Use("t" * 60 + str(place), 1 << 40, 9, 1 << 40) for place in range(TENANTS_MOST)]
+    uses = [TenantUse("t" * 60 + str(place), 1 << 40, 9, 1 << 40) for place in range(MAX_NAMED_TENANTS)]
     named = set()
     for _ in range(41):
         for number in source.sample(sorted(values), len(values) // 2):  # half of all change each time
             values[number] = min(values[number] + 1, (1 << 53) - 1)
-        reports = telling.reports(values, uses, 1 << 40, 1000, 1 << 20)
+        reports = telling.build(values, uses, 1 << 40, 1000, 1 << 20)
         assert 1 <= len(reports) <= 2
         for report in reports:
             data = pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(report))
             assert len(data) <= PACKET
             assert unpack(data, "f" * 32, "t" * 32)[1] == report
-            heard.update(read_runs(report.runs))
-            named |= {use.name for use in report.uses}
-    assert set(heard) == set(values) and len(named) == TENANTS_MOST
+            heard.update(decode_runs(report.runs))
+            named |= {use.name for use in report.tenants}
+    assert set(heard) == set(values) and len(named) == MAX_NAMED_TENANTS
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.dictionaries(st.integers(0, FIELDS - 1), st.integers(1, (1 << 53) - 1), max_size=900))
+@given(st.dictionaries(st.integers(0, FIELD_COUNT - 1), st.integers(1, (1 << 53) - 1), max_size=900))
 def test_sums_are_cut_so_that_the_parts_name_all_and_fit(values: dict[int, int]) -> None:
-    cuts = cut(values, ROOM // 2)
+    cuts = split_sum(values, MAX_BODY_BYTES // 2)
     assert [low for low, _, _ in cuts[1:]] == [high for _, high, _ in cuts[:-1]]
-    assert cuts[0][0] == 0 and cuts[-1][1] == FIELDS
-    assert dict(pair for _, _, runs in cuts for pair in read_runs(runs)) == values
+    assert cuts[0][0] == 0 and cuts[-1][1] == FIELD_COUNT
+    assert dict(pair for _, _, runs in cuts for pair in decode_runs(runs)) == values
     for low, high, runs in cuts:
-        assert all(low <= number < high for number, _ in read_runs(runs))
-        uses = fit((Use("t" * 64, 1 << 40, 1 << 20) for _ in range(32)), ROOM // 2) if not low else None
+        assert all(low <= number < high for number, _ in decode_runs(runs))
+        uses = (
+            fit_tenants((TenantUse("t" * 64, 1 << 40, 1 << 20) for _ in range(32)), MAX_BODY_BYTES // 2)
+            if not low
+            else None
+        )
         most = 1 << 20
-        body = Sum(True, 4, 1024, 1024, 1 << 40, most, most, most, most, low, high, runs, uses)
+        body = SumMessage(True, 4, 1024, 1024, 1 << 40, most, most, most, most, low, high, runs, uses)
         assert len(pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(body))) <= PACKET
 
 
@@ -235,8 +264,10 @@
 
 
 def test_a_newer_program_s_longer_message_is_read() -> None:
-    values = flatten(Tally(0).counts(SECOND))
-    assert values == {} and runs_of({SLOT: 7, CELLS_AT: 1}, [SLOT, CELLS_AT]) == (SLOT, 1, 7, CELLS_AT, 1, 1)
+    values = flatten(LoadCounter(0).snapshot(SECOND))
+    assert values == {} and encode_runs(
+        {SLOT_TIME_FIELD: 7, FIRST_REPLICA_SET_FIELD: 1}, [SLOT_TIME_FIELD, FIRST_REPLICA_SET_FIELD]
+    ) == (SLOT_TIME_FIELD, 1, 7, FIRST_REPLICA_SET_FIELD, 1, 1)
     raw = encode(Report(1, 0, 0, 0, (0, 1, 5)))
     longer = b"\x98" + bytes(raw)[1:] + b"\xa3new"
     assert bytes(raw)[0] == 0x97
--- a/tests/fleet/ledger/test_worlds.py
+++ b/tests/fleet/load_reports/test_worlds.py
@@ -9,21 +9,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepath.fleet.ledger import (
-    CellCount,
+from quincepath.fleet.load_reports import (
     Count,
     Counts,
-    Heard,
-    Ledger,
-    LedgerSettings,
-    Living,
-    Own,
+    DatagramReceived,
+    LiveMembers,
+    LoadCounter,
+    LoadReporter,
+    LoadReportSettings,
+    OwnCounts,
     Packet,
-    Tally,
+    ReplicaSetCount,
     Totals,
 )  # fmt: skip
-from quincepath.fleet.ledger.facts import MS, SECOND
-from quincepath.fleet.ledger.tree import Tree
+from quincepath.fleet.load_reports.tree import AggregationTree
+from quincepath.fleet.load_reports.types import MS, SECOND
 from quincepath.lab.fleet.ledger_world import LedgerWorld, Network
 
 RATE = 100.0  # queries a second of each broker
@@ -66,7 +66,7 @@
 
 def summers(world: LedgerWorld, level: int, place: int) -> tuple[str, ...]:
     boots = {name: process.boot for name, process in world.of.items()}
-    return Tree(world.names[0], boots, len(world.names), world.settings).lanes(level, place)
+    return AggregationTree(world.names[0], boots, len(world.names), world.settings).aggregators(level, place)
 
 
 # --- hard cases ---
@@ -82,7 +82,7 @@
         truth = one.truth(names=names)
         for name in names:
             totals = one.of[name].totals
-            assert totals is not None and totals.of == totals.heard == len(names)
+            assert totals is not None and totals.live == totals.reporting == len(names)
             assert abs(totals.count(Count.TAKEN) / truth - 1) < 0.02
     one.cut([])
     watch(one, 45 * SECOND)
@@ -119,8 +119,10 @@
 
 def thousandfold(counts: Counts) -> Counts:
     counts.by_class = [[1000 * value for value in row] for row in counts.by_class]
-    counts.spends = [1000 * value for value in counts.spends]
-    counts.cells = {n: CellCount(1000 * c.demand, 1000 * c.refused) for n, c in counts.cells.items()}
+    counts.sends = [1000 * value for value in counts.sends]
+    counts.replica_sets = {
+        n: ReplicaSetCount(1000 * c.demand, 1000 * c.refused) for n, c in counts.replica_sets.items()
+    }
     return counts
 
 
@@ -130,7 +132,7 @@
 
 
 def frozen(counts: Counts) -> Counts:
-    return replace(counts, by_class=[[1 << 52] * 8] * 32, spends=[1 << 60] * 4)
+    return replace(counts, by_class=[[1 << 52] * 8] * 32, sends=[1 << 60] * 4)
 
 
 @pytest.mark.parametrize(
@@ -154,10 +156,10 @@
             if one.now > 9 * SECOND:
                 assert totals is not None
                 assert 0.97 * true <= totals.count(Count.TAKEN) <= 1.03 * true + rate * 5
-                assert totals.spends[0] <= 8 * (1.03 * true + rate * 5)
+                assert totals.sends[0] <= 8 * (1.03 * true + rate * 5)
     assert sum(process.ledger.causes[cause] for process in one.processes) > 0
     if bend is backwards:
-        assert max(totals.heard for p in one.processes if (totals := p.totals)) == members - 1
+        assert max(totals.reporting for p in one.processes if (totals := p.totals)) == members - 1
 
 
 def test_one_of_those_who_sum_up_for_all_dies_and_nothing_is_lost() -> None:
@@ -199,8 +201,8 @@
 
 @pytest.mark.parametrize("network", [Network(), WORST], ids=["sound", "worst"])
 def test_three_levels_of_groups(network: Network) -> None:
-    one = LedgerWorld(40, 1, steady, network, LedgerSettings(group=4))
-    assert Tree("b000", one.names, 40, one.settings).top == 2
+    one = LedgerWorld(40, 1, steady, network, LoadReportSettings(group_size=4))
+    assert AggregationTree("b000", one.names, 40, one.settings).top_level == 2
     one.run(14 * SECOND)
     found, truth = one.taken(), one.truth()
     assert (
@@ -215,11 +217,18 @@
 
 @pytest.mark.parametrize(
     "wrong",
-    [{"group": 1}, {"summers": 0}, {"period": 0}, {"window": MS}, {"share_most": 0.0}, {"free_rate": 1e9}],
+    [
+        {"group_size": 1},
+        {"aggregators": 0},
+        {"period": 0},
+        {"window": MS},
+        {"share_most": 0.0},
+        {"free_rate": 1e9},
+    ],
 )
 def test_settings_out_of_range_are_named(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match=rf"ledger\.{next(iter(wrong))}: .*; expected"):
-        LedgerSettings(**wrong)  # type: ignore[arg-type]
+        LoadReportSettings(**wrong)  # type: ignore[arg-type]
 
 
 def test_seven_in_ten_killed() -> None:
@@ -271,10 +280,10 @@
     near = pytest.approx
     assert totals.count(Count.TAKEN) == near(truth, rel=0.02)
     assert totals.count(Count.LATE) == near(truth / 10, rel=0.05)
-    assert list(totals.spends[:2]) == near([8 * truth, truth / 5], rel=0.02)
+    assert list(totals.sends[:2]) == near([8 * truth, truth / 5], rel=0.02)
     assert sum(totals.arrivals) == near(truth, rel=0.02) and min(totals.arrivals) > 0
-    assert sum(cell.demand for cell in totals.cells.values()) == near(8 * truth, rel=0.02)
-    assert len(totals.cells) == 40 and totals.line == 0.25
+    assert sum(cell.demand for cell in totals.replica_sets.values()) == near(8 * truth, rel=0.02)
+    assert len(totals.replica_sets) == 40 and totals.threshold == 0.25
     slots = sum(one.slot_time for one in totals.tenants.values()) + totals.rest.slot_time
     assert slots == near(truth / 4 * 40 * MS, rel=0.05)
     assert totals.rest.slot_time < 0.02 * slots  # three tenants use all
@@ -296,7 +305,7 @@
     members: int, loss: float, doubled: float, late: float, seed: int, restart: int
 ) -> None:
     """A window over all: then the totals are counts, and have to be equal to the last query."""
-    long = LedgerSettings(window=500 * SECOND, forget=500 * SECOND)
+    long = LoadReportSettings(window=500 * SECOND, forget=500 * SECOND)
     network = Network(loss, doubled, late)
     one = LedgerWorld(members, seed, lambda name, now: 40.0 if now < 8 * SECOND else 0.0, network, long)
     lost = 0.0
@@ -318,7 +327,7 @@
 
 # --- explored ---
 
-LONG = LedgerSettings(window=1000 * SECOND, forget=1000 * SECOND)
+LONG = LoadReportSettings(window=1000 * SECOND, forget=1000 * SECOND)
 
 
 class Small:
@@ -328,8 +337,8 @@
         self.now = 0
         self.boots = {"a": 1, "b": 2, "c": 3}
         self.flying: list[Packet] = []
-        self.ledgers: dict[str, Ledger] = {}
-        self.tallies: dict[str, Tally] = {}
+        self.ledgers: dict[str, LoadReporter] = {}
+        self.tallies: dict[str, LoadCounter] = {}
         self.totals: dict[str, Totals] = {}
         self.truth = 0
         self.crashed = 0
@@ -338,12 +347,12 @@
         self.pass_time(take=True)
 
     def _begin(self, name: str) -> None:
-        self.ledgers[name] = Ledger("f", name, self.boots[name], LONG, 1, self.now)
-        self.tallies[name] = Tally(self.now)
+        self.ledgers[name] = LoadReporter("f", name, self.boots[name], LONG, 1, self.now)
+        self.tallies[name] = LoadCounter(self.now)
         for one in self.ledgers:
-            self._step(one, [Living(dict(self.boots), 3)])
+            self._step(one, [LiveMembers(dict(self.boots), 3)])
 
-    def _step(self, name: str, inputs: list[Own | Heard | Living]) -> None:
+    def _step(self, name: str, inputs: list[OwnCounts | DatagramReceived | LiveMembers]) -> None:
         for out in self.ledgers[name].step(self.now, inputs):
             if isinstance(out, Packet):
                 self.flying.append(out)
@@ -355,16 +364,16 @@
         self.now += 500 * MS
         for place, (name, tally) in enumerate(self.tallies.items()):
             for _ in range((place + 1) * 3 if take else 0):
-                tally.arrived(0, 0.5)
+                tally.count_arrival(0, 0.5)
                 self.truth += 1
-            self._step(name, [Own(tally.counts(self.now))])
+            self._step(name, [OwnCounts(tally.snapshot(self.now))])
 
     def arrive(self, place: int, keep: bool = False) -> None:
         packet = self.flying[place] if keep else self.flying.pop(place)
-        self._step(packet.to, [Heard(packet.data)])
+        self._step(packet.to, [DatagramReceived(packet.data)])
 
     def crash(self, name: str) -> None:
-        self.crashed += sum(row[Count.TAKEN] for row in self.tallies[name].counts(0).by_class)
+        self.crashed += sum(row[Count.TAKEN] for row in self.tallies[name].snapshot(0).by_class)
         self.boots[name] += 10
         self.totals.pop(name, None)
         self._begin(name)
@@ -435,11 +444,13 @@
 
 
 def test_the_explorer_finds_a_planted_bug(monkeypatch: pytest.MonkeyPatch) -> None:
-    from quincepath.fleet.ledger import core
-    from tests.fleet.ledger.test_kept import mutant
+    from quincepath.fleet.load_reports import reporter
+    from tests.fleet.load_reports.test_member_counts import mutant
 
-    broken = mutant("kept_summed", ("if value > (last or 0):", "last = 0\n            if value > 0:"))
-    monkeypatch.setattr(core, "Kept", broken.Kept)
+    broken = mutant(
+        "member_counts_summed", ("if value > (previous or 0):", "previous = 0\n            if value > 0:")
+    )
+    monkeypatch.setattr(reporter, "MemberCounts", broken.MemberCounts)
     assert explore(1)[1]
 
 
@@ -448,13 +459,13 @@
 
 def test_groups_and_summers_stay_when_members_die() -> None:
     names = [f"b{place:03}" for place in range(200)]
-    whole = Tree("b000", names, 200, LedgerSettings())
-    assert whole.groups == 16 and whole.top == 1
+    whole = AggregationTree("b000", names, 200, LoadReportSettings())
+    assert whole.groups == 16 and whole.top_level == 1
     moved = 0
     for gone in names[1:]:
-        less = Tree("b000", [name for name in names if name != gone], 200, LedgerSettings())
+        less = AggregationTree("b000", [name for name in names if name != gone], 200, LoadReportSettings())
         for level, place in itertools.chain([(1, 0)], ((0, group) for group in range(16))):
-            before, after = whole.lanes(level, place), less.lanes(level, place)
+            before, after = whole.aggregators(level, place), less.aggregators(level, place)
             changed = sum(x != y for x, y in zip(before, after, strict=True))
             assert changed <= (2 if gone in before else 0)
             moved += changed
@@ -465,6 +476,6 @@
     ("known", "groups", "top"), [(1, 1, 0), (16, 1, 0), (17, 2, 1), (256, 16, 1), (500, 32, 2)]
 )
 def test_groups_follow_from_the_configured_members(known: int, groups: int, top: int) -> None:
-    tree = Tree("a", ["a", "b"], known, LedgerSettings())
-    assert (tree.groups, tree.top) == (groups, top)
-    assert tree.place("b", top) == 0
+    tree = AggregationTree("a", ["a", "b"], known, LoadReportSettings())
+    assert (tree.groups, tree.top_level) == (groups, top)
+    assert tree.group_index("b", top) == 0
--- a/tests/fleet/overload/test_world.py
+++ b/tests/fleet/overload/test_world.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from quincepath.fleet.overload import Arrival, Overload, core, order
+from quincepath.fleet.overload import Arrival, OverloadControl, core, ordering
 from quincepath.lab.overload_world import Plan, Way, World, figures, scenes
 from quincepath.lab.overload_world.figures import Record
 from quincepath.lab.overload_world.plan import SECOND
@@ -85,10 +85,10 @@
 def test_a_hash_drawn_by_broker_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     from tests.fleet.overload.test_core import test_all_brokers_place_a_query_alike as check
 
-    def own(self: Overload, now: int, arrival: Arrival) -> float:
-        return order.place(arrival.worth, 0.0, arrival.tenant, arrival.client, id(self))
+    def own(self: OverloadControl, now: int, arrival: Arrival) -> float:
+        return ordering.priority(arrival.worth, 0.0, arrival.tenant, arrival.client, id(self))
 
-    monkeypatch.setattr(Overload, "place", own)
+    monkeypatch.setattr(OverloadControl, "priority", own)
     with pytest.raises(AssertionError):
         check()
 
@@ -96,6 +96,6 @@
 def test_a_line_moved_by_unheard_coverage_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     from tests.fleet.overload.test_core import test_coverage_that_is_not_heard_moves_no_line as check
 
-    monkeypatch.setattr(core, "trust", lambda now, totals, settings: 1.0 if totals else 0.0)
+    monkeypatch.setattr(core, "confidence", lambda now, totals, settings: 1.0 if totals else 0.0)
     with pytest.raises(AssertionError):
         check()
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_load_control.py
@@ -63,7 +63,7 @@
     def living(self, number: int) -> dict[str, int]:
         fleet = self.brokers[number].fleet
         assert fleet is not None and fleet.shared is not None
-        return fleet.shared._boots
+        return fleet.shared._live_boots
 
     def ask(self, number: int, kind: str = "hours-report") -> None:
         self.asked += 1
@@ -119,8 +119,10 @@
 def test_a_query_that_is_shed_reaches_no_holder_and_is_told_when_to_come_back(fleet: Fleet) -> None:
     fleet.until(fleet.all_known)
     shared = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
-    assert shared is not None and shared.sharing.overload is not None
-    shared.sharing.overload._fleet.value = shared.sharing.overload._own.value = 1.0  # all is below the line
+    assert shared is not None and shared.control.overload is not None
+    shared.control.overload._fleet_threshold.value = shared.control.overload._local_threshold.value = (
+        1.0  # all is below the line
+    )
     fleet.ask(0)
     fleet.until(lambda: len(fleet.ends) == 1)
     end = fleet.ends[0]
@@ -128,7 +130,7 @@
     assert float(end.response.headers["retry-after"]) > 0 and b"the fleet is overloaded" in end.response.body
     assert sum(fleet.metric(0, "quincepath_overload_shed_total", why=w) for w in ("fleet", "share")) == 1
     assert sum(leaf.requests for leaf in fleet.world.leaves.values()) == 0
-    shared.sharing.overload._fleet.value = shared.sharing.overload._own.value = 0.0
+    shared.control.overload._fleet_threshold.value = shared.control.overload._local_threshold.value = 0.0
     fleet.ask(0)
     fleet.until(lambda: len(fleet.ends) == 2)
     assert fleet.ends[1].status == 200
@@ -138,15 +140,15 @@
 def test_queries_of_one_address_are_spread_over_the_order_and_one_stays_where_it_is(fleet: Fleet) -> None:
     fleet.until(fleet.all_known)
     shared = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
-    assert shared is not None and shared.sharing.overload is not None
+    assert shared is not None and shared.control.overload is not None
     places: list[float] = []
-    arrive = shared.sharing.arrive
+    arrive = shared.control.on_arrival
 
     def noted(now: int, arrival: Any) -> Any:
-        places.append(shared.sharing.overload.place(now, arrival))  # type: ignore[union-attr]
+        places.append(shared.control.overload.priority(now, arrival))  # type: ignore[union-attr]
         return arrive(now, arrival)
 
-    shared.sharing.arrive = noted  # type: ignore[method-assign]
+    shared.control.on_arrival = noted  # type: ignore[method-assign]
     plans = [fleet.world.plan("hours-report", end=BEGIN_MS + 600_000 + n) for n in range(40)]
     for number, plan in enumerate([*plans, *plans]):
         fleet.clients[0].ask(f"p{number}", plan, fleet.ends.append)
@@ -176,7 +178,7 @@
     found.until(lambda: len(found.ends) == 3)
     shared = found.brokers[0].fleet.shared  # type: ignore[union-attr]
     assert shared is not None
-    row = shared.sharing.tally.counts(found.loop.now).by_class[0]
-    kinds = [sum(r) for r in zip(*shared.sharing.tally.counts(found.loop.now).by_class, strict=True)]
+    row = shared.control.counter.snapshot(found.loop.now).by_class[0]
+    kinds = [sum(r) for r in zip(*shared.control.counter.snapshot(found.loop.now).by_class, strict=True)]
     assert kinds[0] == 3 == sum(kinds[1:]), row
     found.close()
--- a/tests/test_fleet_drains.py
+++ b/tests/test_fleet_drains.py
@@ -12,7 +12,7 @@
 
 from quincepath.config.load import ConfigError, parse
 from quincepath.config.schema import Config
-from quincepath.fleet.drains import FRESH, Progress
+from quincepath.fleet.drains import REPORT_LIFETIME_NS, DrainProgress
 from quincepath.fleet.permits import Permit
 from quincepath.lab.demo import demo_config, make_cluster
 from quincepath.lab.process import Child
@@ -171,17 +171,17 @@
 
 
 def test_a_drain_waits_for_every_broker_that_may_still_send() -> None:
-    progress, permit = Progress(), Permit("a0", "drain", "ann", 0, 0, index=5)
+    progress, permit = DrainProgress(), Permit("a0", "drain", "ann", 0, 0, index=5)
     brokers = ["m0", "m1", "m2", "m3", "m4"]
-    progress.hear("m0", SECOND, 5, {})
-    progress.hear("m1", SECOND, 4, {})
-    progress.hear("m2", SECOND, 6, {"a0": 2})
+    progress.apply_report("m0", SECOND, 5, {})
+    progress.apply_report("m1", SECOND, 4, {})
+    progress.apply_report("m2", SECOND, 6, {"a0": 2})
     waits = progress.waits_for(permit, brokers, {"m4"}, 2 * SECOND)
     assert waits == {"m1": "has not applied it", "m2": "has 2 out there", "m3": "has not reported"}
-    assert progress.waits_for(permit, ["m0"], set(), SECOND + FRESH + 1) == {
+    assert progress.waits_for(permit, ["m0"], set(), SECOND + REPORT_LIFETIME_NS + 1) == {
         "m0": "reports no more, and may still send"
     }
-    progress.hear("m2", SECOND, 3, {})  # an older one, by another connection
+    progress.apply_report("m2", SECOND, 3, {})  # an older one, by another connection
     assert progress.reports["m2"][1] == 6
 
 
--- a/tests/test_fleet_permits.py
+++ b/tests/test_fleet_permits.py
@@ -9,8 +9,8 @@
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.budget import Limit, Limits, Reason, Refusal, Unit, checks, refusals
 from quincepath.fleet.permits import (
-    HISTORY_MOST,
-    IDS_MOST,
+    MAX_HISTORY,
+    MAX_RESULTS,
     Back,
     Begun,
     Close,
@@ -83,7 +83,7 @@
 def test_shares_are_rounded_down_and_the_smaller_limit_counts(
     limit: Limit, configured: int, most: int
 ) -> None:
-    assert limit.most(configured) == most
+    assert limit.maximum(configured) == most
 
 
 def test_the_last_ready_holders_of_a_set_stay_and_the_refusal_names_who_is_out() -> None:
@@ -162,9 +162,9 @@
 
 def test_history_and_remembered_ids_are_bounded() -> None:
     log = Log()
-    for number in range(IDS_MOST + 100):
+    for number in range(MAX_RESULTS + 100):
         log.put(Halt(f"x{number}", "ann", 1, "again"))
-    assert len(log.permits.state.history) == HISTORY_MOST and len(log.permits.state.results) == IDS_MOST
+    assert len(log.permits.state.history) == MAX_HISTORY and len(log.permits.state.results) == MAX_RESULTS
 
 
 def test_a_snapshot_holds_all_and_another_schema_is_refused() -> None:
--- a/tests/test_rings.py
+++ b/tests/test_rings.py
@@ -22,7 +22,7 @@
 EDGE = set(CONTRACTS["edge"]["protected_modules"])
 PLANTED = [  # contract, file, the bad line
     ("pure", "asks/intake.py", "import time"),
-    ("pure", "fleet/ledger/sums.py", "from os import path"),  # a room and a file that nobody has listed
+    ("pure", "fleet/load_reports/sums.py", "from os import path"),  # a room and a file that nobody has listed
     ("edge", "broker/dispatcher.py", "from quincepath.net import loop"),
     ("edge", "limits/fair/tags.py", "from quincepath.observe.logs import *"),
     ("rooms", "shards/versions.py", "from quincepath.net.loop import Loop"),
