--- a/benchmarks/capacity/scale/configuration.py
+++ b/benchmarks/capacity/scale/configuration.py
@@ -25,12 +25,12 @@
         """From now on; nothing has been sent before, since a subscriber begins after a random pause."""
         self.distribution, self._loop = distribution, loop
         self._in_force = in_force
-        self._tell = distribution.ports.tell
+        self._tell = distribution.ports.send
         self._feed = distribution.feed
         self.messages = self.bytes = 0  # sent
         self.revision = 0
-        distribution.ports = replace(distribution.ports, tell=self._counted)
-        distribution.put_in_force = self._applied
+        distribution.ports = replace(distribution.ports, send=self._counted)
+        distribution.on_apply = self._applied
         distribution.feed = self._charged_feed  # type: ignore[method-assign]
 
     @property
--- a/benchmarks/fleet_configuration.py
+++ b/benchmarks/fleet_configuration.py
@@ -24,14 +24,14 @@
 import click
 
 from benchmarks.bad_day import RESULTS, machine
-from quincepath.fleet.configuration.applying import Applier
+from quincepath.fleet.configuration.applier import Applier
 from quincepath.fleet.configuration.changes import Delta, Edit
-from quincepath.fleet.configuration.choice import RelayPlace
 from quincepath.fleet.configuration.messages import Heartbeat, Subscribe, encode_body, pack
 from quincepath.fleet.configuration.ports import Committed, Loaded, Received
-from quincepath.fleet.configuration.relay import Relay, RelayMembership
+from quincepath.fleet.configuration.relay import Relay, RelayIdentity
+from quincepath.fleet.configuration.relay_preference import RelayLocation
 from quincepath.fleet.configuration.snapshots import Image, make_image
-from quincepath.fleet.configuration.subscriber import Membership, Subscriber
+from quincepath.fleet.configuration.subscriber import Subscriber, SubscriberIdentity
 from quincepath.lab.fleet.configuration_world import Network, baselines, cases
 from quincepath.lab.fleet.configuration_world.scenery import node_name, node_value
 
@@ -98,7 +98,7 @@
 
 def _full_relay(values: dict[str, bytes]) -> Relay:
     """A relay with 12,000 nodes, 4,096 deltas and 1,000 subscribers."""
-    relay = Relay(RelayMembership("lab", "relay", 1), 0)
+    relay = Relay(RelayIdentity("lab", "relay", 1), 0)
     copied = {bytes(name, "utf8").decode(): bytes(bytearray(value)) for name, value in values.items()}
     relay.step(0, [Loaded(1, copied)])
     for revision in range(2, 4098):
@@ -113,8 +113,8 @@
 
 def _heartbeat_us() -> float:
     """Processor time of a broker for one heartbeat of its relay, mean with an acknowledgement each three."""
-    me = Membership("lab", "broker", "east", 1)
-    subscriber = Subscriber(me, [RelayPlace("relay", "east")], 1, 0)
+    me = SubscriberIdentity("lab", "broker", "east", 1)
+    subscriber = Subscriber(me, [RelayLocation("relay", "east")], 1, 0)
     beat = Received("relay", pack("lab", "relay", 1, "broker", encode_body(Heartbeat(0, 100))))
     subscriber.step(1_000_000_000, [])
     count = 5000
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -50,7 +50,7 @@
         self.fleet.zone_name = lambda position: holders.source.zone_name(position)
         self.fleet.facts = lambda: list(holders.source.state.facts.values())
         if self.fleet.distribution is not None:
-            self.fleet.distribution.put_in_force = lambda edits: put_in_force(edits, holders, room)
+            self.fleet.distribution.on_apply = lambda edits: put_in_force(edits, holders, room)
 
     def request(self, exchange: Exchange) -> bool:
         return self.fleet.request(exchange)
--- a/quincepath/fleet/agreed.py
+++ b/quincepath/fleet/agreed.py
@@ -31,7 +31,7 @@
 from quincepath.fleet.agreement.messages import Answer, Followed, Message, Request, Whole
 from quincepath.fleet.agreement.post import Body, Report, Sampled, pack, unpack
 from quincepath.fleet.agreement.storing import Storage, StoreError
-from quincepath.fleet.configuration.commands import ChangeConfiguration, refusal_before
+from quincepath.fleet.configuration.commands import ChangeConfiguration, proposal_refusal
 from quincepath.fleet.drains import Progress
 from quincepath.fleet.messages import Rejected
 from quincepath.fleet.permits import Command, Permits, encode
@@ -327,7 +327,7 @@
             filled, why = self.maps.judge(command, self.loop.clock(), self.loop.system.wall_ms())
             return encode(filled), f"{FINAL}{why}"[:200] if why else ""
         if isinstance(command, ChangeConfiguration):
-            why = refusal_before(self.machine.configuration, command) or self.refuses_change(command)
+            why = proposal_refusal(self.machine.configuration, command) or self.refuses_change(command)
             return data, f"{FINAL}{why}"[:200] if why else ""
         command, why = self.hooks.judge(command)
         return encode(command), f"{FINAL}{why}"[:200] if why else ""
--- a/quincepath/fleet/configuration/applying.py
+++ b/quincepath/fleet/configuration/applier.py
@@ -15,13 +15,13 @@
     ResourceTable,
     Rules,
     apply_edits,
-    difference,
-    merged,
+    diff_values,
+    merge_deltas,
 )
 
-HELD_DELTAS_MOST = 1024
-HELD_BYTES_MOST = 2 << 20
-TRIED_PREFIXES_MOST = 8  # of the held deltas, the longest first
+MAX_HELD_DELTAS = 1024
+MAX_HELD_BYTES = 2 << 20
+MAX_TRIED_PREFIXES = 8  # of the held deltas, the longest first
 
 Check = Callable[[Sequence[Edit]], Sequence[Fault]]
 
@@ -43,7 +43,7 @@
     reason: str
 
 
-def nothing_more(edits: Sequence[Edit]) -> Sequence[Fault]:
+def accept_all(edits: Sequence[Edit]) -> Sequence[Fault]:
     """The default: the schema and the rules are all that counts."""
     return ()
 
@@ -59,7 +59,7 @@
 class Applier:
     """The resources in force at ``revision``, what is held after it, and the revision that was refused."""
 
-    def __init__(self, rules: Rules = NO_RULES, check: Check = nothing_more) -> None:
+    def __init__(self, rules: Rules = NO_RULES, check: Check = accept_all) -> None:
         """``check``: what the broker has against edits beyond their schema; asked before they are applied."""
         self.table = ResourceTable()
         self.rules, self.check = rules, check
@@ -88,7 +88,7 @@
             if delta.revision != self.received + 1:
                 return False
             size = encoded_size(delta)
-            if len(self._held) >= HELD_DELTAS_MOST or self._held_bytes + size > HELD_BYTES_MOST:
+            if len(self._held) >= MAX_HELD_DELTAS or self._held_bytes + size > MAX_HELD_BYTES:
                 self._start_over()
                 return False
             self._held.append(delta)
@@ -109,35 +109,35 @@
         if not self._held:
             return None
         for count in self._counts():
-            edits = merged(self._held[:count])
+            edits = merge_deltas(self._held[:count])
             conflicts = self.table.conflicts(edits)
             if conflicts:
                 self._diverged(conflicts[0])
                 return None
             if not self._faults(edits):
-                return self._take(self._held[count - 1].revision, edits)
-        self._refuse(self._held[0].revision, self._faults(merged(self._held[:1])))
+                return self._advance_to(self._held[count - 1].revision, edits)
+        self._refuse(self._held[0].revision, self._faults(merge_deltas(self._held[:1])))
         return None
 
     def _apply_from_base(self, base: _Base) -> Applied | None:
         """The snapshot that is held and all deltas after it, as one."""
         values = dict(base.values)
-        for edit in merged(self._held):
+        for edit in merge_deltas(self._held):
             if values.get(edit.name) != edit.old:
                 self._diverged(Fault(edit.name, "another value", "the old value of the delta", edit.name))
                 return None
             apply_edits(values, (edit,))
-        edits = difference(self.table.values, values)
+        edits = diff_values(self.table.values, values)
         faults = self._faults(edits)
         if not faults:
-            return self._take(self.received, edits)
+            return self._advance_to(self.received, edits)
         self._refuse(base.revision, faults)
         return None
 
     def _counts(self) -> list[int]:
         """How many of the held deltas are tried at once: all, a few fewer, one."""
         most = len(self._held)
-        found = list(range(most, max(most - TRIED_PREFIXES_MOST, 0), -1))
+        found = list(range(most, max(most - MAX_TRIED_PREFIXES, 0), -1))
         return found if 1 in found else [*found, 1]
 
     def _faults(self, edits: Sequence[Edit]) -> Sequence[Fault]:
@@ -151,7 +151,7 @@
         fault = faults[0]
         self.refused = RefusedRevision(revision, fault.resource or fault.place, str(fault))
 
-    def _take(self, revision: int, edits: tuple[Edit, ...]) -> Applied:
+    def _advance_to(self, revision: int, edits: tuple[Edit, ...]) -> Applied:
         assert revision > self.revision, "a revision never goes back"
         self.table.apply(edits)
         self._base = None
@@ -160,7 +160,7 @@
         self.revision = revision
         self.refused = None
         if self._held:
-            self._refuse(self._held[0].revision, self._faults(merged(self._held[:1])) or _LATER)
+            self._refuse(self._held[0].revision, self._faults(merge_deltas(self._held[:1])) or _LATER)
         return Applied(revision, edits)
 
     # --- snapshots ---
--- a/quincepath/fleet/configuration/orders.py
+++ b/quincepath/fleet/configuration/change_requests.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from quincepath.fleet.configuration.changes import (
-    EDITS_MOST,
+    MAX_EDITS,
     Author,
     Change,
     ChangeError,
@@ -22,20 +22,20 @@
     Revision,
 )
 from quincepath.fleet.configuration.history import Answer, History
-from quincepath.fleet.configuration.resources import encode_resource, shown
+from quincepath.fleet.configuration.resources import encode_resource, format_value
 
 
-class ProposeOrder(msgspec.Struct, forbid_unknown_fields=True):
+class ProposeRequest(msgspec.Struct, forbid_unknown_fields=True):
     """``revision``: the one that the author looked at. ``set``: new values; ``remove``: names."""
 
     id: ChangeId
     by: Author
     revision: Revision
-    set: Annotated[dict[ResourceName, dict[str, Any]], Meta(max_length=EDITS_MOST)] = {}
-    remove: Annotated[list[ResourceName], Meta(max_length=EDITS_MOST)] = []
+    set: Annotated[dict[ResourceName, dict[str, Any]], Meta(max_length=MAX_EDITS)] = {}
+    remove: Annotated[list[ResourceName], Meta(max_length=MAX_EDITS)] = []
 
 
-class RollbackOrder(msgspec.Struct, forbid_unknown_fields=True):
+class RollbackRequest(msgspec.Struct, forbid_unknown_fields=True):
     """``revision``: whose old values come back."""
 
     id: ChangeId
@@ -43,24 +43,24 @@
     revision: Annotated[int, Meta(ge=1)]
 
 
-Form = TypeVar("Form", ProposeOrder, RollbackOrder)
+Form = TypeVar("Form", ProposeRequest, RollbackRequest)
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class DuplicateRequest:
     """The order's id was used before, for the same change; this became of it."""
 
     answer: Answer
 
 
-def read_propose(body: bytes) -> ProposeOrder:
+def parse_propose(body: bytes) -> ProposeRequest:
     """From JSON. Raises ``ChangeError``."""
-    return _read(body, ProposeOrder)
+    return _read(body, ProposeRequest)
 
 
-def read_rollback(body: bytes) -> RollbackOrder:
+def parse_rollback(body: bytes) -> RollbackRequest:
     """From JSON. Raises ``ChangeError``."""
-    return _read(body, RollbackOrder)
+    return _read(body, RollbackRequest)
 
 
 def _read(body: bytes, form: type[Form]) -> Form:
@@ -73,12 +73,12 @@
         ) from None
 
 
-def propose_change(order: ProposeOrder, history: History, now_ms: int) -> Change | Known:
+def propose_change(order: ProposeRequest, history: History, now_ms: int) -> Change | DuplicateRequest:
     """The change that an order comes to now. Raises ``ChangeError`` for what no leader need be asked."""
     wanted = _wanted(order)
     known = history.answers.get(order.id)
     if known is not None and _same(known, wanted, history):
-        return Known(known)
+        return DuplicateRequest(known)
     faults = [] if known is not None else _seen_faults(order, wanted, history)
     if faults:
         raise ChangeError(faults)
@@ -87,12 +87,12 @@
     return Change(order.id, order.by, now_ms, edits)
 
 
-def rollback_change(order: RollbackOrder, now_ms: int) -> Change:
+def rollback_change(order: RollbackRequest, now_ms: int) -> Change:
     """Of a rollback; what it comes to is worked out when it is committed."""
     return Change(order.id, order.by, now_ms, (), order.revision)
 
 
-def _wanted(order: ProposeOrder) -> dict[str, bytes | None]:
+def _wanted(order: ProposeRequest) -> dict[str, bytes | None]:
     both = sorted(order.set.keys() & set(order.remove))
     if both:
         raise ChangeError([Fault(both[0], "set and removed", "one of them", both[0])])
@@ -113,7 +113,7 @@
     return delta is None or {edit.name: edit.new for edit in delta.edits} == wanted
 
 
-def _seen_faults(order: ProposeOrder, wanted: dict[str, bytes | None], history: History) -> list[Fault]:
+def _seen_faults(order: ProposeRequest, wanted: dict[str, bytes | None], history: History) -> list[Fault]:
     """Resources that a later revision touched than the one that the author looked at."""
     if not history.log.floor <= order.revision <= history.revision:
         held = f"{history.log.floor} to {history.revision}; look at the newest with show"
@@ -122,7 +122,7 @@
     for name in wanted:
         later = history.log.touched_after(order.revision, name)
         if later:
-            now = shown(history.table.values.get(name))
+            now = format_value(history.table.values.get(name))
             expected = f"untouched since revision {order.revision}; revision {later} made it {now}"
             found.append(Fault(name, f"changed after revision {order.revision}", expected, name))
     return found
--- a/quincepath/fleet/configuration/changes.py
+++ b/quincepath/fleet/configuration/changes.py
@@ -16,14 +16,14 @@
 
 from quincepath.fleet.messages import Counter, Millis
 
-VALUE_BYTES_MOST = 4096  # of one resource
-NAME_CHARACTERS_MOST = 220
-EDITS_MOST = 512  # of one change
-CHANGE_BYTES_MOST = 96 * 1024  # of one change, encoded: it must fit a command of the log
-SHOWN_MOST = 80  # characters of a wrong value that a fault shows
-
-ResourceName = Annotated[str, Meta(pattern=r"^[a-z]{1,20}/[^\x00-\x1f]+$", max_length=NAME_CHARACTERS_MOST)]
-Value = Annotated[bytes, Meta(max_length=VALUE_BYTES_MOST)]
+MAX_VALUE_BYTES = 4096  # of one resource
+MAX_NAME_CHARACTERS = 220
+MAX_EDITS = 512  # of one change
+MAX_CHANGE_BYTES = 96 * 1024  # of one change, encoded: it must fit a command of the log
+MAX_SHOWN_CHARACTERS = 80  # characters of a wrong value that a fault shows
+
+ResourceName = Annotated[str, Meta(pattern=r"^[a-z]{1,20}/[^\x00-\x1f]+$", max_length=MAX_NAME_CHARACTERS)]
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
 ChangeId = Annotated[str, Meta(min_length=1, max_length=64)]
 Author = Annotated[str, Meta(min_length=1, max_length=100)]
 Revision = Counter
@@ -37,7 +37,7 @@
     new: Value | None
 
 
-Edits = Annotated[tuple[Edit, ...], Meta(max_length=EDITS_MOST)]
+Edits = Annotated[tuple[Edit, ...], Meta(max_length=MAX_EDITS)]
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
@@ -72,7 +72,11 @@
 
     def __str__(self) -> str:
         """One line for people."""
-        shown = self.found if len(self.found) <= SHOWN_MOST else f"{self.found[: SHOWN_MOST - 3]}..."
+        shown = (
+            self.found
+            if len(self.found) <= MAX_SHOWN_CHARACTERS
+            else f"{self.found[: MAX_SHOWN_CHARACTERS - 3]}..."
+        )
         return f"{self.place}: {shown}; expected {self.expected}"
 
 
@@ -99,7 +103,7 @@
 
 def decode_change(data: bytes) -> Change:
     """From the log or from a command. Raises ``ChangeError`` with what is wrong."""
-    if len(data) > CHANGE_BYTES_MOST:
+    if len(data) > MAX_CHANGE_BYTES:
         raise ChangeError([_too_large(len(data))])
     try:
         change = _changes.decode(data)
@@ -117,8 +121,8 @@
         data = _encoder.encode(change)
         _changes.decode(data)  # the bounds of single fields, which a struct made in memory may break
     except (msgspec.MsgspecError, UnicodeError, OverflowError, TypeError) as error:
-        return [_unreadable(error, repr(change)[:SHOWN_MOST])]
-    found = [] if len(data) <= CHANGE_BYTES_MOST else [_too_large(len(data))]
+        return [_unreadable(error, repr(change)[:MAX_SHOWN_CHARACTERS])]
+    found = [] if len(data) <= MAX_CHANGE_BYTES else [_too_large(len(data))]
     if not change.edits and not change.rolls_back:
         found.append(Fault("edits", "none", "at least one, or a revision to roll back"))
     for name, count in Occurrences(edit.name for edit in change.edits).items():
@@ -145,7 +149,7 @@
 
 
 def _too_large(size: int) -> Fault:
-    return Fault("change", f"{size} bytes", f"at most {CHANGE_BYTES_MOST}; divide it")
+    return Fault("change", f"{size} bytes", f"at most {MAX_CHANGE_BYTES}; divide it")
 
 
 def encoded_size(delta: Delta) -> int:
--- a/quincepath/fleet/configuration/commands.py
+++ b/quincepath/fleet/configuration/commands.py
@@ -5,8 +5,8 @@
 import msgspec
 from msgspec import Meta
 
-from quincepath.fleet.configuration.changes import CHANGE_BYTES_MOST, ChangeError, decode_change
-from quincepath.fleet.configuration.history import History, summed_up
+from quincepath.fleet.configuration.changes import MAX_CHANGE_BYTES, ChangeError, decode_change
+from quincepath.fleet.configuration.history import History, summarise_faults
 from quincepath.fleet.configuration.ports import Committed, Loaded
 from quincepath.fleet.messages import Millis, Text
 
@@ -17,10 +17,10 @@
     id: Text
     by: Text
     at: Millis
-    change: Annotated[bytes, Meta(max_length=CHANGE_BYTES_MOST)]
+    change: Annotated[bytes, Meta(max_length=MAX_CHANGE_BYTES)]
 
 
-def refusal_before(history: History, command: ChangeConfiguration) -> str:
+def proposal_refusal(history: History, command: ChangeConfiguration) -> str:
     """Why the leader does not propose it; empty where it does. A repeat is proposed: its answer is known."""
     try:
         change = decode_change(command.change)
@@ -28,10 +28,10 @@
         return str(error)
     if change.id != command.id:
         return _other_id(command.id, change.id)
-    known = history.known(change)
+    known = history.recorded_answer(change)
     if known is not None:
         return known.reason
-    return summed_up(history.propose_faults(change))
+    return summarise_faults(history.proposal_faults(change))
 
 
 def apply_command(history: History, command: ChangeConfiguration) -> str:
@@ -49,7 +49,7 @@
     return f"id: {found!r} in the change; expected {named!r}, as the command says"
 
 
-def news_for_relay(history: History, newest: int, age: int = 0) -> Committed | Loaded:
+def relay_update(history: History, newest: int, age: int = 0) -> Committed | Loaded:
     """What a relay at revision ``newest`` is missing. ``age``: ns since this was known from the leader."""
     deltas = history.log.since(newest)
     if deltas is not None:
--- a/quincepath/fleet/configuration/delta_log.py
+++ b/quincepath/fleet/configuration/delta_log.py
@@ -5,8 +5,8 @@
 
 from quincepath.fleet.configuration.changes import Delta, encoded_size
 
-DELTAS_MOST = 4096  # about a day of changes
-DELTA_LOG_BYTES_MOST = 4 << 20
+MAX_DELTAS = 4096  # about a day of changes
+MAX_DELTA_LOG_BYTES = 4 << 20
 
 
 class DeltaLog:
@@ -34,14 +34,14 @@
         self._bytes_ever += size
         self.bytes += size
         self.newest = delta.revision
-        while len(self._deltas) > DELTAS_MOST or self.bytes > DELTA_LOG_BYTES_MOST:
+        while len(self._deltas) > MAX_DELTAS or self.bytes > MAX_DELTA_LOG_BYTES:
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
         self.floor = self._deltas[0][0].revision
         self.bytes -= self._deltas.popleft()[1]
 
-    def forget(self, revision: int) -> None:
+    def compact(self, revision: int) -> None:
         """Drop the deltas up to a revision, as if the log were full."""
         while self._deltas and self.floor < revision:
             self._drop_oldest()
@@ -51,7 +51,7 @@
         at = revision - self.floor - 1
         return self._deltas[at][0] if 0 <= at < len(self._deltas) else None
 
-    def since(self, revision: int, bytes_most: int = DELTA_LOG_BYTES_MOST) -> tuple[Delta, ...] | None:
+    def since(self, revision: int, bytes_most: int = MAX_DELTA_LOG_BYTES) -> tuple[Delta, ...] | None:
         """The deltas after a revision, at least one where there is one. None: they are compacted away."""
         if revision < self.floor:
             return None
--- a/quincepath/fleet/configuration/history.py
+++ b/quincepath/fleet/configuration/history.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from quincepath.fleet.configuration.changes import (
-    CHANGE_BYTES_MOST,
+    MAX_CHANGE_BYTES,
     Change,
     Delta,
     Edit,
@@ -20,12 +20,12 @@
     structure_faults,
 )
 from quincepath.fleet.configuration.delta_log import DeltaLog
-from quincepath.fleet.configuration.resources import shown
+from quincepath.fleet.configuration.resources import format_value
 from quincepath.fleet.configuration.table import ResourceTable
 
 SCHEMA = 1
-ANSWERS_MOST = 8000  # changes remembered by id, about two days, so that a repeat takes effect once
-REASON_CHARACTERS_MOST = 400
+MAX_ANSWERS = 8000  # changes remembered by id, about two days, so that a repeat takes effect once
+MAX_REASON_CHARACTERS = 400
 
 
 class Answer(msgspec.Struct, array_like=True, frozen=True):
@@ -65,7 +65,7 @@
         """The newest."""
         return self.log.newest
 
-    def propose_faults(self, change: Change) -> list[Fault]:
+    def proposal_faults(self, change: Change) -> list[Fault]:
         """What stands in the way of a change now; asked before it is proposed. Empty: nothing."""
         faults = structure_faults(change)
         if faults:
@@ -74,31 +74,31 @@
         if faults:
             return faults
         size = encoded_size(Delta(self.revision + 1, tuple(edits)))
-        if size > CHANGE_BYTES_MOST:
-            return [Fault("change", f"{size} bytes", f"at most {CHANGE_BYTES_MOST}; divide it")]
+        if size > MAX_CHANGE_BYTES:
+            return [Fault("change", f"{size} bytes", f"at most {MAX_CHANGE_BYTES}; divide it")]
         return self.table.conflicts(edits) or self.table.faults(edits)
 
     def apply(self, change: Change) -> Answer:
         """One committed change. The same id again has the same answer and no effect."""
-        known = self.known(change)
+        known = self.recorded_answer(change)
         if known is not None:
             return known
         digest = _digest(change)
-        faults = self.propose_faults(change)
+        faults = self.proposal_faults(change)
         if faults:
-            return self._answer(change, Answer(0, summed_up(faults), digest))
+            return self._answer(change, Answer(0, summarise_faults(faults), digest))
         edits, _ = self._edits(change)
         delta = Delta(self.revision + 1, tuple(edits))
         self.table.apply(edits)
         self.log.add(delta)
         return self._answer(change, Answer(delta.revision, "", digest))
 
-    def resolved(self, change: Change) -> Sequence[Edit]:
+    def resolve_edits(self, change: Change) -> Sequence[Edit]:
         """The edits that a change would make now, those of a rollback worked out; none for a fault."""
         edits, faults = self._edits(change)
         return () if faults else edits
 
-    def known(self, change: Change) -> Answer | None:
+    def recorded_answer(self, change: Change) -> Answer | None:
         """The answer to a change whose id was used before; None: it was not."""
         known = self.answers.get(change.id)
         digest = _digest(change)
@@ -109,7 +109,7 @@
 
     def _answer(self, change: Change, answer: Answer) -> Answer:
         self.answers[change.id] = answer
-        while len(self.answers) > ANSWERS_MOST:
+        while len(self.answers) > MAX_ANSWERS:
             del self.answers[next(iter(self.answers))]
         return answer
 
@@ -143,8 +143,8 @@
         """One resource with its value before a revision. ``named``: taken back whatever touched it later."""
         if named is not None:
             if named.new != edit.old:
-                expected = f"{shown(edit.old)}, the value before revision {revision}"
-                return None, Fault(edit.name, shown(named.new), expected, edit.name)
+                expected = f"{format_value(edit.old)}, the value before revision {revision}"
+                return None, Fault(edit.name, format_value(named.new), expected, edit.name)
             return (named if named.old != named.new else None), None
         later = self.log.touched_after(revision, edit.name)
         if later:
@@ -185,7 +185,7 @@
     return hashlib.blake2b(_encoder.encode(same), digest_size=8).digest()
 
 
-def summed_up(faults: Sequence[Fault]) -> str:
+def summarise_faults(faults: Sequence[Fault]) -> str:
     """Faults in one bounded line; empty: none."""
     more = f"; and {len(faults) - 3} more" if len(faults) > 3 else ""
-    return ("; ".join(map(str, faults[:3])) + more)[:REASON_CHARACTERS_MOST]
+    return ("; ".join(map(str, faults[:3])) + more)[:MAX_REASON_CHARACTERS]
--- a/quincepath/fleet/configuration/messages.py
+++ b/quincepath/fleet/configuration/messages.py
@@ -15,8 +15,8 @@
 from msgspec import Meta
 
 from quincepath.fleet.configuration.changes import (
-    CHANGE_BYTES_MOST,
-    NAME_CHARACTERS_MOST,
+    MAX_CHANGE_BYTES,
+    MAX_NAME_CHARACTERS,
     Delta,
     Revision,
 )
@@ -26,17 +26,17 @@
 VERSIONS = Versions(SCHEMA, 1)
 MARK = b"\xc1C"  # 0xc1 begins no msgpack value
 BATCH_BYTES = 64 * 1024  # of deltas in one message, but for a single larger one
-BATCH_DELTAS_MOST = 256
-FRAME_MOST = BATCH_BYTES + CHANGE_BYTES_MOST + 1024
+MAX_BATCH_DELTAS = 256
+MAX_FRAME_BYTES = BATCH_BYTES + MAX_CHANGE_BYTES + 1024
 PIECE_BYTES = 32 * 1024  # of a snapshot in one message
-SNAPSHOT_BYTES_MOST = 16 << 20  # of a snapshot, compressed
-LISTED_REVISIONS_MOST = 16  # in a summary
-LISTED_LAGGARDS_MOST = 32
-LISTED_REFUSALS_MOST = 16
+MAX_SNAPSHOT_BYTES = 16 << 20  # of a snapshot, compressed
+MAX_LISTED_REVISIONS = 16  # in a summary
+MAX_LISTED_LAGGARDS = 32
+MAX_LISTED_REFUSALS = 16
 
 AgeMs = Counter
-Offset = Annotated[int, Meta(ge=0, le=SNAPSHOT_BYTES_MOST)]
-Named = Annotated[str, Meta(max_length=NAME_CHARACTERS_MOST)]
+Offset = Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
+Named = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
 
 
 # --- from a subscriber ---
@@ -89,7 +89,7 @@
 
     from_revision: Revision
     newest: Revision
-    deltas: Annotated[tuple[Delta, ...], Meta(max_length=BATCH_DELTAS_MOST)]
+    deltas: Annotated[tuple[Delta, ...], Meta(max_length=MAX_BATCH_DELTAS)]
 
 
 class SnapshotPiece(msgspec.Struct, array_like=True, frozen=True, tag=12):
@@ -155,11 +155,11 @@
     newest: Revision
     age: AgeMs
     subscribers: Counter
-    counts: Annotated[tuple[RevisionCount, ...], Meta(max_length=LISTED_REVISIONS_MOST)]
+    counts: Annotated[tuple[RevisionCount, ...], Meta(max_length=MAX_LISTED_REVISIONS)]
     older: Counter  # subscribers at revisions that are not listed
-    laggards: Annotated[tuple[Laggard, ...], Meta(max_length=LISTED_LAGGARDS_MOST)]
+    laggards: Annotated[tuple[Laggard, ...], Meta(max_length=MAX_LISTED_LAGGARDS)]
     behind: Counter  # subscribers behind the newest, also those not listed
-    refusals: Annotated[tuple[Refusal, ...], Meta(max_length=LISTED_REFUSALS_MOST)]
+    refusals: Annotated[tuple[Refusal, ...], Meta(max_length=MAX_LISTED_REFUSALS)]
     refused: Counter  # subscribers that refuse a revision, also those not listed
     waiting: Counter = 0  # for a snapshot
 
@@ -204,7 +204,7 @@
     """
     if data[: len(MARK)] != MARK:
         raise Rejected("unreadable")
-    found = opened(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, FRAME_MOST)
+    found = opened(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, MAX_FRAME_BYTES)
     if (found.sender == to) is not own:
         raise Rejected("wrong name")
     return found
--- a/quincepath/fleet/configuration/records.py
+++ b/quincepath/fleet/configuration/records.py
@@ -4,21 +4,21 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from quincepath.fleet.configuration.choice import MS, SECOND
 from quincepath.fleet.configuration.messages import (
-    LISTED_LAGGARDS_MOST,
-    LISTED_REFUSALS_MOST,
-    LISTED_REVISIONS_MOST,
+    MAX_LISTED_LAGGARDS,
+    MAX_LISTED_REFUSALS,
+    MAX_LISTED_REVISIONS,
     Laggard,
     Nack,
     Refusal,
     RevisionCount,
     Summary,
 )
+from quincepath.fleet.configuration.relay_preference import MS, SECOND
 
-RESEND_FIRST = 400 * MS  # until deltas that are not acknowledged are sent again; doubled twice
-RESEND_DOUBLINGS_MOST = 2
-GONE_AFTER = 10 * SECOND  # without a word
+INITIAL_RESEND_TIMEOUT_NS = 400 * MS  # until deltas that are not acknowledged are sent again; doubled twice
+MAX_RESEND_DOUBLINGS = 2
+SUBSCRIBER_TIMEOUT_NS = 10 * SECOND  # without a word
 
 
 @dataclass(slots=True)
@@ -60,7 +60,7 @@
     def now_sent(self, revision: int, now: int) -> None:
         """Deltas up to a revision are on their way."""
         self.sent = revision
-        self.resend_at = now + (RESEND_FIRST << min(self.resends, RESEND_DOUBLINGS_MOST))
+        self.resend_at = now + (INITIAL_RESEND_TIMEOUT_NS << min(self.resends, MAX_RESEND_DOUBLINGS))
         self.resends += 1
 
 
@@ -70,7 +70,7 @@
     """How many are at which revision, who is furthest behind, who refuses; bounded whatever their number."""
     found = list(records)
     counts = Counter(record.revision for record in found)
-    listed = sorted(counts, reverse=True)[:LISTED_REVISIONS_MOST]
+    listed = sorted(counts, reverse=True)[:MAX_LISTED_REVISIONS]
     behind = sorted(
         (since, one.name, one.revision) for one in found if (since := one.behind_since) is not None
     )
@@ -83,10 +83,10 @@
         older=len(found) - sum(counts[revision] for revision in listed),
         laggards=tuple(
             Laggard(name, revision, (now - since) // MS)
-            for since, name, revision in behind[:LISTED_LAGGARDS_MOST]
+            for since, name, revision in behind[:MAX_LISTED_LAGGARDS]
         ),
         behind=len(behind),
-        refusals=tuple(map(_refusal, refusing[:LISTED_REFUSALS_MOST])),
+        refusals=tuple(map(_refusal, refusing[:MAX_LISTED_REFUSALS])),
         refused=len(refusing),
         waiting=waiting,
     )
--- a/quincepath/fleet/configuration/relay.py
+++ b/quincepath/fleet/configuration/relay.py
@@ -12,11 +12,10 @@
 import msgspec
 
 from quincepath.fleet.configuration.changes import ChangeError
-from quincepath.fleet.configuration.choice import MS, SECOND
 from quincepath.fleet.configuration.delta_log import DeltaLog
 from quincepath.fleet.configuration.messages import (
     BATCH_BYTES,
-    BATCH_DELTAS_MOST,
+    MAX_BATCH_DELTAS,
     PIECE_BYTES,
     Ack,
     Body,
@@ -47,26 +46,27 @@
     Resume,
     Send,
 )
-from quincepath.fleet.configuration.records import GONE_AFTER, SubscriberRecord, summarise
-from quincepath.fleet.configuration.slots import SLOT_IDLE, Slot, SnapshotSlots
+from quincepath.fleet.configuration.records import SUBSCRIBER_TIMEOUT_NS, SubscriberRecord, summarise
+from quincepath.fleet.configuration.relay_preference import MS, SECOND
+from quincepath.fleet.configuration.slots import SLOT_IDLE_TIMEOUT_NS, Slot, SnapshotSlots
 from quincepath.fleet.configuration.subscriber import WINDOW_PIECES
 from quincepath.fleet.configuration.table import apply_edits
 from quincepath.fleet.messages import COUNTER_MOST, Rejected
 
-SUBSCRIBERS_MOST = 1000  # one more is told to ask another relay
-TICK = 100 * MS  # between looks at the table
-HEARTBEAT = SECOND
-SUMMARY_EVERY = 2 * SECOND
-RESUME_EVERY = 200 * MS  # between requests for missing deltas of the log
-RESUME_DELTAS_MOST = 1000  # a subscriber further behind gets a snapshot
-RESUME_BYTES_MOST = 256 * 1024  # of deltas, for one that subscribes; more than a snapshot of 12,000 nodes
-RESEND_WINDOW_AFTER = 500 * MS  # the first pieces of a snapshot, where a subscriber asks again
-BATCHES_KEPT = 64  # encoded, for subscribers at the same revision
-PAUSE = 30 * SECOND  # until a subscriber that could not read a snapshot is sent another
+MAX_SUBSCRIBERS = 1000  # one more is told to ask another relay
+TICK_NS = 100 * MS  # between looks at the table
+HEARTBEAT_INTERVAL_NS = SECOND
+SUMMARY_INTERVAL_NS = 2 * SECOND
+RESUME_INTERVAL_NS = 200 * MS  # between requests for missing deltas of the log
+MAX_RESUME_DELTAS = 1000  # a subscriber further behind gets a snapshot
+MAX_RESUME_BYTES = 256 * 1024  # of deltas, for one that subscribes; more than a snapshot of 12,000 nodes
+WINDOW_RESEND_DELAY_NS = 500 * MS  # the first pieces of a snapshot, where a subscriber asks again
+MAX_CACHED_BATCHES = 64  # encoded, for subscribers at the same revision
+SNAPSHOT_RETRY_PAUSE_NS = 30 * SECOND  # until a subscriber that could not read a snapshot is sent another
 
 
 @dataclass(slots=True, frozen=True)
-class RelayMembership:
+class RelayIdentity:
     """Who a relay is. ``boot`` tells its starts apart."""
 
     fleet: str
@@ -77,8 +77,8 @@
 class Relay:
     """``log`` holds the deltas and ``values`` the resources at the newest revision that is here."""
 
-    def __init__(self, me: RelayMembership, now: int, subscribers_most: int = SUBSCRIBERS_MOST) -> None:
-        """``subscribers_most``: rows of the table."""
+    def __init__(self, me: RelayIdentity, now: int, max_subscribers: int = MAX_SUBSCRIBERS) -> None:
+        """``max_subscribers``: rows of the table."""
         self.me = me
         self.log = DeltaLog()
         self.values: dict[str, bytes] = {}
@@ -86,9 +86,9 @@
         self.slots = SnapshotSlots()
         self.dropped: Counter[str] = Counter()  # messages, by cause
         self.due = now
-        self._most = subscribers_most
+        self._most = max_subscribers
         self._confirmed_at: int | None = None  # when a voter last knew our newest to be the newest
-        self._summary_at = now + SUMMARY_EVERY
+        self._summary_at = now + SUMMARY_INTERVAL_NS
         self._resume_at = now
         self._now = now
         self._out: list[RelayOutput] = []
@@ -138,7 +138,7 @@
 
     def _ask_voter(self) -> None:
         if self._now >= self._resume_at:
-            self._resume_at = self._now + RESUME_EVERY
+            self._resume_at = self._now + RESUME_INTERVAL_NS
             self._out.append(Resume(self.log.newest))
 
     def _loaded(self, told: Loaded) -> None:
@@ -199,7 +199,7 @@
         record = known or SubscriberRecord(name, envelope.boot, self._now, self._now)
         self.records[name] = record
         record.sent, record.resends, record.paused_until = 0, 0, 0
-        record.wants_snapshot = ask.snapshot or self.log.bytes_since(ask.received) > RESUME_BYTES_MOST
+        record.wants_snapshot = ask.snapshot or self.log.bytes_since(ask.received) > MAX_RESUME_BYTES
         record.acknowledged(ask.revision, ask.received, self.log.newest, self._now)
         self._heartbeat(record)
         self._release_slot(record)
@@ -224,7 +224,7 @@
         if nack.refused > nack.received:  # a snapshot that cannot be read: what is refused is received else
             self.slots.release(record.name)
             record.wants_snapshot = False
-            record.paused_until = self._now + PAUSE
+            record.paused_until = self._now + SNAPSHOT_RETRY_PAUSE_NS
         self._acknowledged(record, nack)
 
     def _forget(self, name: str) -> None:
@@ -252,24 +252,24 @@
         self._send_raw(record.name, body)
 
     def _needs_snapshot(self, record: SubscriberRecord) -> bool:
-        far = self.log.newest - record.received > RESUME_DELTAS_MOST
+        far = self.log.newest - record.received > MAX_RESUME_DELTAS
         return record.wants_snapshot or far or record.received < self.log.floor
 
     def _batch(self, received: int) -> tuple[int, msgspec.Raw]:
         """The deltas after a revision, encoded once for all subscribers that are there."""
         found = self._batches.get(received)
         if found is None:
-            if len(self._batches) >= BATCHES_KEPT:
+            if len(self._batches) >= MAX_CACHED_BATCHES:
                 self._batches.clear()
             deltas = self.log.since(received, BATCH_BYTES)
             assert deltas
-            deltas = deltas[:BATCH_DELTAS_MOST]
+            deltas = deltas[:MAX_BATCH_DELTAS]
             body = encode_body(Deltas(received + 1, self.log.newest, deltas))
             found = self._batches[received] = (deltas[-1].revision, body)
         return found
 
     def _heartbeat(self, record: SubscriberRecord) -> None:
-        record.heartbeat_at = self._now + HEARTBEAT
+        record.heartbeat_at = self._now + HEARTBEAT_INTERVAL_NS
         self._send(record.name, Heartbeat(self.log.newest, self.age_ms))
 
     # --- snapshots ---
@@ -277,24 +277,24 @@
     def _queue(self, record: SubscriberRecord) -> None:
         slot = self.slots.slots.get(record.name)
         if slot is not None:
-            if self._now >= slot.sent_at + RESEND_WINDOW_AFTER:
+            if self._now >= slot.sent_at + WINDOW_RESEND_DELAY_NS:
                 self._send_window(record.name, slot, 0)
             return
         if record.name not in self.slots.queue:
-            before = self.slots.ask(record.name)
-            if len(self.slots.slots) >= self.slots.most:
+            before = self.slots.enqueue(record.name)
+            if len(self.slots.slots) >= self.slots.max_slots:
                 self._send(record.name, Busy(False, before))
 
     def _grant(self) -> None:
         """Free slots go to those that wait, in order."""
-        while name := self.slots.next_in_turn():
+        while name := self.slots.dequeue():
             least = max(self.log.floor, self.records[name].revision + 1)
             try:
                 image = self.slots.image(self.log.newest, least, self.values)
             except ChangeError as error:
                 self._out.append(Event(EventKind.SNAPSHOT_FAILED, str(error)))
                 return
-            slot = Slot(image, self._now + SLOT_IDLE)
+            slot = Slot(image, self._now + SLOT_IDLE_TIMEOUT_NS)
             self.slots.slots[name] = slot
             self._send_window(name, slot, 0)
 
@@ -306,7 +306,7 @@
             self._queue(record)
 
     def _send_window(self, name: str, slot: Slot, offset: int) -> None:
-        slot.idle_at, slot.sent_at = self._now + SLOT_IDLE, self._now
+        slot.idle_at, slot.sent_at = self._now + SLOT_IDLE_TIMEOUT_NS, self._now
         end = min(offset + WINDOW_PIECES * PIECE_BYTES, len(slot.image.data))
         for start in range(offset, end, PIECE_BYTES):
             self._send(name, slot.image.piece(start))
@@ -314,20 +314,20 @@
     # --- time ---
 
     def _tick(self) -> None:
-        self.due = self._now + TICK
+        self.due = self._now + TICK_NS
         for record in list(self.records.values()):
             self._look_at(record)
-        for name in self.slots.expired(self._now):
+        for name in self.slots.release_expired(self._now):
             if name in self.records:
                 self._serve(self.records[name])
         if self._now >= self._summary_at:
-            self._summary_at = self._now + SUMMARY_EVERY
+            self._summary_at = self._now + SUMMARY_INTERVAL_NS
             waiting = len(self.slots.queue)
             found = summarise(self.records.values(), self.log.newest, self.age_ms, waiting, self._now)
             self._out.append(Report(found))
 
     def _look_at(self, record: SubscriberRecord) -> None:
-        if self._now >= record.heard_at + GONE_AFTER:
+        if self._now >= record.heard_at + SUBSCRIBER_TIMEOUT_NS:
             self._forget(record.name)
             self._out.append(Event(EventKind.SUBSCRIBER_GONE, f"{record.name}: revision {record.revision}"))
             return
--- a/quincepath/fleet/configuration/resources.py
+++ b/quincepath/fleet/configuration/resources.py
@@ -13,8 +13,8 @@
 
 from quincepath.config.schema import ClassEntry, Holder, Model, NodeListEntry, TenantEntry
 from quincepath.fleet.configuration.changes import (
-    SHOWN_MOST,
-    VALUE_BYTES_MOST,
+    MAX_SHOWN_CHARACTERS,
+    MAX_VALUE_BYTES,
     ChangeError,
     Fault,
 )
@@ -28,7 +28,7 @@
 NODE, CLASS, TENANT = "node", "class", "tenant"
 NODE_LIST = "list/nodes"  # absent: the nodes that are named are all
 
-SHOWN_VALUE_MOST = 160  # characters
+MAX_SHOWN_VALUE_CHARACTERS = 160  # characters
 
 
 class _NodeUrl(msgspec.Struct):
@@ -58,8 +58,8 @@
     model = KINDS.get(kind)
     if model is None:
         raise ChangeError([Fault(name, f"kind {kind!r}", f"one of {', '.join(sorted(KINDS))}", name)])
-    if len(value) > VALUE_BYTES_MOST:
-        raise ChangeError([Fault(name, f"{len(value)} bytes", f"at most {VALUE_BYTES_MOST}", name)])
+    if len(value) > MAX_VALUE_BYTES:
+        raise ChangeError([Fault(name, f"{len(value)} bytes", f"at most {MAX_VALUE_BYTES}", name)])
     try:
         entry = msgspec.msgpack.decode(value, type=dict[str, Any])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -82,7 +82,7 @@
         unknown = one["type"] == "extra_forbidden"
         said = one["msg"].removeprefix("Value error, ").removeprefix("expected ")
         words = "a key that the schema knows" if unknown else said
-        found.append(Fault(f"{name}{path}", repr(one["input"])[:SHOWN_MOST], words, name))
+        found.append(Fault(f"{name}{path}", repr(one["input"])[:MAX_SHOWN_CHARACTERS], words, name))
     return found
 
 
@@ -92,7 +92,7 @@
     return urlsplit(holder.url).netloc
 
 
-def address_in(value: bytes) -> str | None:
+def address_of_value(value: bytes) -> str | None:
     """The address of a node that was checked before. None: it is none that this version can read."""
     try:
         return urlsplit(_node_urls.decode(value).url).netloc
@@ -100,11 +100,11 @@
         return None
 
 
-def shown(value: bytes | None) -> str:
+def format_value(value: bytes | None) -> str:
     """A value for people, bounded."""
     if value is None:
         return "absent"
     try:
-        return repr(msgspec.msgpack.decode(value))[:SHOWN_VALUE_MOST]
+        return repr(msgspec.msgpack.decode(value))[:MAX_SHOWN_VALUE_CHARACTERS]
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return f"{len(value)} bytes that are no msgpack"
--- a/quincepath/fleet/configuration/slots.py
+++ b/quincepath/fleet/configuration/slots.py
@@ -7,12 +7,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from quincepath.fleet.configuration.choice import SECOND
+from quincepath.fleet.configuration.relay_preference import SECOND
 from quincepath.fleet.configuration.snapshots import Image, make_image
 
 SLOTS = 4
-SLOT_IDLE = 2 * SECOND  # without a sign of the subscriber, until its slot goes to the next
-IMAGE_LAG_MOST = 256  # revisions that an image may be behind; deltas lead on from there
+SLOT_IDLE_TIMEOUT_NS = 2 * SECOND  # without a sign of the subscriber, until its slot goes to the next
+MAX_IMAGE_LAG_REVISIONS = 256  # revisions that an image may be behind; deltas lead on from there
 
 
 @dataclass(slots=True)
@@ -29,13 +29,13 @@
 
     def __init__(self, slots: int = SLOTS) -> None:
         """``slots``: how many are served at once."""
-        self.most = slots
+        self.max_slots = slots
         self.slots: dict[str, Slot] = {}
         self.queue: dict[str, None] = {}  # in order of arrival
-        self.made = 0  # images
+        self.images_made = 0  # images
         self._image: Image | None = None
 
-    def ask(self, name: str) -> int:
+    def enqueue(self, name: str) -> int:
         """Queue a subscriber that is not served yet; how many are before it."""
         if name in self.slots:
             return 0
@@ -47,7 +47,7 @@
         self.slots.pop(name, None)
         self.queue.pop(name, None)
 
-    def expired(self, now: int) -> list[str]:
+    def release_expired(self, now: int) -> list[str]:
         """Subscribers whose slot was idle for too long; their slots are free."""
         found = [name for name, slot in self.slots.items() if now >= slot.idle_at]
         for name in found:
@@ -57,14 +57,14 @@
     def image(self, revision: int, least: int, values: Mapping[str, bytes]) -> Image:
         """A snapshot at ``least`` or later, a new one where the last is older. ``values`` are the newest."""
         last = self._image
-        if last is None or last.revision < max(least, revision - IMAGE_LAG_MOST):
+        if last is None or last.revision < max(least, revision - MAX_IMAGE_LAG_REVISIONS):
             last = self._image = make_image(revision, values)
-            self.made += 1
+            self.images_made += 1
         return last
 
-    def next_in_turn(self) -> str:
+    def dequeue(self) -> str:
         """Whose turn it is; empty: nobody's, or no slot is free."""
-        if not self.queue or len(self.slots) >= self.most:
+        if not self.queue or len(self.slots) >= self.max_slots:
             return ""
         name = next(iter(self.queue))
         del self.queue[name]
--- a/quincepath/fleet/configuration/snapshots.py
+++ b/quincepath/fleet/configuration/snapshots.py
@@ -9,10 +9,10 @@
 from msgspec import Meta
 
 from quincepath.fleet.configuration.changes import ChangeError, Fault, ResourceName, Revision, Value
-from quincepath.fleet.configuration.messages import PIECE_BYTES, SNAPSHOT_BYTES_MOST, SnapshotPiece
-from quincepath.fleet.configuration.table import RESOURCES_MOST, TABLE_BYTES_MOST
+from quincepath.fleet.configuration.messages import MAX_SNAPSHOT_BYTES, PIECE_BYTES, SnapshotPiece
+from quincepath.fleet.configuration.table import MAX_RESOURCES, MAX_TABLE_BYTES
 
-CONTENT_BYTES_MOST = TABLE_BYTES_MOST + 16 * RESOURCES_MOST  # decompressed
+MAX_CONTENT_BYTES = MAX_TABLE_BYTES + 16 * MAX_RESOURCES  # decompressed
 COMPRESSION_LEVEL = 1  # 12,000 nodes are compressed in one turn of the relay
 
 
@@ -20,7 +20,7 @@
     """What a snapshot holds."""
 
     revision: Revision
-    values: Annotated[dict[ResourceName, Value], Meta(max_length=RESOURCES_MOST)]
+    values: Annotated[dict[ResourceName, Value], Meta(max_length=MAX_RESOURCES)]
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,8 +44,8 @@
     """Compress all values. Raises ``ChangeError`` where the result is larger than a snapshot may be."""
     plain = _encoder.encode(Content(revision, dict(values)))
     data = zlib.compress(plain, COMPRESSION_LEVEL)
-    if len(data) > SNAPSHOT_BYTES_MOST:
-        raise ChangeError([Fault("snapshot", f"{len(data)} bytes", f"at most {SNAPSHOT_BYTES_MOST}")])
+    if len(data) > MAX_SNAPSHOT_BYTES:
+        raise ChangeError([Fault("snapshot", f"{len(data)} bytes", f"at most {MAX_SNAPSHOT_BYTES}")])
     return Image(revision, data)
 
 
@@ -53,7 +53,7 @@
     """What an image holds. Raises ``ChangeError`` where it is not whole or breaks a bound."""
     reader = zlib.decompressobj()
     try:
-        plain = reader.decompress(image.data, CONTENT_BYTES_MOST)
+        plain = reader.decompress(image.data, MAX_CONTENT_BYTES)
         content = _contents.decode(plain)
     except (zlib.error, msgspec.MsgspecError) as error:
         found = f"{len(image.data)} bytes"
--- a/quincepath/fleet/configuration/status.py
+++ b/quincepath/fleet/configuration/status.py
@@ -7,19 +7,19 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from quincepath.fleet.configuration.choice import MS, SECOND
 from quincepath.fleet.configuration.messages import (
-    LISTED_LAGGARDS_MOST,
-    LISTED_REFUSALS_MOST,
-    LISTED_REVISIONS_MOST,
+    MAX_LISTED_LAGGARDS,
+    MAX_LISTED_REFUSALS,
+    MAX_LISTED_REVISIONS,
     Laggard,
     Refusal,
     RevisionCount,
     Summary,
 )
+from quincepath.fleet.configuration.relay_preference import MS, SECOND
 
-RELAYS_MOST = 100  # of which summaries are kept; one more is not counted
-SILENT_AFTER = 10 * SECOND  # a relay's summary that is older is shown as old and not counted
+MAX_RELAYS = 100  # of which summaries are kept; one more is not counted
+SUMMARY_TIMEOUT_NS = 10 * SECOND  # a relay's summary that is older is shown as old and not counted
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,32 +90,32 @@
 
 
 @dataclass(slots=True)
-class StatusSums:
+class RelaySummaries:
     """The newest summary of each relay, and when it came."""
 
-    heard: dict[str, tuple[int, Summary]] = field(default_factory=dict)
+    newest_of: dict[str, tuple[int, Summary]] = field(default_factory=dict)
 
-    def hear(self, relay: str, summary: Summary, now: int) -> bool:
+    def record(self, relay: str, summary: Summary, now: int) -> bool:
         """Take one in; False where there is no room for one more relay."""
-        if relay not in self.heard and len(self.heard) >= RELAYS_MOST:
+        if relay not in self.newest_of and len(self.newest_of) >= MAX_RELAYS:
             return False
-        self.heard[relay] = (now, summary)
+        self.newest_of[relay] = (now, summary)
         return True
 
     def forget(self, relay: str) -> None:
         """A relay that is configured no more."""
-        self.heard.pop(relay, None)
+        self.newest_of.pop(relay, None)
 
     def status(self, newest: int, expected: int, now: int) -> FleetStatus:
         """All sums. ``newest``: the committed revision; ``expected``: brokers that should be subscribed."""
-        fresh = [one for at, one in self.heard.values() if now < at + SILENT_AFTER]
+        fresh = [one for at, one in self.newest_of.values() if now < at + SUMMARY_TIMEOUT_NS]
         at_revision: Counter[int] = Counter()
         for summary in fresh:
             for count in summary.counts:
                 at_revision[count.revision] += count.subscribers
         subscribed = sum(summary.subscribers for summary in fresh)
         in_force = sum(count for revision, count in at_revision.items() if revision >= newest)
-        listed = sorted(at_revision, reverse=True)[:LISTED_REVISIONS_MOST]
+        listed = sorted(at_revision, reverse=True)[:MAX_LISTED_REVISIONS]
         laggards = sorted(
             (one for summary in fresh for one in summary.laggards), key=lambda one: (-one.behind, one.name)
         )
@@ -131,13 +131,13 @@
             oldest_behind_ms=laggards[0].behind if laggards else 0,
             counts=tuple(RevisionCount(revision, at_revision[revision]) for revision in listed),
             older=subscribed - sum(at_revision[revision] for revision in listed),
-            laggards=tuple(laggards[:LISTED_LAGGARDS_MOST]),
-            refusals=tuple(refusals[:LISTED_REFUSALS_MOST]),
-            relays=tuple(self._relay(name, now) for name in sorted(self.heard)),
+            laggards=tuple(laggards[:MAX_LISTED_LAGGARDS]),
+            refusals=tuple(refusals[:MAX_LISTED_REFUSALS]),
+            relays=tuple(self._relay(name, now) for name in sorted(self.newest_of)),
         )
 
     def _relay(self, name: str, now: int) -> RelayStatus:
-        at, summary = self.heard[name]
+        at, summary = self.newest_of[name]
         since = (now - at) // MS
         return RelayStatus(
             name,
@@ -147,5 +147,5 @@
             summary.behind,
             summary.waiting,
             since,
-            now < at + SILENT_AFTER,
+            now < at + SUMMARY_TIMEOUT_NS,
         )
--- a/quincepath/fleet/configuration/subscriber.py
+++ b/quincepath/fleet/configuration/subscriber.py
@@ -10,9 +10,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from quincepath.fleet.configuration.applying import Applied, Applier, Check, RefusedRevision, nothing_more
-from quincepath.fleet.configuration.choice import MS, SECOND, RelayPlace, preference
-from quincepath.fleet.configuration.choosing import Ask, Leave, RelayChooser, Step
+from quincepath.fleet.configuration.applier import Applied, Applier, Check, RefusedRevision, accept_all
 from quincepath.fleet.configuration.messages import (
     PIECE_BYTES,
     Ack,
@@ -39,20 +37,22 @@
     SubscriberInput,
     SubscriberOutput,
 )
+from quincepath.fleet.configuration.relay_chooser import Action, RelayChooser, SubscribeTo, UnsubscribeFrom
+from quincepath.fleet.configuration.relay_preference import MS, SECOND, RelayLocation, rank_relays
 from quincepath.fleet.configuration.snapshots import Assembly
 from quincepath.fleet.configuration.table import NO_RULES, Rules
 from quincepath.fleet.messages import Rejected
 
-ACK_EVERY = 3 * SECOND  # also without news: the sign of life for the relay
-RESUME_AFTER = 600 * MS  # without progress while the relay has more
-SNAPSHOT_AGAIN = 30 * SECOND  # after one that could not be read
+ACK_INTERVAL_NS = 3 * SECOND  # also without news: the sign of life for the relay
+RESUME_TIMEOUT_NS = 600 * MS  # without progress while the relay has more
+SNAPSHOT_RETRY_DELAY_NS = 30 * SECOND  # after one that could not be read
 WINDOW_PIECES = 8  # of a snapshot, asked for at once
 NEVER = 1 << 62
-REASON_CHARACTERS_MOST = 400
+MAX_REASON_CHARACTERS = 400
 
 
 @dataclass(slots=True, frozen=True)
-class Membership:
+class SubscriberIdentity:
     """Who a subscriber is. ``boot`` tells its starts apart."""
 
     fleet: str
@@ -78,17 +78,17 @@
 
     def __init__(
         self,
-        me: Membership,
-        relays: Iterable[RelayPlace],
+        me: SubscriberIdentity,
+        relays: Iterable[RelayLocation],
         seed: int,
         now: int,
         rules: Rules = NO_RULES,
-        check: Check = nothing_more,
+        check: Check = accept_all,
     ) -> None:
         """``rules`` and ``check``: what this broker has against values beyond their schema."""
         self.me = me
         chance = random.Random(f"{seed} {me.name} {me.boot} subscriber")
-        self.chooser = RelayChooser(preference(me.name, me.region, relays), chance, now)
+        self.chooser = RelayChooser(rank_relays(me.name, me.region, relays), chance, now)
         self.applier = Applier(rules, check)
         self.dropped: Counter[str] = Counter()  # messages, by cause
         self._assembly: Assembly | None = None
@@ -112,7 +112,7 @@
     def status(self, now: int) -> SubscriberStatus:
         """What is in force and how old the word on it is."""
         chooser = self.chooser
-        age = chooser.age_ms + chooser.silence(now) // MS if chooser.current else -1
+        age = chooser.age_ms + chooser.silent_ns(now) // MS if chooser.current else -1
         return SubscriberStatus(
             self.applier.revision,
             self.applier.received,
@@ -130,7 +130,7 @@
         for one in inputs:
             if isinstance(one, Received):
                 self._receive(one)
-            elif self.chooser.lost(one.name, now):
+            elif self.chooser.on_lost(one.name, now):
                 self._relay_gone(one.name, "connection lost")
         self._take_steps(self.chooser.poll(now))
         self._timers()
@@ -144,7 +144,7 @@
         except Rejected as error:
             self.dropped[error.cause] += 1
             return
-        if self.chooser.heard(envelope.sender, self._now):
+        if self.chooser.on_message(envelope.sender, self._now):
             self._hear(envelope.sender, body)
 
     def _hear(self, relay: str, body: Body) -> None:
@@ -156,24 +156,24 @@
             case SnapshotPiece():
                 self._take_piece(relay, body)
             case Busy(full=True):
-                if self.chooser.lost(relay, self._now):
+                if self.chooser.on_lost(relay, self._now):
                     self._relay_gone(relay, "full")
             case Busy():
                 self._progress_at = self._now  # the snapshot comes when its turn comes
             case Redirect():
-                if self.chooser.lost(relay, self._now, body.relay):
+                if self.chooser.on_lost(relay, self._now, body.relay):
                     self._relay_gone(relay, "it goes")
             case _:
                 self.dropped["unknown kind"] += 1
 
     def _heartbeat(self, relay: str, body: Heartbeat) -> None:
         chooser, before = self.chooser, self.chooser.current
-        self._take_steps(chooser.heartbeat(relay, body.newest, body.age, self.applier.revision, self._now))
+        self._take_steps(chooser.on_heartbeat(relay, body.newest, body.age, self.applier.revision, self._now))
         if chooser.current != before:
             self._out.append(Event(EventKind.RELAY_CHOSEN, chooser.current))
         if relay != chooser.current:
             return
-        self._ack_at = min(self._ack_at, self._now + ACK_EVERY)
+        self._ack_at = min(self._ack_at, self._now + ACK_INTERVAL_NS)
         if body.newest > self.applier.received and self._assembly is None:
             self._resume(relay)
 
@@ -212,7 +212,7 @@
         if not self._assembly.add(piece):
             return
         self._progress_at = self._now
-        self._piece_at = self._now + RESUME_AFTER
+        self._piece_at = self._now + RESUME_TIMEOUT_NS
         if self._assembly.whole:
             self._take_snapshot(relay, self._assembly)
         elif self._assembly.offset % (WINDOW_PIECES * PIECE_BYTES) == 0:
@@ -224,7 +224,7 @@
         if found is not None:
             self._out.append(Event(EventKind.SNAPSHOT_APPLIED, f"revision {found.revision}"))
         elif self.applier.received < assembly.revision:
-            self._no_snapshot_before = self._now + SNAPSHOT_AGAIN
+            self._no_snapshot_before = self._now + SNAPSHOT_RETRY_DELAY_NS
         self._applied(found)
         self._acknowledge(relay)
 
@@ -232,17 +232,17 @@
         self._assembly, self._assembly_from, self._piece_at = None, "", NEVER
 
     def _fetch(self, relay: str, assembly: Assembly) -> None:
-        self._piece_at = self._now + RESUME_AFTER
+        self._piece_at = self._now + RESUME_TIMEOUT_NS
         self._send(relay, FetchPieces(assembly.revision, assembly.offset))
 
     # --- the relay ---
 
-    def _take_steps(self, steps: Iterable[Step]) -> None:
+    def _take_steps(self, steps: Iterable[Action]) -> None:
         for one in steps:
             match one:
-                case Ask(relay):
+                case SubscribeTo(relay):
                     self._subscribe(relay)
-                case Leave(relay, why):
+                case UnsubscribeFrom(relay, why):
                     self._send(relay, Unsubscribe())
                     self._relay_gone(relay, why)
 
@@ -253,7 +253,7 @@
 
     def _resume(self, relay: str) -> None:
         """Something is missing: say from where on, but not more often than an answer takes."""
-        if self._now >= max(self._progress_at, self._subscribed_at) + RESUME_AFTER:
+        if self._now >= max(self._progress_at, self._subscribed_at) + RESUME_TIMEOUT_NS:
             if self._now >= self._no_snapshot_before:
                 self._subscribe(relay)
 
@@ -264,12 +264,12 @@
 
     def _acknowledge(self, relay: str) -> None:
         applier = self.applier
-        self._ack_at = self._now + ACK_EVERY
+        self._ack_at = self._now + ACK_INTERVAL_NS
         refused = applier.refused
         if refused is None:
             self._send(relay, Ack(applier.revision, applier.received))
             return
-        reason = refused.reason[:REASON_CHARACTERS_MOST]
+        reason = refused.reason[:MAX_REASON_CHARACTERS]
         nack = Nack(applier.revision, applier.received, refused.revision, refused.resource, reason)
         self._send(relay, nack)
 
--- a/quincepath/fleet/configuration/table.py
+++ b/quincepath/fleet/configuration/table.py
@@ -11,15 +11,15 @@
 from quincepath.fleet.configuration.resources import (
     CLASS,
     NODE,
-    address_in,
+    address_of_value,
     decode_resource,
+    format_value,
     node_address,
-    shown,
     split_name,
 )
 
-RESOURCES_MOST = 20_000  # 12,000 nodes, and classes and tenants beside them
-TABLE_BYTES_MOST = 16 << 20  # of all names and values
+MAX_RESOURCES = 20_000  # 12,000 nodes, and classes and tenants beside them
+MAX_TABLE_BYTES = 16 << 20  # of all names and values
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +41,7 @@
             values[edit.name] = edit.new
 
 
-def merged(deltas: Sequence[Delta]) -> tuple[Edit, ...]:
+def merge_deltas(deltas: Sequence[Delta]) -> tuple[Edit, ...]:
     """Several deltas in order as one: of each resource the first old and the last new value."""
     first: dict[str, bytes | None] = {}
     last: dict[str, bytes | None] = {}
@@ -52,7 +52,7 @@
     return tuple(Edit(name, first[name], last[name]) for name in last if first[name] != last[name])
 
 
-def difference(values: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Edit, ...]:
+def diff_values(values: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Edit, ...]:
     """The edits that lead from one set of values to another."""
     found = [Edit(name, old, None) for name, old in values.items() if name not in wanted]
     found += [Edit(name, values.get(name), new) for name, new in wanted.items() if values.get(name) != new]
@@ -76,7 +76,10 @@
         """Compare-and-swap: the resources whose value is not the old one that the edit names."""
         return [
             Fault(
-                edit.name, shown(found), f"{shown(edit.old)}, the old value that the change names", edit.name
+                edit.name,
+                format_value(found),
+                f"{format_value(edit.old)}, the old value that the change names",
+                edit.name,
             )
             for edit in edits
             if (found := self.values.get(edit.name)) != edit.old
@@ -102,11 +105,11 @@
         """Counts over the table."""
         found = []
         total = len(self.values) + sum(_grown(self.values, edit) for edit in edits)
-        if total > RESOURCES_MOST:
-            found.append(Fault("resources", str(total), f"at most {RESOURCES_MOST}"))
+        if total > MAX_RESOURCES:
+            found.append(Fault("resources", str(total), f"at most {MAX_RESOURCES}"))
         size = self.bytes + sum(_bytes_grown(self.values, edit) for edit in edits)
-        if size > TABLE_BYTES_MOST:
-            found.append(Fault("resources", f"{size} bytes", f"at most {TABLE_BYTES_MOST}"))
+        if size > MAX_TABLE_BYTES:
+            found.append(Fault("resources", f"{size} bytes", f"at most {MAX_TABLE_BYTES}"))
         classes = [edit for edit in edits if split_name(edit.name)[0] == CLASS]
         if self._classes and self._classes + sum(_grown(self.values, edit) for edit in classes) < 1:
             found.append(Fault("class/", "the last class is removed", "at least one class"))
@@ -150,7 +153,7 @@
         self._classes += kind == CLASS
         if kind != NODE:
             return
-        address = address_in(value)
+        address = address_of_value(value)
         if address is not None:
             self._address_of[name] = address
             self._node_at[address] = name
--- a/quincepath/fleet/configuration/admissible.py
+++ b/quincepath/fleet/configuration/validator.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from quincepath.fleet.configuration.changes import Edit, Fault
-from quincepath.fleet.configuration.resources import CLASS, NODE, NODE_LIST, TENANT, shown, split_name
+from quincepath.fleet.configuration.resources import CLASS, NODE, NODE_LIST, TENANT, format_value, split_name
 from quincepath.fleet.configuration.table import Rules
 
 READY = "ready"
 FIXED = {CLASS: "no change: a running broker takes its classes from its file, and a restart"}
-TENANTS_MOST = 1000  # with a weight of their own, as in a file: each may have a queue at every broker
+MAX_TENANTS = 1000  # with a weight of their own, as in a file: each may have a queue at every broker
 
 
 class _Placed(msgspec.Struct):
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Admissible:
+class ChangeValidator:
     """``members``: names of the fleet's brokers, which no node may have: permits go by the name."""
 
     rules: Rules
@@ -50,7 +50,7 @@
         for edit in edits:
             kind, name = split_name(edit.name)
             if kind in FIXED and edit.new is not None:
-                found.append(Fault(edit.name, shown(edit.new), FIXED[kind], edit.name))
+                found.append(Fault(edit.name, format_value(edit.new), FIXED[kind], edit.name))
             if kind == NODE and name in self.members and edit.new is not None:
                 found.append(
                     Fault(edit.name, repr(name), "a name that no broker of the fleet has", edit.name)
@@ -86,7 +86,7 @@
         if split_name(edit.name)[0] == TENANT
     )
     total = added + sum(split_name(name)[0] == TENANT for name in values) if added else 0
-    return [Fault("tenants", str(total), f"at most {TENANTS_MOST}")] if total > TENANTS_MOST else []
+    return [Fault("tenants", str(total), f"at most {MAX_TENANTS}")] if total > MAX_TENANTS else []
 
 
 def _nodes_after(values: Mapping[str, bytes], edits: Iterable[Edit]) -> list[bytes]:
--- a/quincepath/fleet/configuration_requests.py
+++ b/quincepath/fleet/configuration_requests.py
@@ -5,16 +5,16 @@
 from urllib.parse import unquote
 
 from quincepath.fleet.agreed import Agreed
-from quincepath.fleet.configuration.changes import Change, ChangeError, Fault, encode_change
-from quincepath.fleet.configuration.commands import ChangeConfiguration
-from quincepath.fleet.configuration.history import Answer
-from quincepath.fleet.configuration.orders import (
-    Known,
+from quincepath.fleet.configuration.change_requests import (
+    DuplicateRequest,
+    parse_propose,
+    parse_rollback,
     propose_change,
-    read_propose,
-    read_rollback,
     rollback_change,
 )
+from quincepath.fleet.configuration.changes import Change, ChangeError, Fault, encode_change
+from quincepath.fleet.configuration.commands import ChangeConfiguration
+from quincepath.fleet.configuration.history import Answer
 from quincepath.fleet.distribution import Distribution
 from quincepath.net.server import Exchange
 
@@ -67,7 +67,7 @@
     def _order(self, exchange: Exchange, what: str, body: bytes) -> None:
         try:
             change = self._change(what, body)
-            if isinstance(change, Known):
+            if isinstance(change, DuplicateRequest):
                 self._answer(exchange, change.answer)
                 return
             data = encode_change(change)
@@ -77,12 +77,12 @@
         command = ChangeConfiguration(change.id, change.author, change.proposed_at_ms, data)
         self.agreed.command(command, lambda why: self._done(exchange, change, why))
 
-    def _change(self, what: str, body: bytes) -> Change | Known:
+    def _change(self, what: str, body: bytes) -> Change | DuplicateRequest:
         now = self.agreed.loop.system.wall_ms()
         if what == "propose":
-            return propose_change(read_propose(body), self.agreed.machine.configuration, now)
+            return propose_change(parse_propose(body), self.agreed.machine.configuration, now)
         if what == "rollback":
-            return rollback_change(read_rollback(body), now)
+            return rollback_change(parse_rollback(body), now)
         raise ChangeError([Fault("path", repr(what), f"{PATHS} under {PREFIX}")])
 
     def _done(self, exchange: Exchange, change: Change, why: str) -> None:
--- a/quincepath/fleet/distribution.py
+++ b/quincepath/fleet/distribution.py
@@ -13,11 +13,9 @@
 
 from quincepath.config.schema import Config, DistributionEntry, FleetEntry
 from quincepath.fleet.agreed import Agreed
-from quincepath.fleet.configuration.admissible import Admissible
 from quincepath.fleet.configuration.changes import ChangeError, Edit, decode_change
-from quincepath.fleet.configuration.choice import MS, RelayPlace
-from quincepath.fleet.configuration.commands import ChangeConfiguration, news_for_relay
-from quincepath.fleet.configuration.history import History, summed_up
+from quincepath.fleet.configuration.commands import ChangeConfiguration, relay_update
+from quincepath.fleet.configuration.history import History, summarise_faults
 from quincepath.fleet.configuration.messages import (
     MARK,
     Addressee,
@@ -41,18 +39,20 @@
     Send,
     SubscriberInput,
 )
-from quincepath.fleet.configuration.relay import Relay, RelayMembership
-from quincepath.fleet.configuration.status import FleetStatus, StatusSums
-from quincepath.fleet.configuration.subscriber import Membership, Subscriber
+from quincepath.fleet.configuration.relay import Relay, RelayIdentity
+from quincepath.fleet.configuration.relay_preference import MS, RelayLocation
+from quincepath.fleet.configuration.status import FleetStatus, RelaySummaries
+from quincepath.fleet.configuration.subscriber import Subscriber, SubscriberIdentity
 from quincepath.fleet.configuration.table import Rules
+from quincepath.fleet.configuration.validator import ChangeValidator
 from quincepath.fleet.edge import Edge
 from quincepath.fleet.messages import Rejected
 from quincepath.net.loop import Loop, Timer
 
-FEED_EVERY = 500 * MS  # between words of the log to the relay while nothing is new
-STEP_LEAST = MS  # between steps by the clock
-LOOK_EVERY = 1000 * MS  # between looks at the figures
-SHOWN_EDITS = 5  # names of a revision in its log line
+FEED_INTERVAL_NS = 500 * MS  # between words of the log to the relay while nothing is new
+MIN_STEP_NS = MS  # between steps by the clock
+METRICS_INTERVAL_NS = 1000 * MS  # between looks at the figures
+MAX_LOGGED_EDITS = 5  # names of a revision in its log line
 WARNINGS = frozenset({EventKind.RELAY_LEFT, EventKind.SUBSCRIBER_GONE, EventKind.TABLE_FULL})
 ERRORS = frozenset({EventKind.REVISION_REFUSED, EventKind.SNAPSHOT_FAILED})
 
@@ -61,22 +61,22 @@
 class Ports:
     """What the member does for it. ``age``: ns since the newest entry here was known to be the newest."""
 
-    tell: Callable[[str, bytes], None]
+    send: Callable[[str, bytes], None]
     history: Callable[[], History]
     age: Callable[[], int]
-    keepers: Callable[[], Sequence[str]]
-    expected: Callable[[], int]  # brokers that should be subscribed
+    voters: Callable[[], Sequence[str]]
+    expected_brokers: Callable[[], int]  # brokers that should be subscribed
     dropped: Callable[[str], None]
 
 
 class Distribution:
-    """``put_in_force`` gets the edits of each revision, in one turn; they were checked before."""
+    """``on_apply`` gets the edits of each revision, in one turn; they were checked before."""
 
     def __init__(
         self,
         entry: FleetEntry,
         section: DistributionEntry,
-        admissible: Admissible,
+        validator: ChangeValidator,
         loop: Loop,
         boot: int,
         seed: int,
@@ -85,17 +85,17 @@
         registry: CollectorRegistry,
     ) -> None:
         self.loop, self.entry, self.ports, self.log = loop, entry, ports, log
-        self.admissible, self.boot = admissible, boot
-        self.put_in_force: Callable[[Sequence[Edit]], None] = lambda edits: None
+        self.validator, self.boot = validator, boot
+        self.on_apply: Callable[[Sequence[Edit]], None] = lambda edits: None
         self._members = {peer.name for peer in entry.peers} | {entry.member}
         self._relay_names = {relay.name for relay in section.relays}
-        relays = [RelayPlace(relay.name, relay.region) for relay in section.relays]
-        me = Membership(entry.name, entry.member, section.region, boot)
+        relays = [RelayLocation(relay.name, relay.region) for relay in section.relays]
+        me = SubscriberIdentity(entry.name, entry.member, section.region, boot)
         now = loop.clock()
-        self.subscriber = Subscriber(me, relays, seed, now, admissible.rules, admissible.faults)
+        self.subscriber = Subscriber(me, relays, seed, now, validator.rules, validator.faults)
         relayed = entry.member in self._relay_names
-        self.relay = Relay(RelayMembership(entry.name, entry.member, boot), now) if relayed else None
-        self.sums = StatusSums()
+        self.relay = Relay(RelayIdentity(entry.name, entry.member, boot), now) if relayed else None
+        self.summaries = RelaySummaries()
         self._timer: Timer | None = None
         self._closed = False
         self._figures = _Figures(registry)
@@ -129,9 +129,9 @@
         envelope, body = unpack(data, self.entry.name, self.entry.member, own)
         if not isinstance(body, Summary) or envelope.sender not in self._relay_names:
             raise Rejected("unknown kind")
-        self.sums.hear(envelope.sender, body, self.loop.clock())
+        self.summaries.record(envelope.sender, body, self.loop.clock())
 
-    def lost(self, name: str) -> None:
+    def on_connection_lost(self, name: str) -> None:
         """The connection to a member ended, or could not be had."""
         self._step_subscriber([Lost(name)])
         self._step_relay([Lost(name)])
@@ -140,7 +140,7 @@
         if to == self.entry.member:
             self.loop.call_in(0, lambda: self.receive(data, own=True))
         else:
-            self.ports.tell(to, data)
+            self.ports.send(to, data)
 
     # --- steps ---
 
@@ -158,9 +158,9 @@
         self._arm()
 
     def _apply(self, revision: int, edits: Sequence[Edit]) -> None:
-        self.put_in_force(edits)
-        names = ", ".join(edit.name for edit in edits[:SHOWN_EDITS])
-        more = f" and {len(edits) - SHOWN_EDITS} more" if len(edits) > SHOWN_EDITS else ""
+        self.on_apply(edits)
+        names = ", ".join(edit.name for edit in edits[:MAX_LOGGED_EDITS])
+        more = f" and {len(edits) - MAX_LOGGED_EDITS} more" if len(edits) > MAX_LOGGED_EDITS else ""
         self.log.info("configuration: in force", revision=revision, changed=names + more)
 
     def _step_relay(self, inputs: Sequence[RelayInput]) -> None:
@@ -180,7 +180,7 @@
 
     def _report(self, summary: Summary) -> None:
         raw, me = encode_body(summary), self.entry
-        for keeper in self.ports.keepers():
+        for keeper in self.ports.voters():
             self._send(keeper, pack(me.name, me.member, self.boot, keeper, raw))
 
     def _tell(self, event: Event) -> None:
@@ -195,7 +195,7 @@
     def _arm(self) -> None:
         """One timer for both."""
         due = self.subscriber.due if self.relay is None else min(self.subscriber.due, self.relay.due)
-        due = max(due, self.loop.clock() + STEP_LEAST)
+        due = max(due, self.loop.clock() + MIN_STEP_NS)
         if self._timer is None or self._timer.call is None or self._timer.at != due:
             if self._timer is not None:
                 self._timer.cancel()
@@ -210,12 +210,12 @@
     def feed(self) -> None:
         """Tell the relay what this member knows of the log."""
         if self.relay is not None:
-            news = news_for_relay(self.ports.history(), self.relay.log.newest, self.ports.age())
+            news = relay_update(self.ports.history(), self.relay.log.newest, self.ports.age())
             self._step_relay([news])
 
     def _feed_again(self) -> None:
         if not self._closed:
-            self.loop.call_in(FEED_EVERY, self._feed_again)
+            self.loop.call_in(FEED_INTERVAL_NS, self._feed_again)
             self.feed()
 
     def refusal(self, command: ChangeConfiguration) -> str:
@@ -225,11 +225,11 @@
             change = decode_change(command.change)
         except ChangeError as error:
             return str(error)
-        if history.known(change) is not None:
+        if history.recorded_answer(change) is not None:
             return ""  # a repeat: its answer stands
-        edits = history.resolved(change)
-        found = history.table.faults(edits, self.admissible.rules) or self.admissible.faults(edits)
-        return summed_up(found or self.admissible.leader_faults(history.table.values, edits))
+        edits = history.resolve_edits(change)
+        found = history.table.faults(edits, self.validator.rules) or self.validator.faults(edits)
+        return summarise_faults(found or self.validator.leader_faults(history.table.values, edits))
 
     # --- for people ---
 
@@ -237,11 +237,11 @@
         """The sums of all relays' summaries; of use on a keeper only."""
         now = self.loop.clock()
         subscriber = self.subscriber
-        told = [summary.newest for _, summary in self.sums.heard.values()]
+        told = [summary.newest for _, summary in self.summaries.newest_of.values()]
         # This keeper's log may be behind what its own broker already has in force.
         here = (self.ports.history().revision, subscriber.applier.revision, subscriber.chooser.newest)
         newest = max([*here, *told])
-        return self.sums.status(newest, self.ports.expected(), now)
+        return self.summaries.status(newest, self.ports.expected_brokers(), now)
 
     def status_page(self) -> dict[str, Any]:
         """``fleet``: of all brokers, on a keeper; null elsewhere. ``own``: of this broker."""
@@ -249,7 +249,7 @@
         page: dict[str, Any] = {
             "member": self.entry.member,
             "own": own,
-            "keepers": list(self.ports.keepers()),
+            "keepers": list(self.ports.voters()),
             "fleet": None,
             "everywhere": None,
             "lines": [],
@@ -281,7 +281,7 @@
     def _look(self) -> None:
         if self._closed:
             return
-        self.loop.call_in(LOOK_EVERY, self._look)
+        self.loop.call_in(METRICS_INTERVAL_NS, self._look)
         status = self.subscriber.status(self.loop.clock())
         figures = self._figures
         figures.revision.set(status.revision)
@@ -315,7 +315,7 @@
         )  # fmt: skip
 
 
-def distribution_of(
+def build_distribution(
     config: Config,
     entry: FleetEntry,
     section: DistributionEntry,
@@ -323,7 +323,7 @@
     edge: Edge,
     boot: int,
     seed: int,
-    expected: Callable[[], int],
+    expected_brokers: Callable[[], int],
     dropped: Callable[[str], None],
     log: Any,
     registry: CollectorRegistry,
@@ -332,18 +332,20 @@
     rules = Rules(frozenset(frozenset(names) for names in config.shards.sets().values()))
     members = frozenset({entry.member, *(peer.name for peer in entry.peers)})
     ports = Ports(
-        tell=edge.tell,
+        send=edge.tell,
         history=lambda: agreed.machine.configuration,
         age=agreed.age,
-        keepers=lambda: agreed.keepers,
-        expected=expected,
+        voters=lambda: agreed.keepers,
+        expected_brokers=expected_brokers,
         dropped=dropped,
     )
-    admissible = Admissible(rules, members)
-    return Distribution(entry, section, admissible, agreed.loop, boot, seed, ports, log, registry)
+    validator = ChangeValidator(rules, members)
+    return Distribution(entry, section, validator, agreed.loop, boot, seed, ports, log, registry)
 
 
-def routed(log: Callable[[bytes], None], distribution: Callable[[bytes], None]) -> Callable[[bytes], None]:
+def route_messages(
+    log: Callable[[bytes], None], distribution: Callable[[bytes], None]
+) -> Callable[[bytes], None]:
     """One connection carries both: messages of the distribution begin with their mark."""
 
     def receive(data: bytes) -> None:
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -229,16 +229,16 @@
         """Take part in the distribution of the configuration."""
         # Only where the configuration is distributed.
         from quincepath.fleet.configuration_requests import ConfigurationRequests
-        from quincepath.fleet.distribution import distribution_of, routed
+        from quincepath.fleet.distribution import build_distribution, route_messages
 
         assert self.agreed is not None
-        self.distribution = distribution_of(
+        self.distribution = build_distribution(
             config, self.entry, section, self.agreed, self.edge, boot, seed, self._expected, self._drop,
             self.log, registry,
         )  # fmt: skip
         self.requests = ConfigurationRequests(self.distribution, self.agreed)
-        self.edge.on_agreed = routed(self.agreed.receive, self.distribution.receive)
-        self.edge.on_way_lost = self.distribution.lost
+        self.edge.on_agreed = route_messages(self.agreed.receive, self.distribution.receive)
+        self.edge.on_way_lost = self.distribution.on_connection_lost
 
     def _expected(self) -> int:
         """Brokers that should have the newest configuration: all members but those that left."""
--- a/quincepath/lab/fleet/configuration_world/cases.py
+++ b/quincepath/lab/fleet/configuration_world/cases.py
@@ -302,7 +302,7 @@
         "outside_most_ms": round(outside_most, 1),
         "all_inside_at_newest_ms": round(inside_after, 1),
         "broker_bytes_to_catch_up": caught,
-        "snapshots_made": sum(relay.relay.slots.made for relay in world.relays.values()),
+        "snapshots_made": sum(relay.relay.slots.images_made for relay in world.relays.values()),
     }
     found = row("region cut off", world, world.voters.history.revision, figures)
     found.changes = changes
--- a/quincepath/lab/fleet/configuration_world/lean.py
+++ b/quincepath/lab/fleet/configuration_world/lean.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from quincepath.fleet.configuration.applying import Applied, Applier
+from quincepath.fleet.configuration.applier import Applied, Applier
 from quincepath.fleet.configuration.snapshots import Image
 from quincepath.fleet.configuration.subscriber import Subscriber
 from quincepath.fleet.configuration.table import ResourceTable, Rules
@@ -38,7 +38,7 @@
             return None
         self.needs_snapshot = False
         self._held = [delta for delta in self._held if delta.revision > image.revision]
-        return self._take(image.revision, ())
+        return self._advance_to(image.revision, ())
 
 
 class LeanSubscriber(Subscriber):
--- a/quincepath/lab/fleet/configuration_world/scenery.py
+++ b/quincepath/lab/fleet/configuration_world/scenery.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Mapping
 
-from quincepath.fleet.configuration.changes import EDITS_MOST, Change, Edit
+from quincepath.fleet.configuration.changes import MAX_EDITS, Change, Edit
 from quincepath.fleet.configuration.resources import encode_resource
 
 REMOVED = 0.1  # share of the changes of a node that remove it; the next change of it brings it back
@@ -24,8 +24,8 @@
 
 
 def initial_change(nodes: int, first: int = 0) -> Change:
-    """Nodes that are there from the beginning, up to ``EDITS_MOST`` in one change."""
-    numbers = range(first, min(first + EDITS_MOST, nodes))
+    """Nodes that are there from the beginning, up to ``MAX_EDITS`` in one change."""
+    numbers = range(first, min(first + MAX_EDITS, nodes))
     edits = tuple(Edit(node_name(number), None, node_value(number)) for number in numbers)
     return Change(f"initial {first}", "world", 0, edits)
 
--- a/quincepath/lab/fleet/configuration_world/world.py
+++ b/quincepath/lab/fleet/configuration_world/world.py
@@ -10,7 +10,6 @@
 from dataclasses import dataclass, field
 
 from quincepath.fleet.configuration.changes import Change
-from quincepath.fleet.configuration.choice import RelayPlace
 from quincepath.fleet.configuration.history import Answer
 from quincepath.fleet.configuration.messages import Deltas, Summary, unpack
 from quincepath.fleet.configuration.ports import (
@@ -27,9 +26,10 @@
     Send,
     SubscriberInput,
 )
-from quincepath.fleet.configuration.relay import Relay, RelayMembership
+from quincepath.fleet.configuration.relay import Relay, RelayIdentity
+from quincepath.fleet.configuration.relay_preference import RelayLocation
 from quincepath.fleet.configuration.snapshots import make_image
-from quincepath.fleet.configuration.subscriber import Membership, Subscriber
+from quincepath.fleet.configuration.subscriber import Subscriber, SubscriberIdentity
 from quincepath.lab.fleet.configuration_world.lean import LeanSubscriber
 from quincepath.lab.fleet.configuration_world.measures import Measures, Traffic
 from quincepath.lab.fleet.configuration_world.network import HEAD_BYTES, MS, SECOND, Network, VirtualNetwork
@@ -118,7 +118,7 @@
         self.voters = Voters(self.net, voters, self._from_voter)
         self.voters.on_commit = self._committed
         self.places = [
-            RelayPlace(f"r{place:02}", str(place % shape.regions)) for place in range(shape.relays)
+            RelayLocation(f"r{place:02}", str(place % shape.regions)) for place in range(shape.relays)
         ]
         self.relays: dict[str, RelayProcess] = {}
         self.brokers: dict[str, BrokerProcess] = {}
@@ -160,7 +160,7 @@
         place = next(place for place in self.places if place.name == name)
         self.net.region[name] = int(place.region)
         relay = self._make_relay(
-            RelayMembership(FLEET, name, self._boots), self.now, self.shape.subscribers_most
+            RelayIdentity(FLEET, name, self._boots), self.now, self.shape.subscribers_most
         )
         process = RelayProcess(name, relay, voter_heard_at=self.now)
         near = [
@@ -180,7 +180,7 @@
         number = int(name[1:])
         zone = number % self.shape.zones
         self.net.region[name] = zone % self.shape.regions
-        me = Membership(FLEET, name, str(self.net.region[name]), self._boots)
+        me = SubscriberIdentity(FLEET, name, str(self.net.region[name]), self._boots)
         subscriber = self._make_subscriber(me, self.places, self.seed, self.now)
         process = BrokerProcess(name, subscriber, zone, began_at=self.now)
         before = self.brokers.get(name)
--- a/tests/fleet/configuration/ends.py
+++ b/tests/fleet/configuration/harness.py
@@ -3,7 +3,6 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from quincepath.fleet.configuration.choice import MS, RelayPlace
 from quincepath.fleet.configuration.messages import Body, Heartbeat, encode_body, pack, unpack
 from quincepath.fleet.configuration.ports import (
     Apply,
@@ -16,12 +15,13 @@
     SubscriberInput,
     SubscriberOutput,
 )
-from quincepath.fleet.configuration.relay import Relay, RelayMembership
-from quincepath.fleet.configuration.subscriber import Membership, Subscriber
+from quincepath.fleet.configuration.relay import Relay, RelayIdentity
+from quincepath.fleet.configuration.relay_preference import MS, RelayLocation
+from quincepath.fleet.configuration.subscriber import Subscriber, SubscriberIdentity
 from quincepath.fleet.configuration.table import NO_RULES, Rules
 
 FLEET = "test"
-PLACES = [RelayPlace("r1", "east"), RelayPlace("r2", "east"), RelayPlace("r3", "west")]
+PLACES = [RelayLocation("r1", "east"), RelayLocation("r2", "east"), RelayLocation("r3", "west")]
 
 
 def sent(outputs: Sequence[SubscriberOutput | RelayOutput]) -> list[tuple[str, Body]]:
@@ -38,12 +38,12 @@
     """A subscriber; the test speaks as its relays. ``sent``: what it said since last read."""
 
     rules: Rules = NO_RULES
-    places: list[RelayPlace] = field(default_factory=lambda: list(PLACES))
+    places: list[RelayLocation] = field(default_factory=lambda: list(PLACES))
     now: int = 0
     outputs: list[SubscriberOutput] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        me = Membership(FLEET, "b1", "east", 7)
+        me = SubscriberIdentity(FLEET, "b1", "east", 7)
         self.subscriber = Subscriber(me, self.places, 1, self.now, self.rules)
 
     def step(self, *inputs: SubscriberInput) -> list[tuple[str, Body]]:
@@ -86,11 +86,11 @@
 class RelayEnd:
     """A relay; the test speaks as its subscribers and its voter."""
 
-    subscribers_most: int = 10
+    max_subscribers: int = 10
     now: int = 0
 
     def __post_init__(self) -> None:
-        self.relay = Relay(RelayMembership(FLEET, "r1", 1), self.now, self.subscribers_most)
+        self.relay = Relay(RelayIdentity(FLEET, "r1", 1), self.now, self.max_subscribers)
         self.outputs: list[RelayOutput] = []
 
     def step(self, *inputs: RelayInput) -> list[tuple[str, Body]]:
--- a/tests/fleet/configuration/test_changes.py
+++ b/tests/fleet/configuration/test_changes.py
@@ -4,9 +4,9 @@
 import pytest
 
 from quincepath.fleet.configuration.changes import (
-    CHANGE_BYTES_MOST,
-    EDITS_MOST,
-    VALUE_BYTES_MOST,
+    MAX_CHANGE_BYTES,
+    MAX_EDITS,
+    MAX_VALUE_BYTES,
     Change,
     ChangeError,
     Edit,
@@ -54,7 +54,7 @@
         (Edit("node/", None, b"1"), "regex"),
         (Edit("node/a\nb", None, b"1"), "regex"),
         (Edit("node/" + "x" * 300, None, b"1"), "length"),
-        (Edit("node/n1", None, b"x" * (VALUE_BYTES_MOST + 1)), "length"),
+        (Edit("node/n1", None, b"x" * (MAX_VALUE_BYTES + 1)), "length"),
     ],
 )
 def test_a_name_or_value_beyond_its_bound(wrong: Edit, word: str) -> None:
@@ -65,13 +65,13 @@
 
 def test_a_change_without_id_or_with_too_many_edits() -> None:
     assert "length" in refused(change(Edit("node/n1", None, b"1"), id=""))
-    many = tuple(Edit(f"node/n{number}", None, b"1") for number in range(EDITS_MOST + 1))
+    many = tuple(Edit(f"node/n{number}", None, b"1") for number in range(MAX_EDITS + 1))
     assert "length" in refused(change(*many))
 
 
 def test_a_change_beyond_the_bytes_of_a_command() -> None:
     many = tuple(Edit(f"node/n{number}", None, b"x" * 4000) for number in range(30))
-    assert f"expected at most {CHANGE_BYTES_MOST}; divide it" in refused(change(*many))
+    assert f"expected at most {MAX_CHANGE_BYTES}; divide it" in refused(change(*many))
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x93", b"\x95\xa1\xff\x01\x02\x03\x04", b"\x00" * 50])
--- a/tests/fleet/configuration/test_fuzz.py
+++ b/tests/fleet/configuration/test_fuzz.py
@@ -7,7 +7,6 @@
 
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.configuration.changes import ChangeError, Delta, Edit, decode_change, encode_change
-from quincepath.fleet.configuration.choice import MS
 from quincepath.fleet.configuration.messages import (
     Ack,
     Body,
@@ -23,10 +22,11 @@
     pack,
 )
 from quincepath.fleet.configuration.ports import Committed, Received
+from quincepath.fleet.configuration.relay_preference import MS
 from quincepath.fleet.configuration.snapshots import Image, make_image, read_image
 from quincepath.fleet.permits import Permits
-from tests.fleet.configuration.ends import FLEET, RelayEnd, SubscriberEnd
-from tests.fleet.configuration.made import change, tenant, weights
+from tests.fleet.configuration.builders import change, tenant, weights
+from tests.fleet.configuration.harness import FLEET, RelayEnd, SubscriberEnd
 
 FIVE = tuple(weights("a", 1.0, 2.0, 3.0, 4.0, 5.0))
 IMAGE = make_image(5, {"tenant/a": tenant("a", 5.0)})
--- a/tests/fleet/configuration/test_history.py
+++ b/tests/fleet/configuration/test_history.py
@@ -4,8 +4,8 @@
 
 from quincepath.fleet.configuration.changes import Edit
 from quincepath.fleet.configuration.delta_log import DeltaLog
-from quincepath.fleet.configuration.history import ANSWERS_MOST, History
-from tests.fleet.configuration.made import change, node, tenant, weights
+from quincepath.fleet.configuration.history import MAX_ANSWERS, History
+from tests.fleet.configuration.builders import change, node, tenant, weights
 
 
 def history(*values: float) -> History:
@@ -24,7 +24,7 @@
     found = history(1.0)
     first = change("mine", Edit("tenant/a", tenant("a", 1.0), tenant("a", 2.0)))
     second = change("yours", Edit("tenant/a", tenant("a", 1.0), tenant("a", 5.0)))
-    assert not found.propose_faults(first) and not found.propose_faults(second)
+    assert not found.proposal_faults(first) and not found.proposal_faults(second)
     assert found.apply(first).revision == 2
     refused = found.apply(second)
     assert refused.revision == 0 and found.revision == 2
@@ -66,7 +66,7 @@
 def test_a_value_that_the_schema_refuses_is_committed() -> None:
     found = history(1.0)
     wrong = change("wrong", Edit("tenant/b", None, tenant("b", 1000.0)))
-    assert found.propose_faults(wrong)
+    assert found.proposal_faults(wrong)
     assert "tenant/b.weight" in found.apply(wrong).reason
     assert found.revision == 1
 
@@ -121,7 +121,7 @@
 
 
 def test_a_rollback_of_a_revision_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quincepath.fleet.configuration.delta_log.DELTAS_MOST", 2)
+    monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTAS", 2)
     found = history(1.0, 2.0, 3.0)
     told = found.apply(change("undo", rolls_back=1)).reason
     assert told == "rolls_back: 1; expected a revision from 2 to 3"
@@ -158,14 +158,14 @@
 
 
 def test_answers_are_kept_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert ANSWERS_MOST >= 2 * 4000 - 1
-    monkeypatch.setattr("quincepath.fleet.configuration.history.ANSWERS_MOST", 3)
+    assert MAX_ANSWERS >= 2 * 4000 - 1
+    monkeypatch.setattr("quincepath.fleet.configuration.history.MAX_ANSWERS", 3)
     found = history(1.0, 2.0, 3.0, 4.0, 5.0)
     assert list(found.answers) == ["c3", "c4", "c5"]
 
 
 def test_the_delta_log_grows_without_end_or_tears(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quincepath.fleet.configuration.delta_log.DELTAS_MOST", 3)
+    monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTAS", 3)
     log = DeltaLog(0, weights("a", 1.0, 2.0, 3.0, 4.0, 5.0))
     assert (len(log), log.floor, log.newest) == (3, 2, 5)
     assert log.since(1) is None
@@ -179,6 +179,6 @@
 
 
 def test_the_delta_log_outgrows_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quincepath.fleet.configuration.delta_log.DELTA_LOG_BYTES_MOST", 100)
+    monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTA_LOG_BYTES", 100)
     log = DeltaLog(0, weights("a", *map(float, range(1, 30))))
     assert log.bytes <= 100 and log.newest == 29 and log.floor == 29 - len(log)
--- a/tests/fleet/configuration/test_wiring.py
+++ b/tests/fleet/configuration/test_log_commands.py
@@ -10,12 +10,12 @@
 from quincepath.fleet.agreement.core.follower import Follower
 from quincepath.fleet.agreement.entries import COMMAND_MOST, Entry
 from quincepath.fleet.agreement.messages import Followed, Whole
-from quincepath.fleet.configuration.changes import CHANGE_BYTES_MOST, Change, Edit, encode_change
-from quincepath.fleet.configuration.commands import ChangeConfiguration, news_for_relay, refusal_before
+from quincepath.fleet.configuration.changes import MAX_CHANGE_BYTES, Change, Edit, encode_change
+from quincepath.fleet.configuration.commands import ChangeConfiguration, proposal_refusal, relay_update
 from quincepath.fleet.configuration.ports import Committed, Loaded
-from quincepath.fleet.configuration.relay import Relay, RelayMembership
+from quincepath.fleet.configuration.relay import Relay, RelayIdentity
 from quincepath.fleet.permits import SCHEMA, Back, Begun, Close, Command, Grant, Halt, Permits, Resume, encode
-from tests.fleet.configuration.made import change, tenant
+from tests.fleet.configuration.builders import change, tenant
 
 
 def command(told: Change) -> ChangeConfiguration:
@@ -81,7 +81,7 @@
 
 def test_the_largest_change_does_not_fit_a_command() -> None:
     edits: list[Edit] = []
-    while len(encode_change(change("big", *edits, Edit("tenant/x", None, b"")))) < CHANGE_BYTES_MOST - 4200:
+    while len(encode_change(change("big", *edits, Edit("tenant/x", None, b"")))) < MAX_CHANGE_BYTES - 4200:
         edits.append(Edit(f"tenant/{len(edits)}", None, b"x" * 4096))
     assert len(encode(command(change("big", *edits)))) <= COMMAND_MOST
 
@@ -89,19 +89,21 @@
 def test_what_is_wrong_with_a_command_is_proposed() -> None:
     found = machine(weight("one", None, 1.0), weight("two", 1.0, 2.0))
     history = found.configuration
-    assert refusal_before(history, weight("new", 2.0, 3.0)) == ""
-    assert refusal_before(history, weight("one", None, 1.0, at=5)) == ""  # a repeat: its answer is known
-    assert "used for another change" in refusal_before(history, weight("one", 2.0, 9.0))
-    assert "the old value that the change names" in refusal_before(history, weight("new", 1.0, 3.0))
-    assert "less than or equal to 100" in refusal_before(history, weight("new", 2.0, 300.0))
-    assert "edits: none" in refusal_before(
+    assert proposal_refusal(history, weight("new", 2.0, 3.0)) == ""
+    assert proposal_refusal(history, weight("one", None, 1.0, at=5)) == ""  # a repeat: its answer is known
+    assert "used for another change" in proposal_refusal(history, weight("one", 2.0, 9.0))
+    assert "the old value that the change names" in proposal_refusal(history, weight("new", 1.0, 3.0))
+    assert "less than or equal to 100" in proposal_refusal(history, weight("new", 2.0, 300.0))
+    assert "edits: none" in proposal_refusal(
         history, ChangeConfiguration("new", "ann", 1, b"\x95\xa3new\xa3ann\x01\x90\x00")
     )
-    assert "expected `array`, got `int`" in refusal_before(
+    assert "expected `array`, got `int`" in proposal_refusal(
         history, ChangeConfiguration("new", "ann", 1, b"x")
     )
     other = ChangeConfiguration("other", "ann", 1, weight("new", 2.0, 3.0).change)
-    assert refusal_before(history, other) == "id: 'new' in the change; expected 'other', as the command says"
+    assert (
+        proposal_refusal(history, other) == "id: 'new' in the change; expected 'other', as the command says"
+    )
     for wrong in (other, ChangeConfiguration("bad", "ann", 1, b"x")):
         found.apply(Entry(3, 1, encode(wrong)))
         assert "expected" in found.state.results[wrong.id]
@@ -130,10 +132,10 @@
 
 def test_a_relay_beside_the_log_misses_a_change() -> None:
     found = machine(weight("one", None, 1.0))
-    relay = Relay(RelayMembership("test", "r1", 1), 0)
+    relay = Relay(RelayIdentity("test", "r1", 1), 0)
 
     def told() -> Committed | Loaded:
-        news = news_for_relay(found.configuration, relay.log.newest)
+        news = relay_update(found.configuration, relay.log.newest)
         relay.step(0, [news])
         assert (relay.log.newest, relay.values) == (found.configuration.revision, values(found))
         return news
@@ -143,7 +145,7 @@
     assert isinstance(told(), Committed)
     for number in range(3, 6):
         found.apply(Entry(number, 1, encode(weight(str(number), float(number - 1), float(number)))))
-    found.configuration.log.forget(4)
+    found.configuration.log.compact(4)
     news = told()
     assert isinstance(news, Loaded) and [delta.revision for delta in news.deltas] == [5]
     assert told() == Committed(5, ())
--- a/tests/fleet/configuration/test_properties.py
+++ b/tests/fleet/configuration/test_properties.py
@@ -12,15 +12,15 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from quincepath.fleet.configuration.applying import Applied, Applier
+from quincepath.fleet.configuration.applier import Applied, Applier
 from quincepath.fleet.configuration.changes import Change, Delta, Edit
 from quincepath.fleet.configuration.changes import Fault as ChangeFault
 from quincepath.fleet.configuration.snapshots import Image, read_image
-from quincepath.fleet.configuration.subscriber import Membership, Subscriber
-from quincepath.fleet.configuration.table import difference
+from quincepath.fleet.configuration.subscriber import Subscriber, SubscriberIdentity
+from quincepath.fleet.configuration.table import diff_values
 from quincepath.lab.fleet.configuration_world import MS, SECOND, Network
 from quincepath.lab.fleet.configuration_world.world import ConfigurationWorld, Shape
-from tests.fleet.configuration.made import tenant
+from tests.fleet.configuration.builders import tenant
 
 BROKERS, RELAYS = 6, 3
 SOUND = Network()
@@ -64,7 +64,7 @@
 class Picky(Subscriber):
     """Every second broker refuses the poison."""
 
-    def __init__(self, me: Membership, *args: Any) -> None:
+    def __init__(self, me: SubscriberIdentity, *args: Any) -> None:
         super().__init__(me, *args)
         if int(me.name[1:]) % 2:
             self.applier.check = refuses_poison
@@ -126,9 +126,9 @@
                 world.voters.revive(name)
         case "compact":
             log = world.voters.history.log
-            log.forget(log.newest)
+            log.compact(log.newest)
             for process in world.relays.values():
-                process.relay.log.forget(log.newest)
+                process.relay.log.compact(log.newest)
 
 
 def play(
@@ -188,8 +188,8 @@
         if image.revision <= self.revision:
             return None
         self.needs_snapshot = False
-        edits = difference(self.table.values, read_image(image).values)
-        return self._take(image.revision, tuple(edit for edit in edits if edit.new is not None))
+        edits = diff_values(self.table.values, read_image(image).values)
+        return self._advance_to(image.revision, tuple(edit for edit in edits if edit.new is not None))
 
 
 class _JumpsGaps(Applier):
--- a/tests/fleet/configuration/test_relay.py
+++ b/tests/fleet/configuration/test_relay.py
@@ -4,9 +4,9 @@
 
 from quincepath.fleet.configuration.changes import Delta, Edit
 from quincepath.fleet.configuration.messages import (
-    LISTED_LAGGARDS_MOST,
-    LISTED_REFUSALS_MOST,
-    LISTED_REVISIONS_MOST,
+    MAX_LISTED_LAGGARDS,
+    MAX_LISTED_REFUSALS,
+    MAX_LISTED_REVISIONS,
     PIECE_BYTES,
     Ack,
     Body,
@@ -29,14 +29,14 @@
 from quincepath.fleet.configuration.slots import SLOTS
 from quincepath.fleet.configuration.snapshots import Assembly, read_image
 from quincepath.fleet.messages import COUNTER_MOST, Rejected
-from tests.fleet.configuration.ends import FLEET, RelayEnd, events
-from tests.fleet.configuration.made import tenant, weights
+from tests.fleet.configuration.builders import tenant, weights
+from tests.fleet.configuration.harness import FLEET, RelayEnd, events
 
 FIVE = tuple(weights("a", 1.0, 2.0, 3.0, 4.0, 5.0))
 
 
-def relay(*deltas: Delta, subscribers_most: int = 10) -> RelayEnd:
-    end = RelayEnd(subscribers_most)
+def relay(*deltas: Delta, max_subscribers: int = 10) -> RelayEnd:
+    end = RelayEnd(max_subscribers)
     end.step(Committed(len(deltas), deltas))
     return end
 
@@ -155,7 +155,7 @@
 
 def behind(count: int) -> RelayEnd:
     """A relay whose deltas reach back to revision 3, and so many subscribers at revision 0."""
-    end = RelayEnd(subscribers_most=count + 10)
+    end = RelayEnd(max_subscribers=count + 10)
     end.step(Loaded(5, {"tenant/a": tenant("a", 5.0)}, FIVE[3:]))
     for number in range(count):
         end.hear(f"b{number}", Subscribe(0, 0))
@@ -163,7 +163,7 @@
 
 
 def test_a_herd_that_needs_snapshots_gets_them_all_at_once_or_stops_the_changes() -> None:
-    end = RelayEnd(subscribers_most=100)
+    end = RelayEnd(max_subscribers=100)
     end.step(Loaded(5, {"tenant/a": tenant("a", 5.0)}, FIVE[3:]))
     end.hear("calm", Subscribe(5, 5))
     served: list[str] = []
@@ -177,7 +177,7 @@
                 assert not body.full and body.waiting == len(busy)
                 busy.append(name)
     assert len(served) == SLOTS and len(busy) == 50 - SLOTS
-    assert end.relay.slots.made == 1
+    assert end.relay.slots.images_made == 1
     more = Delta(6, (Edit("tenant/b", None, tenant("b", 1.0)),))
     assert revisions(end.step(Committed(6, (more,))), "calm") == [6]
     reached = list(served)
@@ -268,7 +268,7 @@
     assert not end.relay.slots.slots
     [piece] = told(end.step(Committed(5, FIVE[4:])), "b2")
     assert isinstance(piece, SnapshotPiece) and piece.revision == 5
-    assert end.relay.slots.made == 2
+    assert end.relay.slots.images_made == 2
 
 
 def test_a_subscriber_far_behind_gets_a_thousand_deltas() -> None:
@@ -281,7 +281,7 @@
 
 
 def test_a_full_table_takes_one_more_or_says_nothing() -> None:
-    end = relay(*FIVE, subscribers_most=2)
+    end = relay(*FIVE, max_subscribers=2)
     end.hear("b1", Subscribe(5, 5))
     end.hear("b2", Subscribe(5, 5))
     assert end.hear("b3", Subscribe(5, 5)) == [("b3", Busy(True))]
@@ -343,14 +343,14 @@
 
 
 def test_a_summary_grows_with_the_fleet() -> None:
-    end = relay(*weights("a", *(1.0 + number % 2 for number in range(500))), subscribers_most=1000)
+    end = relay(*weights("a", *(1.0 + number % 2 for number in range(500))), max_subscribers=1000)
     for number in range(400):
         end.hear(f"b{number:03}", Subscribe(number, number))
         end.hear(f"b{number:03}", Nack(number, number + 1, number + 1, "tenant/" + "x" * 200, "y" * 400))
     found = summary(end)
-    assert len(found.counts) == LISTED_REVISIONS_MOST and found.older == 400 - LISTED_REVISIONS_MOST
-    assert len(found.laggards) == LISTED_LAGGARDS_MOST and found.behind == 400
-    assert len(found.refusals) == LISTED_REFUSALS_MOST and found.refused == 400
+    assert len(found.counts) == MAX_LISTED_REVISIONS and found.older == 400 - MAX_LISTED_REVISIONS
+    assert len(found.laggards) == MAX_LISTED_LAGGARDS and found.behind == 400
+    assert len(found.refusals) == MAX_LISTED_REFUSALS and found.refused == 400
     assert len(bytes(encode_body(found))) < 16_000
 
 
--- a/tests/fleet/configuration/test_resources.py
+++ b/tests/fleet/configuration/test_resources.py
@@ -4,9 +4,9 @@
 import pytest
 
 from quincepath.fleet.configuration.changes import ChangeError, Edit
-from quincepath.fleet.configuration.resources import decode_resource, encode_resource, shown
-from quincepath.fleet.configuration.table import ResourceTable, Rules, difference, merged
-from tests.fleet.configuration.made import node, query_class, tenant, weights
+from quincepath.fleet.configuration.resources import decode_resource, encode_resource, format_value
+from quincepath.fleet.configuration.table import ResourceTable, Rules, diff_values, merge_deltas
+from tests.fleet.configuration.builders import node, query_class, tenant, weights
 
 
 def refused(name: str, value: bytes) -> list[str]:
@@ -102,10 +102,10 @@
 
 def test_too_many_resources_or_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     held = table(a=1)
-    monkeypatch.setattr("quincepath.fleet.configuration.table.RESOURCES_MOST", 1)
+    monkeypatch.setattr("quincepath.fleet.configuration.table.MAX_RESOURCES", 1)
     assert "resources: 2; expected at most 1" in str(held.faults([put("b", 2, held)])[0])
     assert not held.faults([put("b", 2, held), Edit("node/a", held.values["node/a"], None)])
-    monkeypatch.setattr("quincepath.fleet.configuration.table.TABLE_BYTES_MOST", held.bytes)
+    monkeypatch.setattr("quincepath.fleet.configuration.table.MAX_TABLE_BYTES", held.bytes)
     assert not held.faults([put("a", 2, held)])
     assert held.faults([put("a", 20, held)])
 
@@ -129,9 +129,9 @@
 
 def test_merged_deltas_lead_elsewhere() -> None:
     deltas = weights("a", 1.0, 2.0, 3.0)
-    [edit] = merged(deltas)
+    [edit] = merge_deltas(deltas)
     assert (edit.old, edit.new) == (None, tenant("a", 3.0))
-    back = merged(
+    back = merge_deltas(
         [*deltas[1:], *[type(deltas[0])(4, (Edit("tenant/a", tenant("a", 3.0), tenant("a", 1.0)),))]]
     )
     assert back == ()
@@ -140,10 +140,10 @@
 def test_the_difference_of_two_tables_leads_elsewhere() -> None:
     before = {"a/1": b"1", "a/2": b"2", "a/3": b"3"}
     after = {"a/2": b"2", "a/3": b"x", "a/4": b"4"}
-    assert set(difference(before, after)) == {
+    assert set(diff_values(before, after)) == {
         Edit("a/1", b"1", None), Edit("a/3", b"3", b"x"), Edit("a/4", None, b"4"),
     }  # fmt: skip
-    assert difference(after, after) == ()
+    assert diff_values(after, after) == ()
 
 
 def test_a_value_of_another_version_breaks_the_table() -> None:
@@ -154,4 +154,4 @@
 def test_a_value_nested_as_deep_as_its_bytes_allow_ends_the_reader() -> None:
     deep = b"\x81\xa1x" + b"\x91" * 4000 + b"\x90"
     assert "a msgpack map" in refused("node/x", deep)[0]
-    assert shown(deep) == f"{len(deep)} bytes that are no msgpack"
+    assert format_value(deep) == f"{len(deep)} bytes that are no msgpack"
--- a/tests/fleet/configuration/test_status.py
+++ b/tests/fleet/configuration/test_status.py
@@ -1,14 +1,14 @@
 """Sums that leave a broker out, count a silent relay, or call a change in force before it is."""
 
-from quincepath.fleet.configuration.choice import SECOND
 from quincepath.fleet.configuration.messages import (
-    LISTED_LAGGARDS_MOST,
+    MAX_LISTED_LAGGARDS,
     Laggard,
     Refusal,
     RevisionCount,
     Summary,
 )
-from quincepath.fleet.configuration.status import RELAYS_MOST, StatusSums
+from quincepath.fleet.configuration.relay_preference import SECOND
+from quincepath.fleet.configuration.status import MAX_RELAYS, RelaySummaries
 from quincepath.lab.fleet.configuration_world.world import ConfigurationWorld, Shape
 
 
@@ -21,13 +21,13 @@
 
 
 def test_a_change_is_called_in_force_before_all_have_it() -> None:
-    sums = StatusSums()
-    sums.hear("r1", summary(5, {5: 10}), 0)
-    sums.hear("r2", summary(5, {5: 8, 4: 1}, Laggard("b7", 4, 2500)), 0)
+    sums = RelaySummaries()
+    sums.record("r1", summary(5, {5: 10}), 0)
+    sums.record("r2", summary(5, {5: 8, 4: 1}, Laggard("b7", 4, 2500)), 0)
     found = sums.status(5, 20, SECOND)
     assert (found.in_force, found.behind, found.missing, found.oldest_behind_ms) == (18, 1, 1, 2500)
     assert not found.everywhere
-    sums.hear("r2", summary(5, {5: 10}), SECOND)
+    sums.record("r2", summary(5, {5: 10}), SECOND)
     assert sums.status(5, 20, SECOND).everywhere
     assert not sums.status(5, 21, SECOND).everywhere
     # A relay that has not heard of revision 6 calls nobody behind; the voter knows better.
@@ -36,9 +36,9 @@
 
 
 def test_a_silent_relay_is_counted() -> None:
-    sums = StatusSums()
-    sums.hear("r1", summary(5, {5: 10}), 0)
-    sums.hear("r2", summary(5, {5: 10}), 9 * SECOND)
+    sums = RelaySummaries()
+    sums.record("r1", summary(5, {5: 10}), 0)
+    sums.record("r2", summary(5, {5: 10}), 9 * SECOND)
     found = sums.status(5, 20, 11 * SECOND)
     assert (found.subscribed, found.missing) == (10, 10)
     assert [(relay.name, relay.counted, relay.heard_ms) for relay in found.relays] == [
@@ -49,23 +49,23 @@
 
 
 def test_sums_grow_with_the_fleet() -> None:
-    sums = StatusSums()
+    sums = RelaySummaries()
     rows = tuple(Laggard(f"b{number:02}", 1, number) for number in range(30))
-    for relay in range(RELAYS_MOST):
-        assert sums.hear(f"r{relay}", summary(100, {relay: 30}, *rows), 0)
-    assert not sums.hear("one more", summary(100, {100: 1}), 0)
-    assert sums.hear("r0", summary(100, {0: 30}), 0)
+    for relay in range(MAX_RELAYS):
+        assert sums.record(f"r{relay}", summary(100, {relay: 30}, *rows), 0)
+    assert not sums.record("one more", summary(100, {100: 1}), 0)
+    assert sums.record("r0", summary(100, {0: 30}), 0)
     found = sums.status(100, 3000, 0)
-    assert len(found.laggards) == LISTED_LAGGARDS_MOST and found.laggards[0].behind == 29
-    assert found.older == 30 * (RELAYS_MOST - len(found.counts)) and found.behind == 3000
+    assert len(found.laggards) == MAX_LISTED_LAGGARDS and found.laggards[0].behind == 29
+    assert found.older == 30 * (MAX_RELAYS - len(found.counts)) and found.behind == 3000
     sums.forget("r1")
-    assert sums.hear("one more", summary(100, {100: 1}), 0)
+    assert sums.record("one more", summary(100, {100: 1}), 0)
 
 
 def test_people_are_not_told_who_refuses_what() -> None:
-    sums = StatusSums()
+    sums = RelaySummaries()
     refusal = Refusal("b3", 4, 5, "node/n1", "node/n1.shards: s9; expected a whole replica set")
-    sums.hear("r1", summary(5, {5: 1, 4: 1}, Laggard("b3", 4, 61_000), refusals=(refusal,)), 0)
+    sums.record("r1", summary(5, {5: 1, 4: 1}, Laggard("b3", 4, 61_000), refusals=(refusal,)), 0)
     lines = sums.status(5, 2, 0).lines()
     assert lines[0] == "revision 5: in force at 1 of 2 brokers, 1 behind, 1 refuse, 0 at no relay"
     assert "  behind: b3 at 4 for 61.0 s" in lines
@@ -75,9 +75,9 @@
 def test_the_sums_of_a_world_differ_from_its_brokers() -> None:
     world = ConfigurationWorld(Shape(30), 1)
     world.run(10 * SECOND)
-    sums = StatusSums()
+    sums = RelaySummaries()
     for name, process in world.relays.items():
         assert process.summary is not None
-        sums.hear(name, process.summary, world.now)
+        sums.record(name, process.summary, world.now)
     found = sums.status(world.voters.history.revision, 30, world.now)
     assert found.everywhere and found.subscribed == 30 and found.refused == 0
--- a/tests/fleet/configuration/test_subscriber.py
+++ b/tests/fleet/configuration/test_subscriber.py
@@ -2,10 +2,8 @@
 
 import pytest
 
-from quincepath.fleet.configuration.applying import HELD_DELTAS_MOST, Applier
+from quincepath.fleet.configuration.applier import MAX_HELD_DELTAS, Applier
 from quincepath.fleet.configuration.changes import Delta, Edit
-from quincepath.fleet.configuration.choice import MS, RelayPlace, preference
-from quincepath.fleet.configuration.choosing import HOME_AGAIN, LOOK_AGAIN, SILENT
 from quincepath.fleet.configuration.messages import (
     PIECE_BYTES,
     Ack,
@@ -23,10 +21,16 @@
     pack,
 )
 from quincepath.fleet.configuration.ports import Received
+from quincepath.fleet.configuration.relay_chooser import (
+    FAILBACK_INTERVAL_NS,
+    RELAY_TIMEOUT_NS,
+    SEARCH_INTERVAL_NS,
+)
+from quincepath.fleet.configuration.relay_preference import MS, RelayLocation, rank_relays
 from quincepath.fleet.configuration.snapshots import Image, make_image
 from quincepath.fleet.configuration.table import Rules
-from tests.fleet.configuration.ends import FLEET, PLACES, SubscriberEnd, events
-from tests.fleet.configuration.made import node, tenant, weights
+from tests.fleet.configuration.builders import node, tenant, weights
+from tests.fleet.configuration.harness import FLEET, PLACES, SubscriberEnd, events
 
 
 def deltas(*found: Delta, newest: int = 0) -> Deltas:
@@ -158,11 +162,11 @@
     applier = Applier()
     bad = Delta(1, (Edit("tenant/b", None, tenant("b", 5000.0)),))
     assert applier.hold([bad]) and applier.apply_held() is None
-    for delta in weights("a", *(1.0 + number % 2 for number in range(HELD_DELTAS_MOST + 5))):
+    for delta in weights("a", *(1.0 + number % 2 for number in range(MAX_HELD_DELTAS + 5))):
         later = Delta(delta.revision + 1, delta.edits)
         if not applier.hold([later]):
             break
-    assert applier.needs_snapshot and applier.received == 0 and later.revision == HELD_DELTAS_MOST + 1
+    assert applier.needs_snapshot and applier.received == 0 and later.revision == MAX_HELD_DELTAS + 1
     assert applier.apply_snapshot(make_image(2000, {"tenant/a": tenant("a", 1.0)}))
     assert applier.revision == 2000 and not applier.needs_snapshot and applier.refused is None
 
@@ -284,10 +288,10 @@
 
 
 def test_a_broker_asks_a_far_relay_first_or_all_ask_one() -> None:
-    places = [RelayPlace(f"r{number}", "east" if number < 5 else "west") for number in range(10)]
+    places = [RelayLocation(f"r{number}", "east" if number < 5 else "west") for number in range(10)]
     firsts = []
     for number in range(1000):
-        order = preference(f"b{number}", "east", places)
+        order = rank_relays(f"b{number}", "east", places)
         assert sorted(order) == sorted(place.name for place in places)
         assert set(order[:5]) == {place.name for place in places[:5]}
         firsts.append(order[0])
@@ -295,7 +299,7 @@
     fewer = [place for place in places if place.name != "r2"]
     for number in range(1000):
         if firsts[number] != "r2":
-            assert preference(f"b{number}", "east", fewer)[0] == firsts[number]
+            assert rank_relays(f"b{number}", "east", fewer)[0] == firsts[number]
 
 
 def test_a_relay_that_does_not_answer_is_waited_for() -> None:
@@ -309,7 +313,7 @@
 def test_a_silent_relay_is_kept() -> None:
     end = SubscriberEnd()
     relay = end.served()
-    told = end.wait(SILENT // MS - 400)
+    told = end.wait(RELAY_TIMEOUT_NS // MS - 400)
     assert not asked(told)
     told = end.wait(800)
     assert (relay, Unsubscribe()) in told
@@ -368,8 +372,8 @@
     assert sorted([relay, *tried]) == ["r1", "r2", "r3"]
     assert end.subscriber.chooser.current == relay
     # All are old: this region is cut off. Others are asked again after long only.
-    assert until_asked(end, relay, 9000, LOOK_AGAIN // 2 // MS - 200) == []
-    assert until_asked(end, relay, 9000, LOOK_AGAIN // MS + 400)
+    assert until_asked(end, relay, 9000, SEARCH_INTERVAL_NS // 2 // MS - 200) == []
+    assert until_asked(end, relay, 9000, SEARCH_INTERVAL_NS // MS + 400)
 
 
 def test_a_broker_never_goes_home_or_leaves_before_home_serves() -> None:
@@ -379,7 +383,7 @@
     end.lose(home)
     [other] = asked(end.wait(250))
     end.hear(other, Heartbeat(0, 0))
-    tried = until_asked(end, other, 0, HOME_AGAIN * 3 // 2 // MS + 200)
+    tried = until_asked(end, other, 0, FAILBACK_INTERVAL_NS * 3 // 2 // MS + 200)
     assert tried == [home] and end.subscriber.chooser.current == other
     end.hear(home, Heartbeat(0, 0))
     assert end.subscriber.chooser.current == home
--- a/tests/fleet/distribution/test_nodes.py
+++ b/tests/fleet/distribution/test_nodes.py
@@ -10,7 +10,7 @@
 from quincepath.membership.source import MembershipSource, node_id
 from quincepath.membership.state import HolderInfo, MembershipState
 from quincepath.shards.shardmap import ShardMap
-from tests.fleet.distribution.inside import SHARDS, node
+from tests.fleet.distribution.virtual_fleet import SHARDS, node
 
 ALL = 12_000
 
--- a/tests/fleet/distribution/test_inside.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -6,10 +6,10 @@
 import pytest
 
 from quincepath.fleet.configuration.messages import Deltas, Heartbeat, Subscribe, encode_body, pack, unpack
-from tests.fleet.distribution.inside import (
+from tests.fleet.distribution.virtual_fleet import (
     KEEPERS,
     RELAYS,
-    InsideFleet,
+    VirtualFleet,
     node,
     region_of,
     running,
@@ -20,14 +20,14 @@
 IN_FORCE = 7.0  # seconds of virtual time, until a change is in force everywhere
 
 
-def begun(world: InsideFleet) -> None:
+def begun(world: VirtualFleet) -> None:
     """All have the whole list of nodes, at revision 1."""
     answer = world.propose("m7", "first", 0, set=whole_list())
     assert (answer.status, answer.content) == (200, {"revision": 1})
     world.until_all_at(1, IN_FORCE)
 
 
-def never_back(world: InsideFleet) -> None:
+def never_back(world: VirtualFleet) -> None:
     """No broker was ever at a revision twice, or at an older one than before."""
     assert all(seen == sorted(set(seen)) for seen in world.revisions.values()), world.revisions
 
@@ -209,7 +209,7 @@
     ],
 )  # fmt: skip
 def test_a_bad_change_is_committed_or_not_explained(
-    order: dict[str, Any], said: str, fleet: InsideFleet
+    order: dict[str, Any], said: str, fleet: VirtualFleet
 ) -> None:
     whole = {"id": f"bad {said}"[:60], "by": "ann", "revision": 3, **order}
     answer = fleet.ask("m7", "POST", "propose", whole)
@@ -246,13 +246,13 @@
         with_name(b'"\xff"'),
     ],
 )
-def test_a_body_that_is_no_order_ends_the_broker(body: bytes, fleet: InsideFleet) -> None:
+def test_a_body_that_is_no_order_ends_the_broker(body: bytes, fleet: VirtualFleet) -> None:
     for what in ("propose", "rollback"):
         answer = fleet.raw("m7", what, body)
         assert answer.status in (400, 409) and "expected" in answer.content["error"], answer.content
 
 
-def test_wrong_paths_and_rollbacks_are_not_explained(fleet: InsideFleet) -> None:
+def test_wrong_paths_and_rollbacks_are_not_explained(fleet: VirtualFleet) -> None:
     lost = fleet.ask("m7", "GET", "history")
     assert lost.status == 404 and "'history': expected GET status, show" in lost.content["error"]
     assert (
--- a/tests/fleet/distribution/inside.py
+++ b/tests/fleet/distribution/virtual_fleet.py
@@ -68,7 +68,7 @@
     return str(envelope[3])
 
 
-class InsideFleet:
+class VirtualFleet:
     """``members`` brokers m0, m1, ...; the first three keep the log, m3 and m4 relay."""
 
     def __init__(self, folder: Path, members: int = 8, seed: int = 1) -> None:
@@ -226,9 +226,9 @@
 
 
 @contextmanager
-def running(folder: Path, members: int = 8, seed: int = 1) -> Iterator[InsideFleet]:
+def running(folder: Path, members: int = 8, seed: int = 1) -> Iterator[VirtualFleet]:
     """A fleet that has a leader, where every broker has a relay."""
-    world = InsideFleet(folder, members, seed)
+    world = VirtualFleet(folder, members, seed)
     try:
         world.until(lambda: bool(world.leader))
         names = world.names
