--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -16,8 +16,7 @@
 from quincepath.fleet.agreement.entries import first
 from quincepath.fleet.agreement.messages import Follow
 from quincepath.fleet.edge import CONNECTIONS
-from quincepath.fleet.forecast.messages import Gathering
-from quincepath.fleet.forecast.messages import Message as SampleMessage
+from quincepath.fleet.forecast.messages import SampleAssembler, SampleMessage
 from quincepath.fleet.ledger.facts import LedgerSettings
 from quincepath.fleet.ledger.kept import MEMBERS_MOST as SUMMED_MOST
 from quincepath.fleet.ledger.tally import Tally
@@ -221,12 +220,12 @@
 
 
 def _samples_gathered() -> LimitFound:
-    gathering = Gathering(1024)
+    assembler = SampleAssembler(1024)
     for number, name in enumerate(broker_names(BROKERS)):
-        gathering.take(SampleMessage(name, number, 1, 0, 1, 1024, (), (), ()))
+        assembler.receive(SampleMessage(name, number, 1, 0, 1, 1024, (), (), ()))
     return LimitFound(
-        "brokers' samples gathered", "fleet/forecast/messages.py SENDERS_MOST", FORECAST,
-        len(gathering.whole), BROKERS, "brokers", "the first that came gives way",
+        "brokers' samples gathered", "fleet/forecast/messages.py MAX_SENDERS", FORECAST,
+        len(assembler.complete), BROKERS, "brokers", "the first that came gives way",
     )  # fmt: skip
 
 
--- a/benchmarks/map_forecast.py
+++ b/benchmarks/map_forecast.py
@@ -21,21 +21,21 @@
 import click
 
 from quincepath.fleet.forecast import (
+    AccuracyRecord,
+    Environment,
     Figure,
+    FigureKey,
+    FigureKind,
     Footprint,
     Forecast,
-    Kind,
     Limit,
     Part,
-    Record,
     ReplaySettings,
     Rules,
     Sample,
     Sampler,
-    Where,
-    World,
+    compare_with_measured,
     forecast,
-    held_against,
     verdict,
 )
 from quincepath.lab.map_world import SECOND, Pair, Run, draw, play
@@ -53,32 +53,32 @@
     for number, one in enumerate(run.asked):
         broker, at = brokers[number % BROKERS], NOON + one.at
         broker.count(at)
-        place = broker.wanted(number)
+        place = broker.hash_if_sampled(number)
         if place is not None:
             parts = tuple(Part(*part) for part in one.parts)
-            broker.put(Footprint(place, at, one.kind.name, "t", parts, one.kind.target, one.took))
+            broker.add(Footprint(place, at, one.kind.name, "t", parts, one.kind.target, one.took))
     return Sample(size=size).merged(*(broker.sample() for broker in brokers))
 
 
-def measured(run: Run, pair: Pair) -> dict[Where, float]:
+def measured(run: Run, pair: Pair) -> dict[FigureKey, float]:
     """The figures as they were."""
     seconds = run.span / SECOND
-    found: dict[Where, float] = {}
+    found: dict[FigureKey, float] = {}
     kinds = sorted({one.kind.name for one in run.asked})
     for name in (*kinds, ""):
         mine = [one for one in run.asked if name in ("", one.kind.name)]
         if name:
-            found[Kind.PARTS, name] = sum(len(one.parts) for one in mine) / len(mine)
-        found[Kind.BYTES, name] = sum(part[4] for one in mine for part in one.parts) / seconds
-        found[Kind.MISS, name] = sum(one.took > one.kind.target for one in mine) / len(mine)
+            found[FigureKind.PARTS, name] = sum(len(one.parts) for one in mine) / len(mine)
+        found[FigureKind.BYTES, name] = sum(part[4] for one in mine for part in one.parts) / seconds
+        found[FigureKind.MISS, name] = sum(one.took > one.kind.target for one in mine) / len(mine)
     for group, index in run.calls:
         if index == 0:
-            found[Kind.CALLS, group] = run.calls[group, 0] / seconds
-            found[Kind.LOAD, group] = run.work[group, 0] / run.span / pair.slots
+            found[FigureKind.CALLS, group] = run.calls[group, 0] / seconds
+            found[FigureKind.LOAD, group] = run.work[group, 0] / run.span / pair.slots
     return found
 
 
-def baseline(run: Run, pair: Pair) -> dict[Where, float]:
+def baseline(run: Run, pair: Pair) -> dict[FigureKey, float]:
     """Shards times rate: each query asks as many shards of the new map, in proportion, as it does of the
     old, each shard as often as any other, each part at the mean cost of the parts today; as many are late as
     today.
@@ -88,40 +88,44 @@
     parts = [part for one in run.asked for part in one.parts]
     rate = len(parts) * grown / len(pair.after.entries) / seconds
     service = sum(part[2] for part in parts) / len(parts) / SECOND
-    found = {place: value for place, value in now.items() if place[0] is Kind.MISS}
-    found |= {place: value * grown for place, value in now.items() if place[0] in (Kind.PARTS, Kind.BYTES)}
+    found = {place: value for place, value in now.items() if place[0] is FigureKind.MISS}
+    found |= {
+        place: value * grown
+        for place, value in now.items()
+        if place[0] in (FigureKind.PARTS, FigureKind.BYTES)
+    }
     for group, shards in pair.after.sets().items():
         calls = rate * len(shards) / pair.holders[group]
-        found[Kind.CALLS, group], found[Kind.LOAD, group] = calls, calls * service / pair.slots
+        found[FigureKind.CALLS, group], found[FigureKind.LOAD, group] = calls, calls * service / pair.slots
     return found
 
 
-def over(figures: Mapping[Where, float], limits: Rules) -> bool:
+def over(figures: Mapping[FigureKey, float], limits: Rules) -> bool:
     return any(
         figures[place] > limit.most for limit in limits.limits for place in figures if limit.covers(place)
     )
 
 
-def rules(seed: int, now: Mapping[Where, float]) -> Rules:
+def rules(seed: int, now: Mapping[FigureKey, float]) -> Rules:
     """Limits drawn by the pair, some of them near to what the map will do."""
     random = Random(seed)
     return Rules(
         (
-            Limit(Kind.LOAD, random.uniform(0.5, 0.95)),
-            Limit(Kind.MISS, random.uniform(0.005, 0.05)),
-            Limit(Kind.PARTS, now[Kind.PARTS, "page"] * random.uniform(1.05, 1.5), "page"),
-            Limit(Kind.BYTES, now[Kind.BYTES, ""] * random.uniform(1.05, 1.5)),
+            Limit(FigureKind.LOAD, random.uniform(0.5, 0.95)),
+            Limit(FigureKind.MISS, random.uniform(0.005, 0.05)),
+            Limit(FigureKind.PARTS, now[FigureKind.PARTS, "page"] * random.uniform(1.05, 1.5), "page"),
+            Limit(FigureKind.BYTES, now[FigureKind.BYTES, ""] * random.uniform(1.05, 1.5)),
         )
     )
 
 
-def one(seed: int, queries: int, factors: dict[Kind, float]) -> dict[str, Any]:
+def one(seed: int, queries: int, factors: dict[FigureKind, float]) -> dict[str, Any]:
     """A pair: forecast with and without the stored factors, then measured."""
     pair = draw(seed)
     before = play(pair, pair.before, queries, seed * 2 + 1)
     sample = sampled(before)
-    world = World(pair.holders, pair.slots, BROKERS, BROKERS)
-    settings = ReplaySettings(measured=queries)
+    world = Environment(pair.holders, pair.slots, BROKERS, BROKERS)
+    settings = ReplaySettings(measured_queries=queries)
     found = [forecast(sample, pair.before, pair.after, world, settings, given) for given in ({}, factors)]
     limits = rules(seed, measured(before, pair))
     return {
@@ -145,12 +149,12 @@
 
 def summary(rows: list[dict[str, Any]], which: int) -> dict[str, Any]:
     """Coverage by kind, error against the baseline's, verdicts against truth."""
-    hits: dict[Kind, list[bool]] = defaultdict(list)
-    errors: dict[Kind, list[tuple[float, float]]] = defaultdict(list)
-    widths: dict[Kind, list[float]] = defaultdict(list)
+    hits: dict[FigureKind, list[bool]] = defaultdict(list)
+    errors: dict[FigureKind, list[tuple[float, float]]] = defaultdict(list)
+    widths: dict[FigureKind, list[float]] = defaultdict(list)
     answers: dict[str, Counter[str]] = {"bad": Counter(), "good": Counter()}
     naive: dict[str, Counter[str]] = {"bad": Counter(), "good": Counter()}
-    certain: Counter[Kind] = Counter()
+    certain: Counter[FigureKind] = Counter()
     telling: list[bool] = []
     halts: Counter[str] = Counter()
     wrong = []
@@ -164,19 +168,20 @@
                 )
                 continue
             hits[place[0]].append(inside(figure, value))
-            if place[0] is Kind.MISS and max(figure.value, value) >= TELLING:
+            if place[0] is FigureKind.MISS and max(figure.value, value) >= TELLING:
                 telling.append(inside(figure, value))
-            scale = 1.0 if place[0] is Kind.MISS else max(figure.value, 1e-9)
+            scale = 1.0 if place[0] is FigureKind.MISS else max(figure.value, 1e-9)
             widths[place[0]].append((figure.high - figure.low) / 2 / scale)
-            if place[0] is Kind.MISS:
+            if place[0] is FigureKind.MISS:
                 errors[place[0]].append((abs(figure.value - value), abs(row["baseline"][place] - value)))
             else:
                 errors[place[0]].append((off(figure.value, value), off(row["baseline"][place], value)))
-        halts["as it is"] += held_against(found, row["measured"]).halt
+        halts["as it is"] += compare_with_measured(found, row["measured"]).halt
         burning = max(
-            (place for place in row["measured"] if place[0] is Kind.LOAD), key=row["measured"].__getitem__
+            (place for place in row["measured"] if place[0] is FigureKind.LOAD),
+            key=row["measured"].__getitem__,
         )
-        halts["fullest set 1.5 times as full"] += held_against(
+        halts["fullest set 1.5 times as full"] += compare_with_measured(
             found, row["measured"] | {burning: 1.5 * row["measured"][burning]}
         ).halt
         truth, answer = (
@@ -220,13 +225,13 @@
     }
 
 
-def learned(earlier: int, queries: int, workers: Pool) -> Record:  # type: ignore[valid-type]
+def learned(earlier: int, queries: int, workers: Pool) -> AccuracyRecord:  # type: ignore[valid-type]
     """The record after the earlier adoptions. A factor does not change a forecast's ratios, which are in
     half bars before widening, so the order of the plays does not matter."""
-    record = Record()
+    record = AccuracyRecord()
     plays = partial(one, queries=queries, factors={})
     for row in workers.imap(plays, range(1_000_001, 1_000_001 + earlier)):  # type: ignore[attr-defined]
-        record = record.with_ratios(held_against(row["found"][0], row["measured"]).ratios)
+        record = record.with_ratios(compare_with_measured(row["found"][0], row["measured"]).ratios)
     return record
 
 
--- a/quincepath/broker/service/maps.py
+++ b/quincepath/broker/service/maps.py
@@ -11,7 +11,7 @@
 from quincepath.broker.service.guest import Arrival, Guest
 from quincepath.fleet.adoption import Step
 from quincepath.fleet.forecast import Part
-from quincepath.fleet.topology import Maps
+from quincepath.fleet.topology import MapAdoption
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan, Planner
 from quincepath.interface import Result
@@ -26,7 +26,7 @@
 class MapsGuest(Guest):
     """Stages maps for the planner, and takes no query before this broker has read what is in use."""
 
-    def __init__(self, maps: Maps, planner: Planner, log: Any, registry: CollectorRegistry) -> None:
+    def __init__(self, maps: MapAdoption, planner: Planner, log: Any, registry: CollectorRegistry) -> None:
         self.maps, self.planner, self.log = maps, planner, log
         self.cells = planner.map.cells
         self._built: dict[int, ShardMap] = {}
@@ -34,17 +34,17 @@
         self._tenant = ""
         self._tenants: dict[int, str] = {}
         self._took: dict[int, dict[int, int]] = {}  # by ask and shard, ns of the first step's used attempt
-        maps.ports.stage = self._stage
-        maps.ports.use = self._use
+        maps.hooks.stage = self._stage
+        maps.hooks.on_use = self._use
         version = Gauge(
             "quincepath_fleet_map_version", "Version of the shard map that queries begin by; 0: none yet",
             registry=registry,
         )  # fmt: skip
-        version.set_function(lambda: maps.part.says()[0])
+        version.set_function(lambda: maps.follower.usage()[0])
         older = Gauge(
             "quincepath_fleet_map_older_queries", "Queries that hold an older version", registry=registry
         )
-        older.set_function(lambda: maps.part.says()[1])
+        older.set_function(lambda: maps.follower.usage()[1])
         step = Gauge("quincepath_fleet_map_step", "1 at the step of the change", ["step"], registry=registry)
         for one in Step:
             step.labels(one.value).set_function(partial(self._at, one))
@@ -69,14 +69,14 @@
         self.planner.use(version.to_shard_map(self.cells) if found is None else found, version.number)
 
     def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
-        if not self.maps.part.takes:
+        if not self.maps.follower.accepts_queries:
             return Rejection("shard map not read or not staged", UNREAD)
         self._tenant = arrival.attempt.scope
         return None
 
     def began(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
         """In the same turn as its plan was made: the version is the same."""
-        version = self.maps.part.hold(ask)
+        version = self.maps.follower.hold(ask)
         if version is not None:
             self._held[ask] = version.number
             self._tenants[ask] = self._tenant
@@ -99,9 +99,9 @@
         finish, plan = ended.finish, ended.context
         if finish is not None and finish.verdict is Verdict.ANSWERED and held == self.maps.samples.version:
             parts = _parts(finish, plan, took)
-            self.maps.samples.put(
-                ended.ask, self.maps.wall(), plan.entry.name, tenant, plan.entry.target, finish.took, parts,
-                plan.accepts,
+            self.maps.samples.add(
+                ended.ask, self.maps.wall_ns(), plan.entry.name, tenant, plan.entry.target, finish.took,
+                parts, plan.accepts,
             )  # fmt: skip
         self.maps.release(ended.ask)
 
--- a/quincepath/fleet/adoption/__init__.py
+++ b/quincepath/fleet/adoption/__init__.py
@@ -1,31 +1,33 @@
 """A new shard map through the keepers' log: proposed, adopted, staged, used, measured, and back.
 
-``do`` is the machine (a part of ``permits``), ``Topology`` its state, the commands its entries. ``Gathered``:
-what a keeper hears of brokers and what its leader proposes of it; ``Member`` a broker's own part. Pure.
+``apply_map_command`` is the machine (a part of ``permits``), ``Topology`` its state, the commands its
+entries. ``MapReports``: what a keeper hears of brokers and what its leader proposes of it; ``MapFollower`` a
+broker's own part. Pure.
 Design: docs/design/adoption.md.
 """
 
-from quincepath.fleet.adoption.broker import Member
 from quincepath.fleet.adoption.commands import (
     MAP_COMMANDS,
     AdoptMap,
     AwayMap,
     BackMap,
     Bar,
-    Judged,
     Map,
     MapCommand,
+    MapVerdict,
     MeasuredMap,
     ProposeMap,
     ReadMap,
     UseMap,
 )
-from quincepath.fleet.adoption.gathering import Gathered, MapReport
-from quincepath.fleet.adoption.machine import closed, disturbed, do, judged_of
-from quincepath.fleet.adoption.state import EMPTY, Measuring, Proposal, Step, Topology
+from quincepath.fleet.adoption.follower import MapFollower
+from quincepath.fleet.adoption.machine import apply_map_command, clear_halt, make_verdict, restart_measurement
+from quincepath.fleet.adoption.reports import MapReport, MapReports
+from quincepath.fleet.adoption.state import EMPTY_RECORD, Measuring, Proposal, Step, Topology
 
 __all__ = [
-    "EMPTY", "MAP_COMMANDS", "AdoptMap", "AwayMap", "BackMap", "Bar", "Gathered", "Judged", "Map",
-    "MapCommand", "MapReport", "Measuring", "MeasuredMap", "Member", "Proposal", "ProposeMap", "ReadMap",
-    "Step", "Topology", "UseMap", "closed", "disturbed", "do", "judged_of",
+    "EMPTY_RECORD", "MAP_COMMANDS", "AdoptMap", "AwayMap", "BackMap", "Bar", "Map", "MapCommand",
+    "MapFollower", "MapReport", "MapReports", "MapVerdict", "MeasuredMap", "Measuring", "Proposal",
+    "ProposeMap", "ReadMap", "Step", "Topology", "UseMap", "apply_map_command", "clear_halt", "make_verdict",
+    "restart_measurement",
 ]  # fmt: skip
--- a/quincepath/fleet/adoption/commands.py
+++ b/quincepath/fleet/adoption/commands.py
@@ -12,18 +12,18 @@
 from quincepath.fleet.messages import Millis, Name, Text
 from quincepath.shards.versions import MAX_NAME_BYTES, MapVersion
 
-MAP_BYTES = 56 * 1024  # of one map as msgpack; a proposal may carry two
-BROKERS_MOST = 1000
-HOLDERS_MOST = 4096
-FIGURES_MOST = 1000  # of one forecast, and of one measurement
-OWN_COMMANDS = ("use-map", "measured-map")  # of the leader; not taken from people
+MAX_MAP_BYTES = 56 * 1024  # of one map as msgpack; a proposal may carry two
+MAX_BROKERS = 1000
+MAX_HOLDERS = 4096
+MAX_FIGURES = 1000  # of one forecast, and of one measurement
+LEADER_COMMANDS = ("use-map", "measured-map")  # of the leader; not taken from people
 
 Number = Annotated[int, Meta(ge=0, le=1 << 31)]
 Word = Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
-Names = Annotated[tuple[Name, ...], Meta(max_length=BROKERS_MOST)]
+Names = Annotated[tuple[Name, ...], Meta(max_length=MAX_BROKERS)]
 Shards = Annotated[tuple[Word, ...], Meta(max_length=4096)]
-Held = Annotated[dict[Name, Shards], Meta(max_length=HOLDERS_MOST)]
-Measures = Annotated[tuple[tuple[Word, Word, float], ...], Meta(max_length=FIGURES_MOST)]
+ShardsByHolder = Annotated[dict[Name, Shards], Meta(max_length=MAX_HOLDERS)]
+Measures = Annotated[tuple[tuple[Word, Word, float], ...], Meta(max_length=MAX_FIGURES)]
 
 
 class Map(msgspec.Struct, frozen=True, array_like=True):
@@ -53,7 +53,7 @@
     high: float
 
 
-class Judged(msgspec.Struct, frozen=True):
+class MapVerdict(msgspec.Struct, frozen=True):
     """The verdict on a map, with its figures. ``answer``: accept, refuse or not known; ``digest``: of the map
     that was judged. ``widened``: by kind, the factor by which the bars were widened.
     """
@@ -61,7 +61,7 @@
     answer: Word = "not known"
     why: Annotated[tuple[Text, ...], Meta(max_length=32)] = ("no forecast was made",)
     digest: Word = ""
-    bars: Annotated[tuple[Bar, ...], Meta(max_length=FIGURES_MOST)] = ()
+    bars: Annotated[tuple[Bar, ...], Meta(max_length=MAX_FIGURES)] = ()
     widened: dict[str, float] = {}
     queries: int = 0
     heard: int = 0
@@ -90,9 +90,9 @@
     by: Text
     at: Millis
     number: Number = 0  # 0: the one that is proposed
-    judged: Judged = Judged()
+    judged: MapVerdict = MapVerdict()
     brokers: Names = ()
-    needs: Held = {}
+    needs: ShardsByHolder = {}
     measure: Millis = 0
 
 
@@ -117,7 +117,7 @@
     number: Number
     digest: Word
     staged: Names
-    proved: Held = {}
+    proved: ShardsByHolder = {}
 
 
 class MeasuredMap(msgspec.Struct, tag="measured-map", frozen=True):
@@ -128,7 +128,7 @@
     at: Millis
     number: Number
     figures: Measures
-    using: Annotated[dict[Name, tuple[Number, Number]], Meta(max_length=BROKERS_MOST)]
+    using: Annotated[dict[Name, tuple[Number, Number]], Meta(max_length=MAX_BROKERS)]
 
 
 class BackMap(msgspec.Struct, tag="back-map", frozen=True):
@@ -138,7 +138,7 @@
     by: Text
     at: Millis
     brokers: Names = ()
-    needs: Held = {}
+    needs: ShardsByHolder = {}
 
 
 class ReadMap(msgspec.Struct, tag="read-map", frozen=True):
--- a/quincepath/fleet/adoption/broker.py
+++ b/quincepath/fleet/adoption/follower.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Member:
+class MapFollower:
     """``configured``: version 1 as its own configuration has it, in force while none is in the log.
     ``staged``: versions that are built and ready here.
     """
@@ -24,14 +24,14 @@
     _read: bool = False
     _wanted: dict[int, MapVersion] = field(default_factory=dict)
 
-    def read(self, topology: Topology) -> None:
+    def on_log_read(self, topology: Topology) -> None:
         """All that was committed when this broker asked is applied. Once after each start."""
         self._read = True
         if self.versions is None and not topology.used:
             self.versions = MapVersions(self.configured)
-        self.follow(topology)
+        self.apply_topology(topology)
 
-    def follow(self, topology: Topology) -> None:
+    def apply_topology(self, topology: Topology) -> None:
         """Something was applied."""
         self.used = topology.used
         self._wanted = {}
@@ -48,14 +48,14 @@
                 self.staged.setdefault(current.number, current)
         self._turn()
 
-    def to_stage(self) -> MapVersion | None:
+    def next_to_stage(self) -> MapVersion | None:
         """What must be made ready next: the version in use before the one that may come."""
         for number, found in self._wanted.items():
             if number not in self.staged:
                 return found
         return None
 
-    def stage(self, version: MapVersion) -> None:
+    def mark_staged(self, version: MapVersion) -> None:
         """It is ready here: checked, built, its shards numbered."""
         if version.number in self._wanted:
             self.staged[version.number] = version
@@ -66,19 +66,19 @@
         if version is None:
             return
         if self.versions is None:
-            if self._read and self.to_stage() is None:
+            if self._read and self.next_to_stage() is None:
                 self.versions = MapVersions(version)
         elif version.number > self.versions.current.number:
             self.versions.adopt(version)  # not yet, while too many versions have queries: tried at each end
 
     @property
-    def serves(self) -> bool:
+    def serving(self) -> bool:
         """Whether a query may begin."""
         return self.versions is not None and (self.used == 0 or self.used in self.staged)
 
     def hold(self, query: int) -> MapVersion | None:
         """The version that a query has from its first part to its merge; None: refuse it as overload."""
-        if self.versions is None or not (self.serves or self.versions.holds(query)):
+        if self.versions is None or not (self.serving or self.versions.holds(query)):
             return None
         return self.versions.hold(query)
 
@@ -89,12 +89,12 @@
             self._turn()
 
     @property
-    def takes(self) -> bool:
+    def accepts_queries(self) -> bool:
         """Whether a query may begin and hold a version."""
-        return self.serves and self.versions is not None and not self.versions.full
+        return self.serving and self.versions is not None and not self.versions.full
 
-    def says(self) -> tuple[int, int]:
+    def usage(self) -> tuple[int, int]:
         """The version in use here, 0 for none, and queries that hold an older one."""
-        if self.versions is None or not self.serves:
+        if self.versions is None or not self.serving:
             return 0, 0
         return self.versions.current.number, self.versions.older()
--- a/quincepath/fleet/adoption/machine.py
+++ b/quincepath/fleet/adoption/machine.py
@@ -10,20 +10,20 @@
 import msgspec
 
 from quincepath.fleet.adoption.commands import (
-    MAP_BYTES,
+    MAX_MAP_BYTES,
     AdoptMap,
     AwayMap,
     BackMap,
     Bar,
-    Judged,
     Map,
     MapCommand,
+    MapVerdict,
     MeasuredMap,
     ProposeMap,
     ReadMap,
     UseMap,
 )  # fmt: skip
-from quincepath.fleet.adoption.state import EMPTY, Measuring, Proposal, Step, Topology
+from quincepath.fleet.adoption.state import EMPTY_RECORD, Measuring, Proposal, Step, Topology
 from quincepath.shards.versions import map_problems
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 AWAY = ("dead", "left")  # beliefs that go with a person's word that one is away
 
 
-def do(topology: Topology, command: MapCommand, index: int, way: str) -> str:
+def apply_map_command(topology: Topology, command: MapCommand, index: int, way: str) -> str:
     """Apply one command; what stands in its way, empty where it is done. ``way``: a permit that is open, or
     why the fleet is halted; empty: neither.
     """
@@ -55,13 +55,13 @@
             return _back(topology, command, index, way)
 
 
-def disturbed(topology: Topology, at: int) -> None:
+def restart_measurement(topology: Topology, at: int) -> None:
     """A permit was granted or freed: what is measured counts from then on."""
     if topology.measuring is not None:
         topology.measuring.since = max(topology.measuring.since, at)
 
 
-def closed(topology: Topology) -> None:
+def clear_halt(topology: Topology) -> None:
     """By hand (``resume``): the version in use stays, though what was measured differs."""
     if topology.halted:
         topology.halted, topology.measuring = "", None
@@ -69,7 +69,7 @@
 
 def _size(found: Map | None, what: str) -> str:
     size = 0 if found is None else len(msgspec.msgpack.encode(found))
-    return f"{what}: {size} bytes; expected at most {MAP_BYTES}" if size > MAP_BYTES else ""
+    return f"{what}: {size} bytes; expected at most {MAX_MAP_BYTES}" if size > MAX_MAP_BYTES else ""
 
 
 def _propose(topology: Topology, command: ProposeMap, index: int) -> str:
@@ -122,7 +122,7 @@
     return ""
 
 
-def _unsound(judged: Judged) -> str:
+def _unsound(judged: MapVerdict) -> str:
     """What of the figures could not be held against what is measured."""
     for bar in judged.bars:
         if bar.kind not in KINDS or not all(map(isfinite, (bar.value, bar.low, bar.high))):
@@ -188,26 +188,26 @@
     return found
 
 
-def forecast_of(judged: Judged) -> "Forecast":
+def forecast_of(judged: MapVerdict) -> "Forecast":
     """The figures of a verdict as a forecast, to hold against what is measured."""
-    from quincepath.fleet.forecast import Figure, Forecast, Kind  # a large library comes with it
+    from quincepath.fleet.forecast import Figure, FigureKind, Forecast  # a large library comes with it
 
-    figures = {(Kind(b.kind), b.where): Figure(b.value, b.low, b.high) for b in judged.bars}
-    widened = {Kind(kind): factor for kind, factor in judged.widened.items()}
+    figures = {(FigureKind(b.kind), b.where): Figure(b.value, b.low, b.high) for b in judged.bars}
+    widened = {FigureKind(kind): factor for kind, factor in judged.widened.items()}
     return Forecast(
         figures, judged.digest, judged.queries, judged.queries, 0, 0, [], judged.heard, judged.of,
         widened=widened,
     )  # fmt: skip
 
 
-def judged_of(found: "Forecast", answer: str, why: tuple[str, ...]) -> Judged:
+def make_verdict(found: "Forecast", answer: str, why: tuple[str, ...]) -> MapVerdict:
     """A verdict and its forecast as they go into an entry."""
     bars = tuple(
         Bar(k.value, w, float(f.value), float(f.low), float(f.high))
         for (k, w), f in sorted(found.figures.items())
     )
     widened = {kind.value: float(factor) for kind, factor in found.widened.items()}
-    return Judged(
+    return MapVerdict(
         answer, tuple(one[:400] for one in why[:32]), found.digest, bars, widened, found.queries,
         found.heard, found.of,
     )  # fmt: skip
@@ -229,14 +229,18 @@
     for kind, where, value in command.figures:
         if kind not in KINDS or not isfinite(value):
             return f"measured {kind} of {where!r}: {value}; expected a known kind and a finite figure"
-    from quincepath.fleet.forecast import Kind, held_against, record_of  # only where a map is measured
+    from quincepath.fleet.forecast import (  # only where a map is measured
+        FigureKind,
+        compare_with_measured,
+        decode_record,
+    )
 
-    measured = {(Kind(kind), where): value for kind, where, value in command.figures}
-    after = held_against(forecast_of(found.judged), measured)
-    record = record_of(topology.record or EMPTY).with_ratios(after.ratios)
+    measured = {(FigureKind(kind), where): value for kind, where, value in command.figures}
+    after = compare_with_measured(forecast_of(found.judged), measured)
+    record = decode_record(topology.record or EMPTY_RECORD).with_ratios(after.ratios)
     topology.record = msgspec.msgpack.encode(record)
     if after.halt:
-        said = "; ".join(map(str, after.differs[:SHOWN])) or "nothing was measured"
+        said = "; ".join(map(str, after.deviations[:SHOWN])) or "nothing was measured"
         topology.halted = f"measured differs: {said}"[:400]
     else:
         topology.measuring = None
@@ -280,9 +284,9 @@
     return ""
 
 
-def _was_in_use(digest: str) -> Judged:
+def _was_in_use(digest: str) -> MapVerdict:
     """Of the map before: it was in use, no forecast is asked for."""
-    return Judged("accept", ("the version before",), digest)
+    return MapVerdict("accept", ("the version before",), digest)
 
 
 def _keep(topology: Topology) -> None:
--- a/quincepath/fleet/adoption/gathering.py
+++ b/quincepath/fleet/adoption/reports.py
@@ -10,14 +10,14 @@
 import msgspec
 from msgspec import Meta
 
-from quincepath.fleet.adoption.commands import Held, MapCommand, MeasuredMap, Number, UseMap, Word
+from quincepath.fleet.adoption.commands import MapCommand, MeasuredMap, Number, ShardsByHolder, UseMap, Word
 from quincepath.fleet.adoption.machine import not_using, unproved, unstaged
 from quincepath.fleet.adoption.state import Step, Topology
 from quincepath.fleet.messages import Counter, Word64
 
-FRESH = 2_500_000_000  # ns that a report counts for
-SENDERS_MOST = 1000  # reports kept; more are not heard
-Measured = tuple[tuple[str, str, float], ...]
+REPORT_TTL_NS = 2_500_000_000  # ns that a report counts for
+MAX_REPORTERS = 1000  # reports kept; more are not heard
+Measurement = tuple[tuple[str, str, float], ...]
 
 
 class MapReport(msgspec.Struct, array_like=True, frozen=True, tag=21):
@@ -31,19 +31,19 @@
     staged: Annotated[dict[Number, Word], Meta(max_length=4)]
     version: Number
     older: Counter
-    proved: Held = {}
+    proved: ShardsByHolder = {}
 
 
 @dataclass(slots=True)
-class Gathered:
+class MapReports:
     """The newest report of each broker, with when it came."""
 
     reports: dict[str, tuple[int, MapReport]] = field(default_factory=dict)
 
-    def hear(self, name: str, now: int, report: MapReport) -> bool:
+    def receive(self, name: str, now: int, report: MapReport) -> bool:
         """False for one that is older than what is known, said again, or beyond the bound."""
         known = self.reports.get(name)
-        if known is None and len(self.reports) >= SENDERS_MOST:
+        if known is None and len(self.reports) >= MAX_REPORTERS:
             return False
         if known is not None and (report.boot, report.count) <= (known[1].boot, known[1].count):
             return False
@@ -51,8 +51,8 @@
         return True
 
     def fresh(self, now: int) -> dict[str, MapReport]:
-        """Reports, by broker, that came at most ``FRESH`` ago."""
-        return {name: report for name, (at, report) in self.reports.items() if now <= at + FRESH}
+        """Reports, by broker, that came at most ``REPORT_TTL_NS`` ago."""
+        return {name: report for name, (at, report) in self.reports.items() if now <= at + REPORT_TTL_NS}
 
     def staged(self, number: int, digest: str, now: int) -> tuple[str, ...]:
         """Brokers that say that they have this map under this number."""
@@ -74,7 +74,7 @@
 
     # --- the leader ---
 
-    def filled(self, command: UseMap | MeasuredMap, topology: Topology, now: int) -> MapCommand:
+    def with_evidence(self, command: UseMap | MeasuredMap, topology: Topology, now: int) -> MapCommand:
         """With what this broker has gathered, in place of what the sender wrote."""
         if isinstance(command, MeasuredMap):
             return msgspec.structs.replace(command, using=self.using(now))
@@ -89,7 +89,7 @@
         )
 
     def waits_for(
-        self, topology: Topology, now: int, wall: int, measured: Measured | None, way: str = ""
+        self, topology: Topology, now: int, wall: int, measured: Measurement | None, way: str = ""
     ) -> dict[str, str]:
         """By name, why the step that is open is not done; empty where the leader may go on. ``wall``: ms.
         ``way``: a permit that is open, or why the fleet is halted.
@@ -121,8 +121,8 @@
     def _silent(self, name: str) -> str:
         return "reports no more" if name in self.reports else "has not reported"
 
-    def next(
-        self, topology: Topology, now: int, wall: int, by: str, measured: Measured | None, way: str = ""
+    def next_command(
+        self, topology: Topology, now: int, wall: int, by: str, measured: Measurement | None, way: str = ""
     ) -> MapCommand | None:
         """What a leader has to propose, where nothing is waited for.."""
         if topology.step not in (Step.STAGING, Step.MEASURING):
@@ -131,9 +131,9 @@
             return None
         if topology.proposal is not None:
             number = topology.proposal.number
-            return self.filled(UseMap(f"use {number} {wall}", by, wall, number, "", ()), topology, now)
+            return self.with_evidence(UseMap(f"use {number} {wall}", by, wall, number, "", ()), topology, now)
         assert topology.measuring is not None and measured is not None
         number = topology.measuring.number
-        return self.filled(
+        return self.with_evidence(
             MeasuredMap(f"measured {number} {wall}", by, wall, number, measured, {}), topology, now
         )
--- a/quincepath/fleet/adoption/state.py
+++ b/quincepath/fleet/adoption/state.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from quincepath.fleet.adoption.commands import Judged, Map
+from quincepath.fleet.adoption.commands import Map, MapVerdict
 from quincepath.shards.versions import MapVersion
 
-EMPTY = msgspec.msgpack.encode(({},))  # a record of forecasts without any
+EMPTY_RECORD = msgspec.msgpack.encode(({},))  # a record of forecasts without any
 
 
 class Step(StrEnum):
@@ -31,7 +31,7 @@
     staging: bool = False
     staging_since: int = 0
     going_back: bool = False
-    judged: Judged = Judged()
+    judged: MapVerdict = MapVerdict()
     brokers: tuple[str, ...] = ()
     needs: dict[str, tuple[str, ...]] = {}
     away: dict[str, str] = {}
@@ -44,7 +44,7 @@
     number: int
     since: int
     span: int
-    judged: Judged
+    judged: MapVerdict
     brokers: tuple[str, ...]
     away: dict[str, str]
 
--- a/quincepath/fleet/agreed.py
+++ b/quincepath/fleet/agreed.py
@@ -39,7 +39,7 @@
 from quincepath.net.loop import Loop, Timer
 
 if TYPE_CHECKING:
-    from quincepath.fleet.topology import Maps
+    from quincepath.fleet.topology import MapAdoption
 
 ASK_EVERY = 500_000_000  # ns between asks of one that follows, reports, and tries of a command
 SILENT = 1_500_000_000  # ns without a word until another keeper is asked
@@ -59,7 +59,8 @@
     out: Callable[[], dict[str, int]]  # attempts that are out, by holder's name
     open_store: OpenStore  # called once, where this broker is a keeper
     dropped: Callable[[str], None] = field(default=lambda cause: None)
-    maps: Callable[[Permits], "Maps | None"] = field(default=lambda machine: None)  # with a topology: only
+    # Returns None without a topology: section.
+    maps: Callable[[Permits], "MapAdoption | None"] = field(default=lambda machine: None)
 
 
 def _refuses_none(command: ChangeConfiguration) -> str:
@@ -115,7 +116,7 @@
             self.loop.call_in(ASK_EVERY, self._read)
             return
         self.log.info("fleet: log read", index=self.applied)
-        self.maps.read()
+        self.maps.on_log_read()
 
     def _open(self, base: Path, seed: int) -> None:
         assert self.entry.store is not None
@@ -178,10 +179,10 @@
                 self.progress.hear(post.sender, self.loop.clock(), applied, out)
             case MapReport():
                 if self.maps is not None:
-                    self.maps.gathered.hear(post.sender, self.loop.clock(), body)
+                    self.maps.reports.receive(post.sender, self.loop.clock(), body)
             case Sampled():
                 if self.maps is not None:
-                    why = self.maps.samples.take(post.sender, body.data)
+                    why = self.maps.samples.receive(post.sender, body.data)
                     if why:
                         self.log.debug("fleet: sample not taken", cause=why)
             case Answer():
@@ -267,7 +268,7 @@
         self._shown = self.applied
         self.proposals.settle(self.applied, self.machine.state.results)
         if self.maps is not None:
-            self.maps.applied()
+            self.maps.on_applied()
         self.hooks.applied()
 
     # --- now and then ---
@@ -301,9 +302,9 @@
             for name in others:
                 self._post(name, said)
         wall = self.loop.system.wall_ms()
-        for data in self.maps.sampled(now, wall, self.leader):
+        for data in self.maps.sample_messages(now, wall, self.leader):
             self._post(self.leader, Sampled(data))
-        step = self.maps.next(now, wall) if self.leads else None
+        step = self.maps.next_command(now, wall) if self.leads else None
         if step is not None and not self.proposals.any_of(type(step)):
             self.command(step, lambda why: self.log.info("fleet: step of a shard map", refused=why))
 
@@ -324,7 +325,7 @@
         if isinstance(command, MAP_COMMANDS):
             if self.maps is None:
                 return data, f"{FINAL}the leader's fleet: section has no topology:"
-            filled, why = self.maps.judge(command, self.loop.clock(), self.loop.system.wall_ms())
+            filled, why = self.maps.prepare_command(command, self.loop.clock(), self.loop.system.wall_ms())
             return encode(filled), f"{FINAL}{why}"[:200] if why else ""
         if isinstance(command, ChangeConfiguration):
             why = refusal_before(self.machine.configuration, command) or self.refuses_change(command)
--- a/quincepath/fleet/agreement/post.py
+++ b/quincepath/fleet/agreement/post.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from quincepath.fleet.adoption.gathering import MapReport
+from quincepath.fleet.adoption.reports import MapReport
 from quincepath.fleet.agreement.messages import Message
 from quincepath.fleet.messages import FRAME, Counter, Name, Versions, body_in, opened
 
--- a/quincepath/fleet/forecast/afterwards.py
+++ b/quincepath/fleet/forecast/accuracy.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from quincepath.fleet.forecast.facts import Figure, Forecast, Kind, Where
+from quincepath.fleet.forecast.types import Figure, FigureKey, FigureKind, Forecast
 
 KEPT = 64  # adoptions; the oldest go
 MOST = 8.0  # of a factor
@@ -14,15 +14,15 @@
 PLACES = (0.1, 0.3, 0.5, 0.7, 0.9)  # of an adoption's ratios, those that are kept
 
 
-class Record(msgspec.Struct, array_like=True):
+class AccuracyRecord(msgspec.Struct, array_like=True):
     """How far forecasts were off: by kind, for each adoption five ratios that stand for those of all its
     figures: distances in half bars as they were before widening. msgpack of it is what the store keeps."""
 
     ratios: dict[str, list[list[float]]] = {}
 
-    def factors(self) -> dict[Kind, float]:
+    def factors(self) -> dict[FigureKind, float]:
         """By kind, from 1 to ``MOST``: the ninth in ten of the ratios; with few adoptions the largest."""
-        return {kind: self._factor(self.ratios.get(kind.value, [])) for kind in Kind}
+        return {kind: self._factor(self.ratios.get(kind.value, [])) for kind in FigureKind}
 
     @staticmethod
     def _factor(adoptions: list[list[float]]) -> float:
@@ -32,7 +32,7 @@
         place = len(ranked) - 1 if len(adoptions) < ENOUGH else _ninth(len(ranked))
         return min(MOST, max(1.0, ranked[place]))
 
-    def with_ratios(self, found: Mapping[Kind, list[float]]) -> "Record":
+    def with_ratios(self, found: Mapping[FigureKind, list[float]]) -> "AccuracyRecord":
         """One more adoption; a ratio above ``MOST`` counts as that."""
         ratios = {name: list(kept) for name, kept in self.ratios.items()}
         for kind, more in found.items():
@@ -40,7 +40,7 @@
                 ranked = sorted(min(MOST, ratio) for ratio in more)
                 kept = [ranked[int(place * len(ranked))] for place in PLACES]
                 ratios[kind.value] = [*ratios.get(kind.value, []), kept][-KEPT:]
-        return Record(ratios)
+        return AccuracyRecord(ratios)
 
 
 def _ninth(count: int) -> int:
@@ -50,13 +50,13 @@
     return min(count - 1, -(-9 * (count + 1) // 10) - 1)
 
 
-def record_of(data: bytes) -> Record:
+def decode_record(data: bytes) -> AccuracyRecord:
     """From the store. ValueError where it is not one."""
     try:
-        found = msgspec.msgpack.decode(data, type=Record)
+        found = msgspec.msgpack.decode(data, type=AccuracyRecord)
     except msgspec.DecodeError as error:
         raise ValueError(f"record of forecasts: {error}") from None
-    kinds = {kind.value for kind in Kind}
+    kinds = {kind.value for kind in FigureKind}
     for name, ratios in found.ratios.items():
         sound = all(len(five) == len(PLACES) and 0 <= min(five) and max(five) <= MOST for five in ratios)
         if name not in kinds or len(ratios) > KEPT or not sound:
@@ -68,10 +68,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Differs:
+class Deviation:
     """A measured figure outside its bar."""
 
-    place: Where
+    place: FigureKey
     measured: float
     figure: Figure
 
@@ -84,13 +84,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Afterwards:
+class Comparison:
     """``halt``: more figures are outside than nine bars in ten let expect. ``ratios``: for the record."""
 
     halt: bool
-    differs: tuple[Differs, ...]
-    missing: tuple[Where, ...]  # forecast and not measured
-    ratios: dict[Kind, list[float]]
+    deviations: tuple[Deviation, ...]
+    missing: tuple[FigureKey, ...]  # forecast and not measured
+    ratios: dict[FigureKind, list[float]]
 
 
 def ratio(figure: Figure, measured: float, factor: float) -> float:
@@ -102,25 +102,31 @@
     return 0.0 if off == 0 else off / half if half > 0 else MOST
 
 
-def held_against(found: Forecast, measured: Mapping[Where, float], share: float = 0.8) -> Afterwards:
+def compare_with_measured(
+    found: Forecast, measured: Mapping[FigureKey, float], share: float = 0.8
+) -> Comparison:
     """``measured``: the same figures after adoption, over as many queries as the forecast was told.
 
     One figure in ten may be outside by chance, and those of a kind go together: it halts where of a kind
     three or more and ``share`` of its figures are outside, or one is outside by twice its bar. Nothing
     measured halts too. Whatever is outside is named, halt or not.
     """
-    differs: list[Differs] = []
-    ratios: dict[Kind, list[float]] = {}
+    deviations: list[Deviation] = []
+    ratios: dict[FigureKind, list[float]] = {}
     halt = not measured
-    for kind in Kind:
+    for kind in FigureKind:
         factor = found.widened.get(kind, 1.0)
         places = [place for place in sorted(found.figures) if place[0] == kind and place in measured]
         outside = [p for p in places if not found.figures[p].low <= measured[p] <= found.figures[p].high]
-        told = [p for p in places if p[0] != Kind.MISS or max(found.figures[p].value, measured[p]) >= TELLING]
+        told = [
+            p
+            for p in places
+            if p[0] != FigureKind.MISS or max(found.figures[p].value, measured[p]) >= TELLING
+        ]
         each = sorted(ratio(found.figures[place], measured[place], factor) for place in told)
         ratios[kind] = each
-        differs += [Differs(place, measured[place], found.figures[place]) for place in outside]
+        deviations += [Deviation(place, measured[place], found.figures[place]) for place in outside]
         far = bool(each) and bool(outside) and each[-1] > 2 * factor
         halt = halt or far or len(outside) >= max(3, share * len(places))
     missing = tuple(place for place in sorted(found.figures) if place not in measured)
-    return Afterwards(halt, tuple(differs), missing, ratios)
+    return Comparison(halt, tuple(deviations), missing, ratios)
--- a/quincepath/fleet/forecast/footprints.py
+++ b/quincepath/fleet/forecast/footprints.py
@@ -15,11 +15,11 @@
 
 from quincepath.shards.versions import MAX_NAME_BYTES
 
-SIZE = 4096  # footprints of a merged sample
-PARTS_MOST = 256  # of a footprint; what is beyond is folded into the last
-VALUES_MOST = 1024  # listed in a footprint, over all parts
-SOURCES_MOST = 1024  # (broker, boot, window) of a merged sample; the newest stay
-HOUR = 3_600_000_000_000
+SAMPLE_SIZE = 4096  # footprints of a merged sample
+MAX_PARTS = 256  # of a footprint; what is beyond is folded into the last
+MAX_LISTED_VALUES = 1024  # listed in a footprint, over all parts
+MAX_SOURCES = 1024  # (broker, boot, window) of a merged sample; the newest stay
+HOUR_NS = 3_600_000_000_000
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
@@ -66,7 +66,7 @@
 Key = tuple[str, int, int]  # broker, boot, window
 
 
-def place_of(broker: str, boot: int, query: int, key: bytes = b"footprints") -> int:
+def query_hash(broker: str, boot: int, query: int, key: bytes = b"footprints") -> int:
     """64 bits for the id of a query; one broker's boots never share ids."""
     name = broker.encode()
     said = len(name).to_bytes(2, "big") + name + boot.to_bytes(8, "big") + query.to_bytes(8, "big")
@@ -86,20 +86,20 @@
 
 
 def bounded(footprint: Footprint) -> Footprint:
-    """Within the bounds: at most ``PARTS_MOST`` parts and ``VALUES_MOST`` listed values."""
+    """Within the bounds: at most ``MAX_PARTS`` parts and ``MAX_LISTED_VALUES`` listed values."""
     parts = footprint.parts
-    if len(parts) > PARTS_MOST:
-        rest = parts[PARTS_MOST - 1 :]
+    if len(parts) > MAX_PARTS:
+        rest = parts[MAX_PARTS - 1 :]
         last = Part(
             tuple(value for part in rest for value in part.values), max(part.calls for part in rest),
             sum(part.service for part in rest), max(part.took for part in rest),
             sum(part.merged for part in rest), sum(part.more for part in rest),
         )  # fmt: skip
-        parts = (*parts[: PARTS_MOST - 1], last)
-    each = VALUES_MOST // max(1, len(parts))
+        parts = (*parts[: MAX_PARTS - 1], last)
+    each = MAX_LISTED_VALUES // max(1, len(parts))
     cut = []
     for part in parts:
-        values, beyond = listed(part.values, each if len(part.values) > each else VALUES_MOST)
+        values, beyond = listed(part.values, each if len(part.values) > each else MAX_LISTED_VALUES)
         cut.append(Part(values, part.calls, part.service, part.took, part.merged, part.more + beyond))
     return msgspec.structs.replace(footprint, parts=tuple(cut))
 
@@ -112,7 +112,7 @@
 
     footprints: dict[int, Footprint] = field(default_factory=dict)
     sources: dict[Key, Source] = field(default_factory=dict)
-    size: int = SIZE
+    size: int = SAMPLE_SIZE
 
     @property
     def total(self) -> int:
@@ -122,7 +122,7 @@
     @property
     def full(self) -> bool:
         """Sources may have been left out for want of room: then ``total`` is too low."""
-        return len(self.sources) >= SOURCES_MOST
+        return len(self.sources) >= MAX_SOURCES
 
     @property
     def since(self) -> int:
@@ -138,7 +138,7 @@
         """Share of the footprints in each hour of the day, UTC; 24 shares."""
         found = [0] * 24
         for one in self.footprints.values():
-            found[one.at // HOUR % 24] += 1
+            found[one.at // HOUR_NS % 24] += 1
         return [count / max(1, len(self.footprints)) for count in found]
 
     def merged(self, *others: "Sample") -> "Sample":
@@ -154,7 +154,7 @@
                 sources[key] = max(source, sources.get(key, source))
         return Sample(
             {place: found[place] for place in sorted(found)[:size]},
-            dict(sorted(sources.items(), key=lambda item: (item[1], item[0]), reverse=True)[:SOURCES_MOST]),
+            dict(sorted(sources.items(), key=lambda item: (item[1], item[0]), reverse=True)[:MAX_SOURCES]),
             size,
         )
 
@@ -170,8 +170,8 @@
 
     broker: str
     boot: int
-    size: int = SIZE
-    window: int = HOUR
+    size: int = SAMPLE_SIZE
+    window: int = HOUR_NS
     now: Sample = field(init=False)
     last: Sample = field(init=False)
     _worst: int = field(init=False, default=(1 << 64) - 1)  # a place from here on is not taken
@@ -180,11 +180,11 @@
     def __post_init__(self) -> None:
         self.now = self.last = Sample(size=self.size)
 
-    def wanted(self, query: int) -> int | None:
+    def hash_if_sampled(self, query: int) -> int | None:
         """The place of a query if it is to be sampled, after its ``count``: others cost a hash and no
         more.
         """
-        place = place_of(self.broker, self.boot, query)
+        place = query_hash(self.broker, self.boot, query)
         return place if place < self._worst or len(self.now.footprints) < self.size else None
 
     def count(self, at: int) -> None:
@@ -199,7 +199,7 @@
         there = self.now.sources[key]
         self.now.sources[key] = Source(max(at, there.until), there.count + 1, min(at, there.since))
 
-    def put(self, footprint: Footprint) -> None:
+    def add(self, footprint: Footprint) -> None:
         """A footprint whose place was wanted; the same turn."""
         kept = self.now.footprints
         if footprint.place not in kept:
--- a/quincepath/fleet/forecast/messages.py
+++ b/quincepath/fleet/forecast/messages.py
@@ -10,14 +10,14 @@
 
 from quincepath.fleet.forecast.footprints import Footprint, Key, Part, Sample, Source, bounded
 
-BYTES_MOST = 32_768  # of one message
-MESSAGES_MOST = 256  # of one sample
-SENDERS_MOST = 1024  # being gathered at once; the one that began first gives way
+MAX_MESSAGE_BYTES = 32_768  # of one message
+MAX_MESSAGES = 256  # of one sample
+MAX_SENDERS = 1024  # being gathered at once; the one that began first gives way
 
 Line = tuple[int, int, str, str, int, int, bool, bool, tuple[tuple[int, int, int, int, int, int], ...]]
 
 
-class Message(msgspec.Struct, frozen=True, array_like=True):
+class SampleMessage(msgspec.Struct, frozen=True, array_like=True):
     """The ``place``-th of ``count`` messages of one sample; ``stamp`` tells the samples of one sender
     apart.
     """
@@ -57,9 +57,9 @@
     return bounded(Footprint(place, at, kind, tenant, found, target, took, is_open, unlabelled))
 
 
-def encode(sample: Sample, sender: str, boot: int, stamp: int, most: int = BYTES_MOST) -> list[bytes]:
+def encode(sample: Sample, sender: str, boot: int, stamp: int, most: int = MAX_MESSAGE_BYTES) -> list[bytes]:
     """Messages of at most ``most`` bytes. Footprints of least place go first; what is beyond
-    ``MESSAGES_MOST`` messages is left out and the sample's size is said to be as small as that, so that it
+    ``MAX_MESSAGES`` messages is left out and the sample's size is said to be as small as that, so that it
     stays a sample. ValueError where a footprint or the sources alone are larger than a message."""
     keys = [(*key, source) for key, source in sorted(sample.sources.items())]
     used = 0
@@ -78,7 +78,7 @@
         one = sample.footprints[place]
         cost = _cost(one, known)
         if not groups or used + cost > room:
-            if len(groups) == MESSAGES_MOST:
+            if len(groups) == MAX_MESSAGES:
                 break
             groups.append(([], []))
             known, used = set(), 0
@@ -96,7 +96,9 @@
     for index, (sources, footprints) in enumerate(groups):
         lists: dict[tuple[str, ...], int] = {}
         lines = tuple(_line(one, lists) for one in footprints)
-        message = Message(sender, boot, stamp, index, len(groups), size, tuple(sources), tuple(lists), lines)
+        message = SampleMessage(
+            sender, boot, stamp, index, len(groups), size, tuple(sources), tuple(lists), lines
+        )
         found.append(msgspec.msgpack.encode(message))
     return found
 
@@ -110,17 +112,17 @@
     )
 
 
-def decode(data: bytes) -> Message:
+def decode(data: bytes) -> SampleMessage:
     """ValueError naming what is wrong with the bytes."""
-    if len(data) > BYTES_MOST:
-        raise ValueError(f"sample message: {len(data)} bytes; expected at most {BYTES_MOST}")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"sample message: {len(data)} bytes; expected at most {MAX_MESSAGE_BYTES}")
     try:
-        message = msgspec.msgpack.decode(data, type=Message)
+        message = msgspec.msgpack.decode(data, type=SampleMessage)
     except msgspec.DecodeError as error:
         raise ValueError(f"sample message: {error}") from None
-    if not 0 <= message.place < message.count <= MESSAGES_MOST:
+    if not 0 <= message.place < message.count <= MAX_MESSAGES:
         raise ValueError(
-            f"sample message: {message.place} of {message.count}; expected at most {MESSAGES_MOST}"
+            f"sample message: {message.place} of {message.count}; expected at most {MAX_MESSAGES}"
         )
     for line in message.lines:
         if any(not 0 <= part[0] < len(message.lists) or min(part) < 0 for part in line[8]):
@@ -131,17 +133,17 @@
 
 
 @dataclass(slots=True)
-class Gathering:
+class SampleAssembler:
     """Messages as they come, in any order and doubled -> samples by sender, each when it is whole.
 
     Of one sender the newest (boot, stamp) counts. Told to ``merge`` only what is asked for: see ``whole``.
     """
 
     size: int
-    whole: dict[str, Sample] = field(default_factory=dict)
-    _parts: dict[str, tuple[tuple[int, int], dict[int, Message]]] = field(default_factory=dict)
+    complete: dict[str, Sample] = field(default_factory=dict)
+    _parts: dict[str, tuple[tuple[int, int], dict[int, SampleMessage]]] = field(default_factory=dict)
 
-    def take(self, message: Message) -> bool:
+    def receive(self, message: SampleMessage) -> bool:
         """True when the sender's sample is whole by this one."""
         stamp = (message.boot, message.stamp)
         there, parts = self._parts.get(message.sender, (stamp, {}))
@@ -149,24 +151,24 @@
             return False
         if stamp > there:
             parts = {}
-        if message.sender not in self._parts and len(self._parts) >= SENDERS_MOST:
+        if message.sender not in self._parts and len(self._parts) >= MAX_SENDERS:
             del self._parts[next(iter(self._parts))]
         parts[message.place] = message
         self._parts[message.sender] = (stamp, parts)
         if len(parts) < message.count:
             return False
-        self.whole[message.sender] = self._joined(list(parts.values()))
-        while len(self.whole) > SENDERS_MOST:
-            del self.whole[next(iter(self.whole))]
+        self.complete[message.sender] = self._joined(list(parts.values()))
+        while len(self.complete) > MAX_SENDERS:
+            del self.complete[next(iter(self.complete))]
         self._parts[message.sender] = (stamp, dict.fromkeys(parts, message))
         return True
 
     def sample(self) -> Sample:
         """All whole samples merged."""
-        return Sample(size=self.size).merged(*self.whole.values())
+        return Sample(size=self.size).merged(*self.complete.values())
 
     @staticmethod
-    def _joined(messages: list[Message]) -> Sample:
+    def _joined(messages: list[SampleMessage]) -> Sample:
         footprints: dict[int, Footprint] = {}
         sources: dict[Key, Source] = {}
         for message in messages:
--- a/quincepath/fleet/forecast/cutting.py
+++ b/quincepath/fleet/forecast/projection.py
@@ -18,7 +18,7 @@
 Array = NDArray[np.float64]
 Ints = NDArray[np.int64]
 
-UNSEEN_MOST = 20  # values that are named
+MAX_UNSEEN_LISTED = 20  # values that are named
 
 
 @dataclass(slots=True)
@@ -120,8 +120,8 @@
 
 
 def unseen(after: MapVersion, before: MapVersion, footprints: Sequence[Footprint]) -> tuple[str, ...]:
-    """Values of the new map that nobody has seen; at most ``UNSEEN_MOST``, in the map's order."""
+    """Values of the new map that nobody has seen; at most ``MAX_UNSEEN_LISTED``, in the map's order."""
     known = {value for _name, _group, values in before.entries for value in values}
     known.update(value for one in footprints for part in one.parts for value in part.values)
     found = (v for _name, _group, values in after.entries for v in values if v not in known)
-    return tuple(v for v, _ in zip(found, range(UNSEEN_MOST), strict=False))
+    return tuple(v for v, _ in zip(found, range(MAX_UNSEEN_LISTED), strict=False))
--- a/quincepath/fleet/forecast/replay.py
+++ b/quincepath/fleet/forecast/replay.py
@@ -9,10 +9,17 @@
 
 import numpy as np
 
-from quincepath.fleet.forecast.cutting import Array, Cut, by_query, cut, own, unseen, weights_of
-from quincepath.fleet.forecast.facts import Figure, Forecast, Kind, ReplaySettings, Where, World
 from quincepath.fleet.forecast.footprints import Sample
+from quincepath.fleet.forecast.projection import Array, Cut, by_query, cut, own, unseen, weights_of
 from quincepath.fleet.forecast.tail import Late, Queues, learn
+from quincepath.fleet.forecast.types import (
+    Environment,
+    Figure,
+    FigureKey,
+    FigureKind,
+    Forecast,
+    ReplaySettings,
+)
 from quincepath.shards.versions import MapVersion
 
 SECOND = 1e9
@@ -33,10 +40,15 @@
     """One replay. Rows of draws: row 0 has weight 1 for each footprint, the others are the bootstrap's."""
 
     def __init__(
-        self, sample: Sample, before: MapVersion, after: MapVersion, world: World, settings: ReplaySettings
-    ) -> None:
+        self,
+        sample: Sample,
+        before: MapVersion,
+        after: MapVersion,
+        environment: Environment,
+        settings: ReplaySettings,
+    ) -> None:  # fmt: skip
         self.footprints = [sample.footprints[place] for place in sorted(sample.footprints)]
-        self.sample, self.world, self.settings, self.after = sample, world, settings, after
+        self.sample, self.environment, self.settings, self.after = sample, environment, settings, after
         self.n = len(self.footprints)
         self.kinds = sorted({one.kind for one in self.footprints})
         self.kind = np.array([self.kinds.index(one.kind) for one in self.footprints], dtype=np.int64)
@@ -49,8 +61,8 @@
         draws[draws.sum(axis=1) == 0] = 1.0
         self.draws = np.vstack([np.ones(self.n), draws])
         spent = max(1, sample.until - sample.since)
-        self.queries = sample.total * world.of / max(1, world.heard)
-        self.measured = settings.measured or self.queries
+        self.queries = sample.total * environment.of / max(1, environment.heard)
+        self.measured = settings.measured_queries or self.queries
         # Of the rate, in a window as long: the chance of both counts of queries, drawn once for all figures.
         noise = rng.standard_normal(len(self.draws)) * np.sqrt(
             1 / max(1.0, self.queries) + 1 / max(1.0, self.measured)
@@ -132,8 +144,8 @@
 
     def servers(self, sets: Sequence[str], holders: Mapping[str, int]) -> Array:
         """Slots of each replica set: its nodes, at least one, times the slots of a node."""
-        every = [max(1, holders.get(name, self.world.holders_else)) for name in sets]
-        return np.array(every, dtype=np.float64) * self.world.slots
+        every = [max(1, holders.get(name, self.environment.holders_else)) for name in sets]
+        return np.array(every, dtype=np.float64) * self.environment.slots
 
     def queues(
         self, cuts: Cut, holders: Mapping[str, int], work: Array, horizon: float
@@ -169,12 +181,12 @@
         The odds of each class are corrected by what the model makes of the map in force against what the
         sample saw there, by draw: (seen + ``PRIOR``) / (modelled + ``PRIOR``).
         """
-        before = self.world.holders_before or self.world.holders
+        before = self.environment.holders_before or self.environment.holders
         old, service_old = self.queues(self.old, before, self.work(self.old), self.spent)
         waits, excess = old.waits()[0, self.old.group], self._excess(self.old)
         known = np.isfinite(excess)
         slow, rest = learn(excess[known], waits[known])
-        new, service = self.queues(self.new, self.world.holders, work, self.horizon)
+        new, service = self.queues(self.new, self.environment.holders, work, self.horizon)
         late = self.late(new, self.new, service, slow, rest)
         modelled = self.late(old, self.old, service_old, slow, rest)
         missed = np.array([one.took > one.target for one in self.footprints], dtype=np.float64)
@@ -237,41 +249,48 @@
 
 
 def forecast(
-    sample: Sample, before: MapVersion, after: MapVersion, world: World,
-    settings: ReplaySettings | None = None, widen: Mapping[Kind, float] | None = None,
+    sample: Sample, before: MapVersion, after: MapVersion, environment: Environment,
+    settings: ReplaySettings | None = None, widen: Mapping[FigureKind, float] | None = None,
 ) -> Forecast:  # fmt: skip
     """All figures of the new map. ``widen``: the stored factor by kind, 1 where none. ValueError without
     holders or brokers; a sample without footprints gives a forecast without figures, which no verdict
     accepts.
     """
-    settings, factors = settings or ReplaySettings(), {kind: 1.0 for kind in Kind} | dict(widen or {})
-    if world.slots < 1 or not 0 <= world.heard <= world.of or world.of < 1 or min(factors.values()) < 1:
-        raise ValueError(f"{world}, widen {factors}: expected slots, brokers heard of all, factors from 1")
-    figures: dict[Where, Figure] = {}
-    replay = Replay(sample, before, after, world, settings)
+    settings, factors = settings or ReplaySettings(), {kind: 1.0 for kind in FigureKind} | dict(widen or {})
+    if (
+        environment.slots < 1
+        or not 0 <= environment.heard <= environment.of
+        or environment.of < 1
+        or min(factors.values()) < 1
+    ):
+        raise ValueError(
+            f"{environment}, widen {factors}: expected slots, brokers heard of all, factors from 1"
+        )
+    figures: dict[FigureKey, Figure] = {}
+    replay = Replay(sample, before, after, environment, settings)
     if replay.n:
-        figures = _figures(replay, world, settings, factors)
+        figures = _figures(replay, environment, settings, factors)
     return Forecast(
         figures, after.digest, replay.n, sample.total, sample.since, sample.until, sample.hours(),
-        world.heard, world.of, replay.unseen, replay.new.homeless, sample.full, factors,
+        environment.heard, environment.of, replay.unseen, replay.new.homeless, sample.full, factors,
     )  # fmt: skip
 
 
 def _figures(
-    replay: Replay, world: World, settings: ReplaySettings, factors: Mapping[Kind, float]
-) -> dict[Where, Figure]:
-    figures: dict[Where, Figure] = {}
+    replay: Replay, environment: Environment, settings: ReplaySettings, factors: Mapping[FigureKind, float]
+) -> dict[FigureKey, Figure]:
+    figures: dict[FigureKey, Figure] = {}
     for index, name in enumerate(replay.kinds):
-        figures[Kind.PARTS, name] = bar(replay.parts(index), factors[Kind.PARTS])
+        figures[FigureKind.PARTS, name] = bar(replay.parts(index), factors[FigureKind.PARTS])
     calls, work = replay.calls(replay.new), replay.work(replay.new)
-    servers = replay.servers(replay.new.sets, world.holders)
+    servers = replay.servers(replay.new.sets, environment.holders)
     few = RULE * float(replay.rate[0]) / replay.n
     mean = work[0].sum() / max(1e-9, calls[0].sum())
     for index, name in enumerate(replay.new.sets):
-        of = servers[index] / world.slots
+        of = servers[index] / environment.slots
         for kind, found, least in (
-            (Kind.CALLS, calls[:, index] / of, few / of),
-            (Kind.LOAD, work[:, index] / servers[index], few * mean / servers[index]),
+            (FigureKind.CALLS, calls[:, index] / of, few / of),
+            (FigureKind.LOAD, work[:, index] / servers[index], few * mean / servers[index]),
         ):
             floor = least if found[0] == 0 else 0.0
             one = bar(found, 1.0, floor)
@@ -282,10 +301,10 @@
                 one.value, max(0.0, one.value - factor * down), one.value + factor * up
             )
     for number, name in [*enumerate(replay.kinds), (None, "")]:
-        figures[Kind.BYTES, name] = bar(replay.merged(number), factors[Kind.BYTES])
+        figures[FigureKind.BYTES, name] = bar(replay.merged(number), factors[FigureKind.BYTES])
     for name, (draws, spread) in replay.misses(work).items():
         count = sum(1 for one in replay.footprints if name in ("", one.kind))
-        figures[Kind.MISS, name] = share_bar(
-            draws, spread, min(count, replay.measured * count / replay.n), factors[Kind.MISS]
+        figures[FigureKind.MISS, name] = share_bar(
+            draws, spread, min(count, replay.measured * count / replay.n), factors[FigureKind.MISS]
         )
     return figures
--- a/quincepath/fleet/forecast/tail.py
+++ b/quincepath/fleet/forecast/tail.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from quincepath.fleet.forecast.cutting import Array, Ints
+from quincepath.fleet.forecast.projection import Array, Ints
 
 FULL = 0.995  # load from which the steady formula is not used further
 # Over a time T, sqrt(2 v T / pi) is the mean wait at its end where load is 1 and v the variance of the work
--- a/quincepath/fleet/forecast/facts.py
+++ b/quincepath/fleet/forecast/types.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 
-class Kind(StrEnum):
+class FigureKind(StrEnum):
     """What a figure is of, and in the comment what its ``where`` names and its unit."""
 
     PARTS = "parts"  # class; parts a query
@@ -14,7 +14,7 @@
     MISS = "miss"  # class, "" for all; share of queries that miss their target
 
 
-Where = tuple[Kind, str]
+FigureKey = tuple[FigureKind, str]
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class World:
+class Environment:
     """What is around the sample. ``holders``: by replica set of the new map, how many will serve it; of a
     set that is not named, ``holders_else``. ``slots``: calls that a holder works on at once. ``heard`` of
     ``of`` brokers.
@@ -44,13 +44,13 @@
 @dataclass(slots=True, frozen=True)
 class ReplaySettings:
     """``uneven``: how far one holder's load may be from the mean of its set, as a share of it. ``draws``: of
-    the bootstrap. ``measured``: queries that the figure will be measured over, whose chance is part of the
-    bar; 0: as many as the sample stands for."""
+    the bootstrap. ``measured_queries``: queries that the figure will be measured over, whose chance is
+    part of the bar; 0: as many as the sample stands for."""
 
     uneven: float = 0.05
     draws: int = 200
     seed: int = 1
-    measured: int = 0
+    measured_queries: int = 0
 
     def __post_init__(self) -> None:
         if not 0 <= self.uneven <= 1 or self.draws < 40:
@@ -65,7 +65,7 @@
     does not place.
     """
 
-    figures: dict[Where, Figure]
+    figures: dict[FigureKey, Figure]
     digest: str
     queries: int
     total: int
@@ -77,4 +77,4 @@
     unseen: tuple[str, ...] = ()
     homeless: float = 0.0
     full: bool = False
-    widened: dict[Kind, float] = field(default_factory=dict)
+    widened: dict[FigureKind, float] = field(default_factory=dict)
--- a/quincepath/fleet/forecast/verdict.py
+++ b/quincepath/fleet/forecast/verdict.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from quincepath.fleet.forecast.facts import Figure, Forecast, Kind, Where
-from quincepath.fleet.forecast.footprints import HOUR
+from quincepath.fleet.forecast.footprints import HOUR_NS
+from quincepath.fleet.forecast.types import Figure, FigureKey, FigureKind, Forecast
 
 
 class Answer(StrEnum):
@@ -25,7 +25,7 @@
     whole).
     """
 
-    kind: Kind
+    kind: FigureKind
     most: float
     where: str = ""
 
@@ -33,10 +33,10 @@
         if self.most <= 0:
             raise ValueError(f"limit of {self.kind} {self.where!r}: {self.most}; expected above 0")
 
-    def covers(self, place: Where) -> bool:
+    def covers(self, place: FigureKey) -> bool:
         """Whether the limit is for figures of this kind and place."""
         kind, where = place
-        whole = self.kind in (Kind.BYTES, Kind.MISS) or self.where != ""
+        whole = self.kind in (FigureKind.BYTES, FigureKind.MISS) or self.where != ""
         return kind == self.kind and (where == self.where if whole else True)
 
 
@@ -50,7 +50,7 @@
 
     limits: tuple[Limit, ...]
     least: int = 400
-    age_most: int = 2 * HOUR
+    age_most: int = 2 * HOUR_NS
     hours_apart: int = 1
     hours_least: float = 0.9
     heard_least: float = 0.9
@@ -62,11 +62,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Over:
+class Violation:
     """A limit that is passed, or crossed by a bar: the figure, its bar, and the set or class."""
 
     limit: Limit
-    place: Where
+    place: FigureKey
     figure: Figure
     at: str  # shard or holder as far as it is known: "set NAME" or "class NAME"
 
@@ -85,7 +85,7 @@
     """
 
     answer: Answer
-    over: tuple[Over, ...]
+    over: tuple[Violation, ...]
     why: tuple[str, ...]
 
 
@@ -96,7 +96,7 @@
         places = [place for place in sorted(found.figures) if limit.covers(place)]
         for place in places:
             one = found.figures[place]
-            over = Over(limit, place, one, _at(place))
+            over = Violation(limit, place, one, _at(place))
             if one.low > limit.most:
                 passed.append(over)
             elif one.high > limit.most:
@@ -115,13 +115,13 @@
     return Verdict(Answer.ACCEPT, (), ())
 
 
-def _worst(found: list[Over]) -> tuple[Over, ...]:
+def _worst(found: list[Violation]) -> tuple[Violation, ...]:
     return tuple(sorted(found, key=lambda one: (-one.figure.value / one.limit.most, one.place)))
 
 
-def _at(place: Where) -> str:
+def _at(place: FigureKey) -> str:
     kind, where = place
-    if kind in (Kind.CALLS, Kind.LOAD):
+    if kind in (FigureKind.CALLS, FigureKind.LOAD):
         return f"a holder of set {where!r}"
     return f"class {where!r}" if where else "all queries"
 
@@ -132,11 +132,12 @@
     if found.queries < rules.least:
         why.append(f"sample too small: {found.queries} footprints, at least {rules.least} are asked")
     age = now - found.until
-    if age > rules.age_most or age < -HOUR:
+    if age > rules.age_most or age < -HOUR_NS:
         why.append(
-            f"sample too old: ended {age / HOUR:.1f} h ago, at most {rules.age_most / HOUR:.1f} h are asked"
+            f"sample too old: ended {age / HOUR_NS:.1f} h ago, "
+            f"at most {rules.age_most / HOUR_NS:.1f} h are asked"
         )
-    hour = due // HOUR % 24
+    hour = due // HOUR_NS % 24
     near = sum(
         share for at, share in enumerate(found.hours)
         if min((at - hour) % 24, (hour - at) % 24) <= rules.hours_apart
--- a/quincepath/fleet/permits.py
+++ b/quincepath/fleet/permits.py
@@ -10,7 +10,14 @@
 
 import msgspec
 
-from quincepath.fleet.adoption import MAP_COMMANDS, MapCommand, Topology, closed, disturbed, do
+from quincepath.fleet.adoption import (
+    MAP_COMMANDS,
+    MapCommand,
+    Topology,
+    apply_map_command,
+    clear_halt,
+    restart_measurement,
+)
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.budget import Check, Reason, refusals
 from quincepath.fleet.configuration.commands import ChangeConfiguration, apply_command
@@ -167,7 +174,7 @@
         """What stands in its way; empty where it is done."""
         permits, topology = self.state.permits, self.state.topology
         if isinstance(command, MAP_COMMANDS):
-            return do(topology, command, index, self.in_the_way())[:400]
+            return apply_map_command(topology, command, index, self.in_the_way())[:400]
         match command:
             case ChangeConfiguration():
                 return apply_command(self.configuration, command)[:400]
@@ -178,12 +185,12 @@
                 permits[command.name] = Permit(
                     command.name, command.purpose, command.by, command.at, command.overdue_at, index=index
                 )
-                disturbed(topology, command.at)
+                restart_measurement(topology, command.at)
             case Halt():
                 self.state.halted = command.why or "by hand"
             case Resume():
                 self.state.halted = ""
-                closed(topology)
+                clear_halt(topology)
             case Begun() | Back() | Close():
                 permit = permits.get(command.name)
                 if permit is None:
@@ -192,7 +199,7 @@
                     permit.begun_at = permit.begun_at or command.at
                 else:
                     del permits[command.name]
-                    disturbed(topology, command.at)
+                    restart_measurement(topology, command.at)
         return ""
 
     def in_the_way(self) -> str:
@@ -216,9 +223,9 @@
         self.state.schema = SCHEMA
         self.configuration.load(self.state.configuration)
         if self.state.topology.record:
-            from quincepath.fleet.forecast import record_of  # a large library comes with it
+            from quincepath.fleet.forecast import decode_record  # a large library comes with it
 
-            record_of(self.state.topology.record)
+            decode_record(self.state.topology.record)
 
     # --- judging ---
 
--- a/quincepath/fleet/sampling.py
+++ b/quincepath/fleet/sampling.py
@@ -7,38 +7,38 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from quincepath.fleet.adoption.gathering import Measured
+from quincepath.fleet.adoption.reports import Measurement
 from quincepath.fleet.forecast import (
+    Environment,
+    FigureKind,
     Footprint,
-    Gathering,
-    Kind,
     Part,
     ReplaySettings,
     Sample,
+    SampleAssembler,
     Sampler,
-    World,
     decode,
     encode,
     forecast,
 )
 from quincepath.shards.versions import MapVersion
 
-SIZE = 1024  # footprints of a broker, and of the fleet
-SECOND = 1_000_000_000
-EVERY = 10 * SECOND  # between samples that one broker sends,
-EVERY_MORE = SECOND // 10  # and so much more for each broker of the fleet
+SAMPLE_SIZE = 1024  # footprints of a broker, and of the fleet
+SECOND_NS = 1_000_000_000
+SEND_INTERVAL_NS = 10 * SECOND_NS  # between samples that one broker sends,
+SEND_INTERVAL_PER_BROKER_NS = SECOND_NS // 10  # and so much more for each broker of the fleet
 
 
 @dataclass(slots=True)
 class Samples:
-    """``put`` for each query that was answered; ``due``, ``messages`` towards the leader; ``take`` there."""
+    """``add`` for each query answered; ``due`` and ``messages`` towards the leader; ``receive`` there."""
 
     member: str
     boot: int
     brokers: int
     version: int = 0
     sampler: Sampler = field(init=False)
-    gathering: Gathering = field(init=False)
+    assembler: SampleAssembler = field(init=False)
     _stamp: int = 0
     _stamps: dict[str, int] = field(default_factory=dict)  # of those that are whole, by sender
     _told: tuple[str, str] = ("", "")  # to whom, for which step
@@ -50,20 +50,20 @@
     def begin(self, version: int) -> None:
         """Queries of this version from now on."""
         self.version = version
-        self.sampler = Sampler(f"{self.member}/{version}", self.boot, SIZE)
-        self.gathering = Gathering(SIZE)
+        self.sampler = Sampler(f"{self.member}/{version}", self.boot, SAMPLE_SIZE)
+        self.assembler = SampleAssembler(SAMPLE_SIZE)
         self._stamps = {}
         self._told = ("", "")
 
-    def put(
+    def add(
         self, ask: int, at: int, kind: str, tenant: str, target: int, took: int,
         parts: tuple[Part, ...], accepts: tuple[bool, bool],
     ) -> None:  # fmt: skip
         """A query has been answered. ``accepts``: values that nobody knows yet; series without the label."""
         self.sampler.count(at)
-        place = self.sampler.wanted(ask)
+        place = self.sampler.hash_if_sampled(ask)
         if place is not None:
-            self.sampler.put(Footprint(place, at, kind, tenant, parts, target, took, *accepts))
+            self.sampler.add(Footprint(place, at, kind, tenant, parts, target, took, *accepts))
 
     # --- towards the leader ---
 
@@ -73,7 +73,10 @@
         if not leader or leader == self.member:
             return False
         if (leader, step) != self._told or now >= self._next:
-            self._told, self._next = (leader, step), now + EVERY + EVERY_MORE * self.brokers
+            self._told, self._next = (
+                (leader, step),
+                now + SEND_INTERVAL_NS + SEND_INTERVAL_PER_BROKER_NS * self.brokers,
+            )
             return True
         return False
 
@@ -84,7 +87,7 @@
 
     # --- the leader ---
 
-    def take(self, sender: str, data: bytes) -> str:
+    def receive(self, sender: str, data: bytes) -> str:
         """Why it is not taken: unreadable, another's, or of another version than this broker uses."""
         try:
             message = decode(data)
@@ -92,7 +95,7 @@
             return str(error)
         if message.sender != f"{sender}/{self.version}":
             return f"sample of {message.sender!r}; expected one of {sender!r} for version {self.version}"
-        if self.gathering.take(message):
+        if self.assembler.receive(message):
             self._stamps[sender] = message.stamp
         return ""
 
@@ -103,18 +106,18 @@
     def gathered(self) -> tuple[Sample, int]:
         """The fleet's sample with this broker's own, and how many brokers are in it."""
         own = self.sampler.sample()
-        return own.merged(self.gathering.sample()), 1 + len(self.gathering.whole)
+        return own.merged(self.assembler.sample()), 1 + len(self.assembler.complete)
 
-    def measured(self, version: MapVersion, holders: Mapping[str, int], slots: int) -> Measured | None:
+    def measured(self, version: MapVersion, holders: Mapping[str, int], slots: int) -> Measurement | None:
         """Figures of what was sampled since the version is in use; None without a query."""
         sample, heard = self.gathered()
         if not sample.footprints:
             return None
-        world = World(dict(holders), slots, min(heard, self.brokers), self.brokers)
+        world = Environment(dict(holders), slots, min(heard, self.brokers), self.brokers)
         found = forecast(sample, version, version, world, ReplaySettings(draws=40)).figures
-        figures = {place: float(one.value) for place, one in found.items() if place[0] is not Kind.MISS}
+        figures = {place: float(one.value) for place, one in found.items() if place[0] is not FigureKind.MISS}
         queries = list(sample.footprints.values())
         for name in {"", *(one.kind for one in queries)}:
             mine = [one for one in queries if name in ("", one.kind)]
-            figures[Kind.MISS, name] = sum(one.took > one.target for one in mine) / len(mine)
+            figures[FigureKind.MISS, name] = sum(one.took > one.target for one in mine) / len(mine)
         return tuple((kind.value, where, value) for (kind, where), value in sorted(figures.items()))
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -30,7 +30,7 @@
     from quincepath.fleet.configuration_requests import ConfigurationRequests
     from quincepath.fleet.distribution import Distribution
     from quincepath.fleet.shared import Shared
-    from quincepath.fleet.topology import Maps
+    from quincepath.fleet.topology import MapAdoption
 
 OWN = ("number", "seed", "zone")  # what may differ from broker to broker within one configuration
 LOOK = 1_000_000_000  # ns between looks at the figures
@@ -205,22 +205,26 @@
 
     # --- what is agreed ---
 
-    def _maps(self, config: Config, boot: int) -> Callable[[Permits], "Maps | None"]:
+    def _maps(self, config: Config, boot: int) -> Callable[[Permits], "MapAdoption | None"]:
         """This broker's part in a new shard map; None without ``topology:``."""
         entry = self.entry.topology
         if entry is None:
             return lambda machine: None
-        from quincepath.fleet.topology import Maps, Ports, configured_map  # only where maps may change
+        from quincepath.fleet.topology import (  # only where maps may change
+            AdoptionHooks,
+            MapAdoption,
+            configured_map,
+        )
 
-        ports = Ports(
+        hooks = AdoptionHooks(
             brokers=lambda: tuple(sorted(self.brokers)),
-            believed=lambda: {one.name: one.phase.name.lower() for one in self.view.table.all()},
+            believed_phases=lambda: {one.name: one.phase.name.lower() for one in self.view.table.all()},
             unsettled=lambda: self.view.unsettled(),
-            sets=lambda: {name: unit.sets[0] for name, unit in self.units().items() if unit.sets},
+            set_by_holder=lambda: {name: unit.sets[0] for name, unit in self.units().items() if unit.sets},
         )
         first = configured_map(config.shards)
-        return lambda machine: Maps(
-            self.entry.member, boot, first, entry, machine, ports, self.log, wall=self.loop.system.wall_ns
+        return lambda machine: MapAdoption(
+            self.entry.member, boot, first, entry, machine, hooks, self.log, wall_ns=self.loop.system.wall_ns
         )
 
     def _distribute(
--- a/quincepath/fleet/topology.py
+++ b/quincepath/fleet/topology.py
@@ -13,51 +13,60 @@
 from quincepath.config.schema.holders import Shards
 from quincepath.config.schema.topology import TopologyEntry
 from quincepath.fleet.adoption import (
-    EMPTY,
+    EMPTY_RECORD,
     AdoptMap,
     AwayMap,
     BackMap,
-    Gathered,
-    Judged,
     Map,
     MapCommand,
+    MapFollower,
     MapReport,
+    MapReports,
+    MapVerdict,
     MeasuredMap,
-    Member,
     ProposeMap,
     Step,
     Topology,
     UseMap,
-    judged_of,
+    make_verdict,
 )
-from quincepath.fleet.adoption.commands import FIGURES_MOST, Held
-from quincepath.fleet.adoption.gathering import Measured
+from quincepath.fleet.adoption.commands import MAX_FIGURES, ShardsByHolder
+from quincepath.fleet.adoption.reports import Measurement
 from quincepath.fleet.agreement.entries import COMMAND_MOST
-from quincepath.fleet.forecast import Kind, Limit, Rules, Sample, World, forecast, record_of, verdict
+from quincepath.fleet.forecast import (
+    Environment,
+    FigureKind,
+    Limit,
+    Rules,
+    Sample,
+    decode_record,
+    forecast,
+    verdict,
+)
 from quincepath.fleet.permits import Permits, encode
 from quincepath.fleet.sampling import Samples
 from quincepath.shards.versions import MapVersion, difference
 
-MILLI = 1_000_000  # ns
+NS_PER_MS = 1_000_000  # ns
 
 
 @dataclass(slots=True)
-class Ports:
-    """What the broker knows besides. ``believed``: phase by name, of those not believed alive; ``sets``: the
-    replica set of each holder; ``stage``: make a map
-    ready, False where it cannot be; ``measured`` and ``sample`` in place of this broker's own;
-    ``use``: queries that begin from now on go by it.
+class AdoptionHooks:
+    """What the broker provides. ``believed_phases``: phase by member name, of those not believed alive;
+    ``set_by_holder``: the replica set of each holder; ``stage``: prepares a map and returns False where that
+    is impossible; ``measured`` and ``sample`` replace this broker's own; ``on_use``: queries that start from
+    now on use this version.
     """
 
     brokers: Callable[[], tuple[str, ...]]
-    believed: Callable[[], Mapping[str, str]]
+    believed_phases: Callable[[], Mapping[str, str]]
     unsettled: Callable[[], list[str]] = list
-    sets: Callable[[], Mapping[str, str]] = dict
+    set_by_holder: Callable[[], Mapping[str, str]] = dict
     sample: Callable[[], tuple[Sample, int] | None] | None = None
     stage: Callable[[MapVersion], bool] | None = None
-    proved: Callable[[], Held] = dict
-    measured: Callable[[], Measured | None] | None = None
-    use: Callable[[MapVersion], None] = lambda version: None
+    proved: Callable[[], ShardsByHolder] = dict
+    measured: Callable[[], Measurement | None] | None = None
+    on_use: Callable[[MapVersion], None] = lambda version: None
 
 
 def configured_map(shards: Shards) -> MapVersion:
@@ -67,28 +76,30 @@
 
 
 @dataclass(slots=True)
-class Maps:
-    """This broker's part: ``judge`` and ``next`` as leader, ``report`` and ``applied`` as one of all."""
+class MapAdoption:
+    """This broker's side of an adoption: ``prepare_command`` and ``next_command`` on the leader, ``report``
+    and ``on_applied`` on every broker.
+    """
 
     member: str
     boot: int
     configured: MapVersion
     entry: TopologyEntry
     machine: Permits
-    ports: Ports
+    hooks: AdoptionHooks
     log: Any
-    gathered: Gathered = field(default_factory=Gathered)
-    part: Member = field(init=False)
-    wall: Callable[[], int] = lambda: 0  # ns since the epoch
+    reports: MapReports = field(default_factory=MapReports)
+    follower: MapFollower = field(init=False)
+    wall_ns: Callable[[], int] = lambda: 0  # ns since the epoch
     samples: Samples = field(init=False)
-    _measured: tuple[int, Measured | None] = (0, None)
+    _measured: tuple[int, Measurement | None] = (0, None)
     _count: int = 0
     _in_use: int = 0
     _seen: tuple[str, int, str] = ("none", 0, "")
 
     def __post_init__(self) -> None:
-        self.part = Member(self.configured)
-        self.samples = Samples(self.member, self.boot, len(self.ports.brokers()))
+        self.follower = MapFollower(self.configured)
+        self.samples = Samples(self.member, self.boot, len(self.hooks.brokers()))
 
     @property
     def topology(self) -> Topology:
@@ -97,9 +108,9 @@
 
     # --- the leader ---
 
-    def judge(self, command: MapCommand, now: int, wall: int) -> tuple[MapCommand, str]:
+    def prepare_command(self, command: MapCommand, now: int, wall: int) -> tuple[MapCommand, str]:
         """Filled with what this broker believes, knows and has heard; why it is refused. ``wall``: ms."""
-        reasons = self.ports.unsettled()
+        reasons = self.hooks.unsettled()
         if reasons and isinstance(command, AdoptMap | AwayMap):
             return command, f"the view is not settled: {'; '.join(reasons)}"
         why = ""
@@ -109,17 +120,17 @@
             case AdoptMap():
                 command, why = self._adopt(command, wall)
             case AwayMap():
-                belief = self.ports.believed().get(command.name, "alive")
+                belief = self.hooks.believed_phases().get(command.name, "alive")
                 command = msgspec.structs.replace(command, belief=belief)
             case BackMap():
                 before = self.topology.version(self.topology.before)
                 needs = {} if before is None else self._needs(before)
-                command = msgspec.structs.replace(command, brokers=self.ports.brokers(), needs=needs)
+                command = msgspec.structs.replace(command, brokers=self.hooks.brokers(), needs=needs)
             case MeasuredMap():
                 command = msgspec.structs.replace(command, figures=self.measured(wall) or ())
-                command = self.gathered.filled(command, self.topology, now)
+                command = self.reports.with_evidence(command, self.topology, now)
             case UseMap():
-                command = self.gathered.filled(command, self.topology, now)
+                command = self.reports.with_evidence(command, self.topology, now)
         size = len(encode(command))
         if size > COMMAND_MOST and not why:
             why = f"{type(command).__name__}: {size} bytes; expected at most {COMMAND_MOST} in an entry"
@@ -127,51 +138,51 @@
 
     def _needs(self, new: MapVersion) -> dict[str, tuple[str, ...]]:
         old = self.topology.version(self.topology.used) or self.configured
-        return difference(old, new).needed_by(self.ports.sets())
+        return difference(old, new).needed_by(self.hooks.set_by_holder())
 
     def _adopt(self, command: AdoptMap, wall: int) -> tuple[AdoptMap, str]:
         open_ = self.topology.proposal
         new = None if open_ is None else self.topology.version(open_.number)
         if new is None:
             return command, ""  # the machine says so
-        sets = self.ports.sets()
+        sets = self.hooks.set_by_holder()
         bare = sorted(set(new.sets()) - set(sets.values()))
         if bare:
             return command, f"replica set {bare[0]!r} of version {new.number} has no holder"
         return msgspec.structs.replace(
-            command, judged=self.judged(new, wall), brokers=self.ports.brokers(), needs=self._needs(new),
-            measure=self.entry.measure // MILLI,
+            command, judged=self.judge_map(new, wall), brokers=self.hooks.brokers(), needs=self._needs(new),
+            measure=self.entry.measure // NS_PER_MS,
         ), ""  # fmt: skip
 
-    def judged(self, new: MapVersion, wall: int) -> Judged:
+    def judge_map(self, new: MapVersion, wall: int) -> MapVerdict:
         """The verdict on a map by what brokers have sampled, as it goes into the entry."""
-        heard = self.samples.gathered() if self.ports.sample is None else self.ports.sample()
+        heard = self.samples.gathered() if self.hooks.sample is None else self.hooks.sample()
         if heard is None or not heard[0].footprints:
-            return Judged("not known", ("no broker's footprints are here",), new.digest)
+            return MapVerdict("not known", ("no broker's footprints are here",), new.digest)
         old = self.topology.version(self.topology.used) or self.configured
-        of = len(self.ports.brokers())
+        of = len(self.hooks.brokers())
         holders = self._holders()
-        world = World(holders, self.entry.slots, min(heard[1], of), of)
-        record = record_of(self.topology.record or EMPTY)
+        world = Environment(holders, self.entry.slots, min(heard[1], of), of)
+        record = decode_record(self.topology.record or EMPTY_RECORD)
         found = forecast(heard[0], old, new, world, widen=record.factors())
-        limits = tuple(Limit(Kind(one.kind), one.most, one.where or "") for one in self.entry.limits)
+        limits = tuple(Limit(FigureKind(one.kind), one.most, one.where or "") for one in self.entry.limits)
         entry = self.entry
         rules = Rules(limits, entry.least, entry.age_most, heard_least=entry.heard_least)
-        if len(found.figures) > FIGURES_MOST:
-            why = f"{len(found.figures)} figures; expected at most {FIGURES_MOST} in an entry"
-            return Judged("not known", (why,), new.digest)
-        said = verdict(found, rules, wall * MILLI)
-        return judged_of(found, said.answer.value, said.why)
+        if len(found.figures) > MAX_FIGURES:
+            why = f"{len(found.figures)} figures; expected at most {MAX_FIGURES} in an entry"
+            return MapVerdict("not known", (why,), new.digest)
+        said = verdict(found, rules, wall * NS_PER_MS)
+        return make_verdict(found, said.answer.value, said.why)
 
     def _holders(self) -> dict[str, int]:
-        sets = list(self.ports.sets().values())
+        sets = list(self.hooks.set_by_holder().values())
         return {name: sets.count(name) for name in set(sets)}
 
-    def measured(self, wall: int) -> Measured | None:
+    def measured(self, wall: int) -> Measurement | None:
         """Figures of the version in use, once its time is over and enough brokers are heard; figured once a
         second at most. ``wall``: ms."""
-        if self.ports.measured is not None:
-            return self.ports.measured()
+        if self.hooks.measured is not None:
+            return self.hooks.measured()
         found, version = self.topology.measuring, self.topology.version(self.topology.used)
         if found is None or version is None or wall < found.until or self.samples.version != version.number:
             return None
@@ -182,14 +193,14 @@
             self._measured = (wall, self.samples.measured(version, self._holders(), self.entry.slots))
         return self._measured[1]
 
-    def next(self, now: int, wall: int) -> MapCommand | None:
+    def next_command(self, now: int, wall: int) -> MapCommand | None:
         """What this broker proposes while it leads, where nothing is waited for."""
         way = self.machine.in_the_way()
-        return self.gathered.next(self.topology, now, wall, self.member, self.measured(wall), way)
+        return self.reports.next_command(self.topology, now, wall, self.member, self.measured(wall), way)
 
     # --- one of all ---
 
-    def applied(self) -> None:
+    def on_applied(self) -> None:
         """Something was agreed: stage what is to be staged; a new step is a line."""
         found = self.topology
         seen = (found.step.value, found.used, found.halted)
@@ -198,30 +209,30 @@
             say = self.log.warning if found.halted else self.log.info
             number = found.proposal.number if found.proposal is not None else found.used
             say("fleet: shard map", step=seen[0], version=number, in_use=found.used, cause=found.halted)
-        self.part.follow(found)
-        while self.ports.stage is not None:
-            version = self.part.to_stage()
-            if version is None or not self.ports.stage(version):
+        self.follower.apply_topology(found)
+        while self.hooks.stage is not None:
+            version = self.follower.next_to_stage()
+            if version is None or not self.hooks.stage(version):
                 break
-            self.part.stage(version)
+            self.follower.mark_staged(version)
         self._use()
 
-    def read(self) -> None:
+    def on_log_read(self) -> None:
         """All that was committed when this broker started is applied here."""
-        self.part.read(self.topology)
-        self.applied()
+        self.follower.on_log_read(self.topology)
+        self.on_applied()
 
     def release(self, query: int) -> None:
         """A query is over."""
-        self.part.release(query)
+        self.follower.release(query)
         self._use()
 
     def _use(self) -> None:
-        current = None if self.part.versions is None else self.part.versions.current
+        current = None if self.follower.versions is None else self.follower.versions.current
         if current is not None and current.number != self._in_use:
             self._in_use = current.number
             self.samples.begin(current.number)
-            self.ports.use(current)
+            self.hooks.on_use(current)
             self.log.info("fleet: queries that begin go by a version", version=current.number)
 
     def report(self, now: int) -> MapReport | None:
@@ -229,13 +240,13 @@
         if self.topology.step not in (Step.STAGING, Step.MEASURING):
             return None
         self._count += 1
-        staged = {number: version.digest for number, version in self.part.staged.items()}
-        version, older = self.part.says()
-        said = MapReport(self.boot, self._count, staged, version, older, self.ports.proved())
-        self.gathered.hear(self.member, now, said)
+        staged = {number: version.digest for number, version in self.follower.staged.items()}
+        version, older = self.follower.usage()
+        said = MapReport(self.boot, self._count, staged, version, older, self.hooks.proved())
+        self.reports.receive(self.member, now, said)
         return said
 
-    def sampled(self, now: int, wall: int, leader: str) -> list[bytes]:
+    def sample_messages(self, now: int, wall: int, leader: str) -> list[bytes]:
         """This broker's sample in messages for the leader: for a forecast, and when a measurement is over."""
         step, found = self.topology.step, self.topology.measuring
         if step is Step.MEASURING and found is not None and wall >= found.until:
@@ -255,7 +266,7 @@
         if found.step in (Step.STAGING, Step.MEASURING):
             if keeps:
                 way = self.machine.in_the_way()
-                waits = self.gathered.waits_for(found, now, wall, self.measured(wall), way)
+                waits = self.reports.waits_for(found, now, wall, self.measured(wall), way)
             if not leader:
                 waits["keepers"] = "no leader is known here: a majority of them may be out of reach"
         judged = open_.judged if open_ is not None and open_.staging else None
@@ -263,7 +274,7 @@
             judged = found.measuring.judged
         if judged is None and open_ is not None:
             new = found.version(open_.number)
-            judged = None if new is None else self.judged(new, wall)
+            judged = None if new is None else self.judge_map(new, wall)
         waited = open_ or found.measuring
         return {
             "member": self.member,
@@ -278,6 +289,8 @@
             "waits_for": waits,
             "away": {} if waited is None else dict(waited.away),
             "verdict": None if judged is None else msgspec.to_builtins(judged),
-            "using": {name: list(pair) for name, pair in self.gathered.using(now).items()},
-            "adoptions": max(map(len, record_of(found.record or EMPTY).ratios.values()), default=0),
+            "using": {name: list(pair) for name, pair in self.reports.using(now).items()},
+            "adoptions": max(
+                map(len, decode_record(found.record or EMPTY_RECORD).ratios.values()), default=0
+            ),
         }
--- a/tests/conformance/run_adoption.py
+++ b/tests/conformance/run_adoption.py
@@ -1,6 +1,6 @@
 """Rows of adoption: commands in their order -> the step, the versions, and what each command came to.
 
-A command is a mapping with ``do``; maps are named as in tests/fleet/adoption/made.
+A command is a mapping with ``do``; maps are named as in tests/fleet/adoption/builders.
 ``then``: ``step``, ``used``, ``before``, ``newest``, ``maps`` (numbers), ``said`` (of each command, "" for
 done), ``last`` (of the last one), ``halted``, ``kept`` (adoptions in the record), ``reread`` (the same from a
 snapshot).
@@ -8,15 +8,15 @@
 
 from typing import Any
 
-from quincepath.fleet.adoption import EMPTY, Judged, Map
+from quincepath.fleet.adoption import EMPTY_RECORD, Map, MapVerdict
 from quincepath.fleet.budget import Check
-from quincepath.fleet.forecast import record_of
+from quincepath.fleet.forecast import decode_record
 from quincepath.fleet.permits import Back, Close, Grant, Halt, Permits, Resume
 from tests.conformance.runner import runner
-from tests.fleet.adoption import made
+from tests.fleet.adoption import builders
 
-MAPS = {"first": made.FIRST, "split": made.SPLIT, "moved": made.MOVED}
-FIGURES = {"good": made.GOOD, "bad": made.BAD, "none": (), "unknown": (("colour", "", 1.0),)}
+MAPS = {"first": builders.FIRST, "split": builders.SPLIT, "moved": builders.MOVED}
+FIGURES = {"good": builders.GOOD, "bad": builders.BAD, "none": (), "unknown": (("colour", "", 1.0),)}
 
 
 def drawn(given: Any) -> Map:
@@ -24,13 +24,13 @@
         return MAPS[given]
     if "size" in given:
         values = tuple(f"{n:0200d}" for n in range(given["size"]))
-        return Map("zone", (*made.FIRST.entries, ("big", "g1", values)))
+        return Map("zone", (*builders.FIRST.entries, ("big", "g1", values)))
     return Map(
         given.get("label", "zone"), tuple((n, g, tuple(values)) for n, (g, values) in given["shards"].items())
     )
 
 
-def command(log: made.Log, one: dict[str, Any]) -> str:
+def command(log: builders.Log, one: dict[str, Any]) -> str:
     fields = {key: value for key, value in one.items() if key not in ("do", "map", "answer", "why")}
     for key in ("staged", "brokers"):
         if key in fields:
@@ -43,8 +43,8 @@
         case "propose":
             return log.propose(found, **({**fields, "base": None} if "base" in fields else fields))
         case "adopt":
-            judged = made.judged(found, one.get("answer", "accept"), *one.get("why", ()))
-            return log.adopt(found, judged=Judged() if one.get("answer") == "none" else judged, **fields)
+            judged = builders.judged(found, one.get("answer", "accept"), *one.get("why", ()))
+            return log.adopt(found, judged=MapVerdict() if one.get("answer") == "none" else judged, **fields)
         case "use":
             return log.use(one["number"], found, **{k: v for k, v in fields.items() if k != "number"})
         case "measured":
@@ -73,7 +73,7 @@
 
 @runner("adoption")
 def run(given: dict[str, Any]) -> dict[str, Any]:
-    log = made.Log()
+    log = builders.Log()
     said = [command(log, one) for one in given["log"]]
     found, other = log.topology, Permits()
     other.load(log.permits.dump())
@@ -86,6 +86,6 @@
         "said": said,
         "last": said[-1],
         "halted": found.halted,
-        "kept": len(record_of(found.record or EMPTY).ratios.get("parts", [])),
+        "kept": len(decode_record(found.record or EMPTY_RECORD).ratios.get("parts", [])),
         "reread": other.state == log.permits.state and other.dump() == log.permits.dump(),
     }
--- a/tests/conformance/run_forecast.py
+++ b/tests/conformance/run_forecast.py
@@ -7,10 +7,10 @@
 
 from typing import Any
 
-from quincepath.fleet.forecast import Kind, Limit, ReplaySettings, Rules, World, forecast, verdict
-from quincepath.fleet.forecast.footprints import HOUR
+from quincepath.fleet.forecast import Environment, FigureKind, Limit, ReplaySettings, Rules, forecast, verdict
+from quincepath.fleet.forecast.footprints import HOUR_NS
 from tests.conformance.runner import runner
-from tests.fleet.forecast.made import sample, version
+from tests.fleet.forecast.builders import sample, version
 
 
 @runner("forecast")
@@ -18,13 +18,13 @@
     found_sample = sample(given["queries"], given.get("span", 60), given.get("hour", 12))
     before, after = version(1, given["before"]), version(2, given["after"])
     heard, of = given.get("brokers", [1, 1])
-    world = World(given.get("holders", {}), given.get("slots", 1), heard, of)
-    widen = {Kind(kind): factor for kind, factor in given.get("widen", {}).items()}
+    world = Environment(given.get("holders", {}), given.get("slots", 1), heard, of)
+    widen = {FigureKind(kind): factor for kind, factor in given.get("widen", {}).items()}
     found = forecast(found_sample, before, after, world, ReplaySettings(draws=100), widen)
-    limits = tuple(Limit(Kind(kind), most, *where) for kind, most, *where in given["limits"])
+    limits = tuple(Limit(FigureKind(kind), most, *where) for kind, most, *where in given["limits"])
     rules = Rules(limits, **given.get("rules", {}))
-    now = found_sample.until + int(given.get("hours later", 0) * HOUR)
-    due = now + int(given["due in"] * HOUR) if "due in" in given else None
+    now = found_sample.until + int(given.get("hours later", 0) * HOUR_NS)
+    due = now + int(given["due in"] * HOUR_NS) if "due in" in given else None
     said = verdict(found, rules, now, due)
     return {
         "answer": said.answer.value,
--- a/tests/fleet/adoption/made.py
+++ b/tests/fleet/adoption/builders.py
@@ -1,4 +1,4 @@
-"""Maps, verdicts and a log for the tests of adoption."""
+"""MapAdoption, verdicts and a log for the tests of adoption."""
 
 from typing import Any
 
@@ -7,8 +7,8 @@
     AwayMap,
     BackMap,
     Bar,
-    Judged,
     Map,
+    MapVerdict,
     MeasuredMap,
     ProposeMap,
     Topology,
@@ -32,8 +32,8 @@
     return found.version(1).digest
 
 
-def judged(found: Map, answer: str = "accept", *why: str) -> Judged:
-    return Judged(answer, why, digest(found), BARS)
+def judged(found: Map, answer: str = "accept", *why: str) -> MapVerdict:
+    return MapVerdict(answer, why, digest(found), BARS)
 
 
 class Log:
--- a/tests/fleet/adoption/small_world.py
+++ b/tests/fleet/adoption/small_world.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from quincepath.fleet.adoption import Gathered, MapReport, Member, Step, Topology
+from quincepath.fleet.adoption import MapFollower, MapReport, MapReports, Step, Topology
 from quincepath.fleet.adoption.commands import AdoptMap, AwayMap, BackMap, MapCommand, ProposeMap
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.permits import Command, Permits, Resume, encode
 from quincepath.shards.versions import MapVersions
-from tests.fleet.adoption.made import (
+from tests.fleet.adoption.builders import (
     BAD,
     BARS,
     BROKERS,
@@ -55,7 +55,7 @@
     return machine(log).state.topology
 
 
-def twin(member: Member) -> Member:
+def twin(member: MapFollower) -> MapFollower:
     """A copy that shares what never changes."""
     versions = member.versions
     if versions is not None:
@@ -70,7 +70,7 @@
 class Broker:
     """``target``: how much was committed when it asked at its start. ``query``: the version it began with."""
 
-    member: Member
+    member: MapFollower
     up: bool = True
     boot: int = 1
     applied: int = 0
@@ -94,7 +94,7 @@
 
     log: Logged = ()
     brokers: dict[str, Broker] = field(default_factory=dict)
-    gathered: Gathered = field(default_factory=Gathered)
+    gathered: MapReports = field(default_factory=MapReports)
     open: int = 0
     excused: dict[int, frozenset[str]] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
@@ -105,15 +105,15 @@
     def first(cls) -> "World":
         found = cls()
         for name in BROKERS:
-            found.brokers[name] = Broker(Member(FIRST.version(1)))
-            found.brokers[name].member.read(topology(()))
+            found.brokers[name] = Broker(MapFollower(FIRST.version(1)))
+            found.brokers[name].member.on_log_read(topology(()))
         return found
 
     def copy(self) -> "World":
         return World(
             self.log,
             {name: replace(one, member=twin(one.member)) for name, one in self.brokers.items()},
-            Gathered(dict(self.gathered.reports)), self.open, dict(self.excused), dict(self.digests),
+            MapReports(dict(self.gathered.reports)), self.open, dict(self.excused), dict(self.digests),
             self.crashes, self.leaders,
         )  # fmt: skip
 
@@ -143,12 +143,12 @@
                 continue
             if one.applied < len(self.log):
                 found.append(("apply", name))
-            if one.member.to_stage() is not None:
+            if one.member.next_to_stage() is not None:
                 found.append(("stage", name))
             if (
                 not one.said
                 or one.said[-1].staged != self.word(name).staged
-                or ((one.said[-1].version, one.said[-1].older) != one.member.says())
+                or ((one.said[-1].version, one.said[-1].older) != one.member.usage())
             ):
                 found.append(("report", name))
             found += [("hear", name, place) for place in range(len(one.said))]
@@ -164,7 +164,7 @@
             one.boot,
             one.said[-1].count + 1 if one.said else 1,
             staged,
-            *one.member.says(),
+            *one.member.usage(),
             proved=dict(NEEDS),
         )
 
@@ -185,17 +185,17 @@
             case "apply":
                 one.applied += 1
                 now = topology(self.log[: one.applied])
-                member.follow(now)
+                member.apply_topology(now)
                 if one.applied == one.target and member.versions is None:
-                    member.read(now)
+                    member.on_log_read(now)
             case "stage":
-                version = member.to_stage()
+                version = member.next_to_stage()
                 assert version is not None
-                member.stage(version)
+                member.mark_staged(version)
             case "report":
                 one.said = (*one.said[-2:], self.word(name))
             case "hear":
-                return self.gathered.hear(name, 0, one.said[place])
+                return self.gathered.receive(name, 0, one.said[place])
             case "begin":
                 version = member.hold(QUERY)
                 if version is None:
@@ -217,9 +217,9 @@
                 self.crashes += 1
             case "start":
                 one.up, one.boot, one.applied, one.target = True, one.boot + 1, 0, len(self.log)
-                one.member = Member(FIRST.version(1))
+                one.member = MapFollower(FIRST.version(1))
                 if not one.target:
-                    one.member.read(topology(()))
+                    one.member.on_log_read(topology(()))
         return True
 
     def _log(self, what: str, *rest: Any) -> bool:
@@ -243,16 +243,18 @@
             case "resume":
                 command = Resume(id, by, 0)
             case "new leader":
-                self.gathered, self.leaders = Gathered(), 1
+                self.gathered, self.leaders = MapReports(), 1
                 return True
             case "measured":
                 figures = GOOD if rest[0] == "good" else BAD
                 command = (
-                    self.gathered.next(now, 0, SPAN, by, figures) if now.step is Step.MEASURING else None
+                    self.gathered.next_command(now, 0, SPAN, by, figures)
+                    if now.step is Step.MEASURING
+                    else None
                 )
             case _:
                 before = topology(self.log[:-1]) if what == "late use" else now
-                command = self.gathered.next(before, 0, 0, by, None) if before.staging else None
+                command = self.gathered.next_command(before, 0, 0, by, None) if before.staging else None
         if command is None:
             return False
         return self._commit(command, what)
@@ -283,16 +285,16 @@
 
     def check(self) -> None:
         for name, one in self.brokers.items():
-            if not one.up or not one.member.serves:
+            if not one.up or not one.member.serving:
                 continue
             seen = topology(self.log[: one.applied]).used
             if seen > 1 and seen not in one.member.staged:
                 raise Broken(f"{name} answers and has not staged version {seen}, in use as it knows")
-            number, _older = one.member.says()
+            number, _older = one.member.usage()
             if number < 2:
                 continue
             for other, two in self.brokers.items():
-                lacks = two.up and two.member.serves and number not in two.member.staged
+                lacks = two.up and two.member.serving and number not in two.member.staged
                 if lacks and number >= two.member.used and other not in self.excused.get(number, ()):
                     raise Broken(f"{name} uses version {number}, {other} answers and has not staged it")
 
@@ -317,7 +319,7 @@
         for name, one in found.brokers.items():
             while one.applied < len(found.log):
                 found.step(("apply", name))
-            while one.member.to_stage() is not None:
+            while one.member.next_to_stage() is not None:
                 found.step(("stage", name))
             if one.query:
                 found.step(("end", name))
@@ -329,8 +331,8 @@
     if now.step is not Step.NONE:
         raise Broken(f"no way out of {topology(world.log).step}: {now.step}")
     for name, one in found.brokers.items():
-        if not one.member.serves or (now.used and one.member.says() != (now.used, 0)):
-            raise Broken(f"{name} does not answer by version {now.used}: {one.member.says()}")
+        if not one.member.serving or (now.used and one.member.usage() != (now.used, 0)):
+            raise Broken(f"{name} does not answer by version {now.used}: {one.member.usage()}")
     return found
 
 
--- a/tests/fleet/adoption/test_explored.py
+++ b/tests/fleet/adoption/test_explored.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from quincepath.fleet.adoption import Gathered, Member, Topology, gathering, machine
+from quincepath.fleet.adoption import MapFollower, MapReports, Topology, machine, reports
 from quincepath.shards.versions import MapVersions
-from tests.fleet.adoption.made import BROKERS
+from tests.fleet.adoption.builders import BROKERS
 from tests.fleet.adoption.small_world import Action, Broken, World, topology, way_out
 
 DEPTH = 3
@@ -94,7 +94,7 @@
     end = points()[-1]
     now = topology(end.log)
     assert (now.used, now.newest, now.step, sorted(now.maps)) == (3, 3, "none", [3])
-    assert [one.member.says() for one in end.brokers.values()] == [(3, 0)] * 3
+    assert [one.member.usage() for one in end.brokers.values()] == [(3, 0)] * 3
 
 
 def test_all_that_can_happen_within_some_steps() -> None:
@@ -122,27 +122,27 @@
 
 
 def test_planted_a_step_goes_on_without_a_broker(monkeypatch: pytest.MonkeyPatch) -> None:
-    for module in (machine, gathering):
+    for module in (machine, reports):
         monkeypatch.setattr(module, "unstaged", lambda proposal, staged: [])
     assert "has not staged it" in broken()
 
 
 def test_planted_a_broker_that_starts_does_not_read_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    follow = Member.follow
+    follow = MapFollower.apply_topology
 
-    def read(self: Member, found: Topology) -> None:
+    def read(self: MapFollower, found: Topology) -> None:
         self.versions = MapVersions(self.configured)
         follow(self, Topology())
 
-    monkeypatch.setattr(Member, "read", read)
+    monkeypatch.setattr(MapFollower, "on_log_read", read)
     assert "answers and has not staged version 2" in broken()
 
 
 def test_planted_what_is_staged_counts_for_any_version(monkeypatch: pytest.MonkeyPatch) -> None:
-    def staged(self: Gathered, number: int, digest: str, now: int) -> tuple[str, ...]:
+    def staged(self: MapReports, number: int, digest: str, now: int) -> tuple[str, ...]:
         return tuple(name for name, report in self.fresh(now).items() if report.staged)
 
-    monkeypatch.setattr(Gathered, "staged", staged)
+    monkeypatch.setattr(MapReports, "staged", staged)
     assert "has not staged it" in broken()
 
 
@@ -159,9 +159,9 @@
         world.step(action)
     for action in [("apply", "b2"), ("apply", "b2"), ("use",), ("apply", "b1")]:
         world.step(action)
-    assert world.brokers["b1"].member.says() == (2, 0)
+    assert world.brokers["b1"].member.usage() == (2, 0)
     assert not world.step(("begin", "b2"))
     for action in [("stage", "b2"), ("stage", "b2")]:
-        if world.brokers["b2"].member.to_stage() is not None:
+        if world.brokers["b2"].member.next_to_stage() is not None:
             world.step(action)
     assert world.step(("begin", "b2"))
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -15,12 +15,12 @@
 from quincepath.fleet.adoption import AdoptMap, Map, ProposeMap, UseMap
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.permits import Permits, encode
-from quincepath.fleet.topology import Maps, Ports, configured_map
+from quincepath.fleet.topology import AdoptionHooks, MapAdoption, configured_map
 from quincepath.fronts.remote_read.plan import Plan, Planner
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, Query, ReadRequest
 from quincepath.shards.shardmap import ShardMap
 from quincepath.shards.versions import MapVersion
-from tests.fleet.adoption.made import digest, judged
+from tests.fleet.adoption.builders import digest, judged
 from tests.fleet.adoption.test_wiring import ENTRY
 from tests.test_config import SOUND
 
@@ -34,8 +34,8 @@
         cells = {name: cell for cell, name in enumerate(self.config.shards.sets())}
         self.planner = Planner(self.config, self.first.to_shard_map(cells))
         self.log: Any = CapturingLogger()
-        ports = Ports(lambda: ("m0",), dict)
-        self.maps = Maps("m0", 1, self.first, ENTRY, Permits(), ports, self.log)
+        ports = AdoptionHooks(lambda: ("m0",), dict)
+        self.maps = MapAdoption("m0", 1, self.first, ENTRY, Permits(), ports, self.log)
         self.registry = CollectorRegistry()
         self.guest = MapsGuest(self.maps, self.planner, self.log, self.registry)
         self.index = 0
@@ -46,7 +46,7 @@
     def put(self, command: Any) -> str:
         self.index += 1
         self.maps.machine.apply(Entry(self.index, 1, encode(command)))
-        self.maps.applied()
+        self.maps.on_applied()
         return self.maps.machine.state.results[command.id]
 
     def adopt(self, entries: Any, number: int) -> None:
@@ -77,13 +77,13 @@
     front = Front()
     away = front.guest.arrive(0, Arrival(None, None, None))  # type: ignore[arg-type]
     assert away is not None and away.cause == "shard map not read or not staged"
-    front.maps.read()
+    front.maps.on_log_read()
     assert front.guest.arrive(0, Arrival(Try(1, "t", b"", 0, None, True, 0), None, None)) is None  # type: ignore[arg-type]
 
 
 def test_a_query_keeps_the_version_that_it_was_cut_by() -> None:
     front = Front()
-    front.maps.read()
+    front.maps.on_log_read()
     before = front.plan()
     front.guest.began(0, 1, {})
     front.adopt(front.split(), 2)
@@ -91,18 +91,18 @@
     front.guest.began(0, 2, {})
     assert (before.version, after.version) == (1, 2)
     assert (len(before.parts), len(after.parts)) == (2, 4)
-    assert front.maps.part.says() == (2, 1)
+    assert front.maps.follower.usage() == (2, 1)
     assert (front.shown("version"), front.shown("older_queries")) == (2, 1)
     assert (front.shown("step", step="measuring"), front.shown("step", step="none")) == (1, 0)
     front.guest.ended(0, ended(1, before))
-    assert front.maps.part.says() == (2, 0)
+    assert front.maps.follower.usage() == (2, 0)
     front.guest.ended(0, ended(2, after))
     assert not [call for call in front.log.calls if "another version" in str(call)]
 
 
 def test_a_query_cut_by_one_version_and_held_by_another_is_told() -> None:
     front = Front()
-    front.maps.read()
+    front.maps.on_log_read()
     before = front.plan()
     front.adopt(front.split(), 2)
     front.guest.began(0, 1, {})
@@ -124,12 +124,12 @@
 
 def test_a_map_of_other_sets_is_not_staged_and_it_is_said() -> None:
     front = Front()
-    front.maps.read()
+    front.maps.on_log_read()
     entries = [(name, "elsewhere", values) for name, _group, values in front.first.entries]
     found = Map(front.first.label, tuple(entries), front.first.unlabelled_anywhere)
     assert not front.put(ProposeMap("p", "ann", 0, found, base=Map.of(front.first)))
     assert not front.put(AdoptMap("a", "ann", 0, 2, judged(found), ("m0",)))
-    assert 2 not in front.maps.part.staged
+    assert 2 not in front.maps.follower.staged
     said = [call for call in front.log.calls if "cannot be staged" in str(call)]
     assert said and "replica set 'elsewhere'" in said[0].kwargs["cause"]
     with pytest.raises(ValueError, match="replica set 'elsewhere': expected one of"):
--- a/tests/fleet/adoption/test_sampling.py
+++ b/tests/fleet/adoption/test_sampling.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quincepath.fleet.forecast import Part
-from quincepath.fleet.sampling import EVERY, EVERY_MORE, Samples
+from quincepath.fleet.sampling import SEND_INTERVAL_NS, SEND_INTERVAL_PER_BROKER_NS, Samples
 from quincepath.shards.versions import MapVersion
 
 SECOND = 1_000_000_000
@@ -20,14 +20,14 @@
         parts = tuple(Part((value,), 1, 20_000_000, 20_000_000, 100) for value in values)
         took = 2 * SECOND if number < late else SECOND // 10
         at = BEGIN + number * SECOND // 10
-        found.put(number, at, "fast", "t", SECOND, took, parts, (False, False))
+        found.add(number, at, "fast", "t", SECOND, took, parts, (False, False))
     return found
 
 
 def test_what_is_measured_is_that_of_all_brokers_by_this_version() -> None:
     leader, other = filled("m0", 2, 500, late=50), filled("m1", 2, 500)
     for data in other.messages(7):
-        assert leader.take("m1", data) == ""
+        assert leader.receive("m1", data) == ""
     assert (leader.gathered()[1], leader.heard_since(7), leader.heard_since(8)) == (2, 2, 1)
     found = leader.measured(MAP, {"g1": 1, "g2": 1}, 1)
     assert found is not None
@@ -42,9 +42,9 @@
 def test_a_sample_of_another_version_or_name_is_not_taken() -> None:
     leader, other = filled("m0", 2, 10), filled("m1", 3, 10)
     (data,) = other.messages(1)
-    assert leader.take("m1", data) == "sample of 'm1/3'; expected one of 'm1' for version 2"
-    assert "expected one of 'm2' for version 2" in leader.take("m2", filled("m1", 2, 10).messages(1)[0])
-    assert "sample message" in leader.take("m1", b"\xc1")
+    assert leader.receive("m1", data) == "sample of 'm1/3'; expected one of 'm1' for version 2"
+    assert "expected one of 'm2' for version 2" in leader.receive("m2", filled("m1", 2, 10).messages(1)[0])
+    assert "sample message" in leader.receive("m1", b"\xc1")
     assert leader.gathered()[1] == 1
 
 
@@ -53,7 +53,7 @@
 
 
 def test_it_is_sent_at_once_for_a_step_and_a_leader_and_then_now_and_then() -> None:
-    samples, later = filled("m1", 2, 1), EVERY + 2 * EVERY_MORE
+    samples, later = filled("m1", 2, 1), SEND_INTERVAL_NS + 2 * SEND_INTERVAL_PER_BROKER_NS
     assert not samples.due(0, "", "proposed 2") and not samples.due(0, "m1", "proposed 2")
     assert samples.due(0, "m0", "proposed 2") and not samples.due(1, "m0", "proposed 2")
     assert samples.due(2, "m2", "proposed 2") and samples.due(3, "m2", "measured 2")
--- a/tests/fleet/adoption/test_wiring.py
+++ b/tests/fleet/adoption/test_wiring.py
@@ -15,13 +15,13 @@
 from quincepath.config.schema.holders import Shards
 from quincepath.config.schema.topology import TopologyEntry
 from quincepath.fleet.adoption import AdoptMap, AwayMap, BackMap, Map, MapCommand, ProposeMap
-from quincepath.fleet.adoption.gathering import FRESH, Measured
+from quincepath.fleet.adoption.reports import REPORT_TTL_NS, Measurement
 from quincepath.fleet.agreement.entries import Entry
-from quincepath.fleet.forecast import Kind, Sample, World, forecast, record_of
+from quincepath.fleet.forecast import Environment, FigureKind, Sample, decode_record, forecast
 from quincepath.fleet.permits import Permits, encode
-from quincepath.fleet.topology import MILLI, Maps, Ports, configured_map
+from quincepath.fleet.topology import NS_PER_MS, AdoptionHooks, MapAdoption, configured_map
 from quincepath.shards.versions import MapVersion
-from tests.fleet.forecast.made import sample
+from tests.fleet.forecast.builders import sample
 
 NAMES = ("m0", "m1", "m2")
 SETS = {"h1": "g1", "h2": "g2"}
@@ -52,39 +52,39 @@
         self.now, self.count = SAMPLE.until, 0
         self.beliefs: dict[str, str] = {}
         self.proved: dict[str, tuple[str, ...]] = {}
-        self.measured: Measured | None = None
+        self.measured: Measurement | None = None
         self.stages: dict[str, bool] = dict.fromkeys(NAMES, True)
         self.silent: set[str] = set()
         self.maps = {}
         for name in NAMES:
-            ports = Ports(
+            ports = AdoptionHooks(
                 lambda: NAMES, lambda: self.beliefs, list, lambda: SETS,
                 lambda: None if found is None else (found, heard),
                 partial(self.ready, name), lambda: self.proved, lambda: self.measured,
             )  # fmt: skip
             log: Any = CapturingLogger()
-            self.maps[name] = Maps(name, 1, configured_map(SHARDS), ENTRY, Permits(), ports, log)
-            self.maps[name].read()
+            self.maps[name] = MapAdoption(name, 1, configured_map(SHARDS), ENTRY, Permits(), ports, log)
+            self.maps[name].on_log_read()
 
     @property
-    def leader(self) -> Maps:
+    def leader(self) -> MapAdoption:
         return self.maps["m0"]
 
     @property
     def wall(self) -> int:
-        return self.now // MILLI
+        return self.now // NS_PER_MS
 
     def ready(self, name: str, version: MapVersion) -> bool:
         return self.stages[name]
 
     def put(self, command: MapCommand) -> str:
         self.count += 1
-        command, why = self.leader.judge(command, self.now, self.wall)
+        command, why = self.leader.prepare_command(command, self.now, self.wall)
         if why:
             return why
         for maps in self.maps.values():
             maps.machine.apply(Entry(self.count, 1, encode(command)))
-            maps.applied()
+            maps.on_applied()
         return self.leader.machine.state.results[command.id]
 
     def do(self, kind: type[Any], *more: Any, **fields: Any) -> str:
@@ -97,8 +97,8 @@
             said = None if name in self.silent else maps.report(self.now)
             if said is not None:
                 for other in self.maps.values():
-                    other.gathered.hear(name, self.now, said)
-        step = self.leader.next(self.now, self.wall)
+                    other.reports.receive(name, self.now, said)
+        step = self.leader.next_command(self.now, self.wall)
         if step is not None:
             assert self.put(step) == ""
         return step
@@ -106,8 +106,8 @@
     def status(self) -> dict[str, Any]:
         return self.leader.status(self.now, self.wall, True, "m0")
 
-    def forecast_of(self, version: MapVersion, old: MapVersion) -> Measured:
-        world = World(dict.fromkeys(SETS.values(), 1), 1, 3, 3)
+    def forecast_of(self, version: MapVersion, old: MapVersion) -> Measurement:
+        world = Environment(dict.fromkeys(SETS.values(), 1), 1, 3, 3)
         found = forecast(SAMPLE, old, version, world)
         return tuple((kind.value, where, float(one.value)) for (kind, where), one in found.figures.items())
 
@@ -136,8 +136,8 @@
         assert fleet.tick(1) is not None
         assert fleet.status()["step"] == "none"
         assert fleet.status()["adoptions"] == number - 1
-    assert {maps.part.says() for maps in fleet.maps.values()} == {(6, 0)}
-    ratios = record_of(fleet.leader.topology.record).ratios
+    assert {maps.follower.usage() for maps in fleet.maps.values()} == {(6, 0)}
+    ratios = decode_record(fleet.leader.topology.record).ratios
     assert {len(kept) for kept in ratios.values()} == {5} and set(ratios) >= {"load", "calls", "parts"}
     assert len({maps.machine.dump() for maps in fleet.maps.values()}) == 1
 
@@ -146,7 +146,7 @@
     fleet = Fleet()
     adopted(fleet, 2)
     assert fleet.measured is not None
-    fleet.measured = tuple((k, w, v * 3 if k == Kind.LOAD else v) for k, w, v in fleet.measured)
+    fleet.measured = tuple((k, w, v * 3 if k == FigureKind.LOAD else v) for k, w, v in fleet.measured)
     fleet.tick(60)
     assert fleet.status()["step"] == "halted" and "load of g" in fleet.status()["halted"]
     assert "measured differs" in fleet.do(ProposeMap, moved(3))
@@ -155,11 +155,11 @@
     assert fleet.tick() is None
     assert fleet.status()["waits_for"]["m1"] == "has not staged it"
     fleet.stages["m1"] = True
-    fleet.maps["m1"].applied()
+    fleet.maps["m1"].on_applied()
     fleet.proved = {"h1": ("s1",), "h2": ("s2",)}
     assert fleet.tick() is not None
     assert (fleet.status()["step"], fleet.status()["in_use"], fleet.status()["halted"]) == ("none", 3, "")
-    assert {maps.part.says() for maps in fleet.maps.values()} == {(3, 0)}
+    assert {maps.follower.usage() for maps in fleet.maps.values()} == {(3, 0)}
 
 
 def test_a_broker_that_says_nothing_is_named_and_nothing_goes_on() -> None:
@@ -184,7 +184,7 @@
     assert fleet.tick() is None
     fleet.silent = {"m2"}
     fleet.proved = {"h2": ("s2-2",)}
-    assert fleet.tick(FRESH / 1e9 + 0.1) is None
+    assert fleet.tick(REPORT_TTL_NS / 1e9 + 0.1) is None
     assert fleet.status()["waits_for"] == {"m2": "reports no more"}
 
 
@@ -195,11 +195,17 @@
     fleet = Fleet(heard=2)
     assert fleet.do(ProposeMap, moved(2)) == ""
     assert fleet.do(AdoptMap).startswith("not known: too many brokers unheard: 1 of 3")
-    maps = Maps(
-        "m0", 1, configured_map(SHARDS), ENTRY, Fleet().leader.machine, Ports(tuple, dict), CapturingLogger()
+    maps = MapAdoption(
+        "m0",
+        1,
+        configured_map(SHARDS),
+        ENTRY,
+        Fleet().leader.machine,
+        AdoptionHooks(tuple, dict),
+        CapturingLogger(),
     )
-    maps.applied()
-    assert maps.part.staged == {} and maps.report(0) is None
+    maps.on_applied()
+    assert maps.follower.staged == {} and maps.report(0) is None
 
 
 def test_a_set_without_a_holder_is_named() -> None:
--- a/tests/fleet/forecast/made.py
+++ b/tests/fleet/forecast/builders.py
@@ -3,12 +3,12 @@
 from typing import Any
 
 from quincepath.fleet.forecast import Footprint, Part, Sample, Sampler
-from quincepath.fleet.forecast.footprints import HOUR, SIZE
+from quincepath.fleet.forecast.footprints import HOUR_NS, SAMPLE_SIZE
 from quincepath.shards.versions import MapVersion
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-DAY = 24 * HOUR
+DAY = 24 * HOUR_NS
 EPOCH = 20_000 * DAY
 
 
@@ -42,18 +42,18 @@
 
 
 def sample(
-    queries: list[dict[str, Any]], span: float = 60, hour: int = 12, brokers: int = 1, size: int = SIZE
+    queries: list[dict[str, Any]], span: float = 60, hour: int = 12, brokers: int = 1, size: int = SAMPLE_SIZE
 ) -> Sample:
     """Each of ``queries`` comes ``times`` in even turns over ``span`` seconds from ``hour``."""
     each = [query for query in queries for _ in range(query.get("times", 1))]
     each = [each[index * 7919 % len(each)] if len(each) % 7919 else each[index] for index in range(len(each))]
-    begin = EPOCH + hour * HOUR
+    begin = EPOCH + hour * HOUR_NS
     samplers = [Sampler(f"b{n}", 1, size) for n in range(brokers)]
     for number, query in enumerate(each):
         sampler = samplers[number % brokers]
         at = begin + int(span * SECOND * number / max(1, len(each) - 1))
         sampler.count(at)
-        place = sampler.wanted(number)
+        place = sampler.hash_if_sampled(number)
         if place is not None:
-            sampler.put(footprint(place, at, query))
+            sampler.add(footprint(place, at, query))
     return Sample(size=size).merged(*(sampler.sample() for sampler in samplers))
--- a/tests/fleet/forecast/test_hard_cases.py
+++ b/tests/fleet/forecast/test_hard_cases.py
@@ -13,25 +13,25 @@
 import quincepath.fleet.forecast.replay as module
 from benchmarks.map_forecast import BROKERS, baseline, measured, sampled
 from quincepath.fleet.forecast import (
+    AccuracyRecord,
     Answer,
+    Environment,
     Figure,
+    FigureKind,
     Forecast,
-    Kind,
     Limit,
-    Record,
     ReplaySettings,
     Rules,
-    World,
+    compare_with_measured,
+    decode_record,
     forecast,
-    held_against,
-    record_of,
     verdict,
 )
-from quincepath.fleet.forecast.afterwards import KEPT, MOST
-from quincepath.fleet.forecast.footprints import HOUR
+from quincepath.fleet.forecast.accuracy import KEPT, MOST
+from quincepath.fleet.forecast.footprints import HOUR_NS
 from quincepath.fleet.forecast.tail import Queues, erlang_c, learn
 from quincepath.lab.map_world import draw, play
-from tests.fleet.forecast.made import EPOCH, SECOND, sample, version
+from tests.fleet.forecast.builders import EPOCH, SECOND, sample, version
 
 QUERIES = [
     {"times": 900, "parts": [["a"], ["b"]], "service": 5, "bytes": 400},
@@ -40,19 +40,19 @@
 ]
 BEFORE = version(1, {"s1": ["g1", ["a", "c"]], "s2": ["g2", ["b", "d"]]})
 AFTER = version(2, {"s1": ["g1", ["a", "c", "d"]], "s2": ["g2", ["b"]]})
-WORLD = World({"g1": 2, "g2": 2}, 2, 1, 1)
+WORLD = Environment({"g1": 2, "g2": 2}, 2, 1, 1)
 
 
-def found(room: Any = module, widen: dict[Kind, float] | None = None, **more: Any) -> Any:
+def found(room: Any = module, widen: dict[FigureKind, float] | None = None, **more: Any) -> Any:
     return room.forecast(sample(QUERIES), BEFORE, AFTER, WORLD, ReplaySettings(**more), widen)
 
 
 def widening_holds(room: Any) -> None:
     """Each bar is ``factor`` times as wide to each side, up to where a figure cannot go."""
-    plain, wide = found(room), found(room, dict.fromkeys(Kind, 3.0))
+    plain, wide = found(room), found(room, dict.fromkeys(FigureKind, 3.0))
     for place, one in plain.figures.items():
         other = wide.figures[place]
-        most = 1.0 if place[0] is Kind.MISS else float("inf")
+        most = 1.0 if place[0] is FigureKind.MISS else float("inf")
         assert other.value == one.value
         assert other.high == pytest.approx(min(most, one.value + 3 * (one.high - one.value))), place
         assert other.low == pytest.approx(max(0.0, one.value - 3 * (one.value - one.low))), place
@@ -68,7 +68,7 @@
         ("min(1.0, value + widen * up)", "min(1.0, value + up)"),
         ("value + widen * up)\n\n\ndef share_bar", "value + up)\n\n\ndef share_bar"),
         ("one.value + factor * up", "one.value + up"),
-        ("bar(replay.merged(number), factors[Kind.BYTES])", "bar(replay.merged(number), 1.0)"),
+        ("bar(replay.merged(number), factors[FigureKind.BYTES])", "bar(replay.merged(number), 1.0)"),
     ],
 )
 def test_planted_bars_that_forget_the_widening_are_found(before: str, after: str) -> None:
@@ -86,13 +86,13 @@
     assert found() == found()
     few = forecast(sample(QUERIES, size=150), BEFORE, AFTER, WORLD)
     for place, one in found().figures.items():
-        if place[0] is Kind.LOAD:
+        if place[0] is FigureKind.LOAD:
             assert few.figures[place].high - few.figures[place].low > one.high - one.low
 
 
 def test_a_figure_measured_over_few_queries_has_a_wider_bar() -> None:
-    short, long = found(measured=50), found(measured=100_000)
-    for place in ((Kind.PARTS, "slow"), (Kind.BYTES, "")):
+    short, long = found(measured_queries=50), found(measured_queries=100_000)
+    for place in ((FigureKind.PARTS, "slow"), (FigureKind.BYTES, "")):
         assert short.figures[place].high - short.figures[place].low > 2 * (
             long.figures[place].high - long.figures[place].low
         )
@@ -108,20 +108,20 @@
     many = version(1, {f"s{n}": [f"g{n % 20}", [f"v{n}_*500"]] for n in range(200)})
     moved = version(2, {f"s{n}": [f"g{n % 10}", [f"v{n}_*500"]] for n in range(200)})
     each = [{"times": 3, "parts": [[f"v{n}_{n}"], [f"v{(n * 7) % 200}_{n}"]]} for n in range(200)]
-    found = forecast(sample(each), many, moved, World({}, 4, 1, 1), ReplaySettings(draws=40))
+    found = forecast(sample(each), many, moved, Environment({}, 4, 1, 1), ReplaySettings(draws=40))
     assert found.unseen == () and found.homeless == 0
-    assert sum(f.value for (kind, _), f in found.figures.items() if kind is Kind.CALLS) == pytest.approx(
-        19.95, rel=0.01
-    )
+    assert sum(
+        f.value for (kind, _), f in found.figures.items() if kind is FigureKind.CALLS
+    ) == pytest.approx(19.95, rel=0.01)
 
 
 def test_a_wide_query_whose_values_are_cut_still_comes_to_each_of_the_eight() -> None:
     values = ["v*4000"]
     entries = {f"s{n}": [f"g{n}", [f"v{i}" for i in range(n, 4000, 8)]] for n in range(8)}
     before, after = version(1, {"s": ["g0", values]}), version(2, entries)
-    got = forecast(sample([{"times": 500, "parts": [values]}]), before, after, World({}, 4, 1, 1))
-    assert got.figures[Kind.PARTS, "fast"] == Figure(8.0, 8.0, 8.0)
-    loads = [got.figures[Kind.LOAD, f"g{n}"].value for n in range(8)]
+    got = forecast(sample([{"times": 500, "parts": [values]}]), before, after, Environment({}, 4, 1, 1))
+    assert got.figures[FigureKind.PARTS, "fast"] == Figure(8.0, 8.0, 8.0)
+    loads = [got.figures[FigureKind.LOAD, f"g{n}"].value for n in range(8)]
     assert max(loads) < 1.35 * min(loads)
 
 
@@ -134,8 +134,8 @@
             {"times": rate, "parts": [["b"]], "target": 60},
         ]
         maps = version(1, {"s1": ["g1", ["a"]], "s2": ["g2", ["b"]]}), version(2, {"s": ["g1", ["a", "b"]]})
-        found = forecast(sample(queries, span=40, size=8192), *maps, World({}, 1, 1, 1))
-        shares.append(found.figures[Kind.MISS, ""].value)
+        found = forecast(sample(queries, span=40, size=8192), *maps, Environment({}, 1, 1, 1))
+        shares.append(found.figures[FigureKind.MISS, ""].value)
     assert shares == sorted(shares) and shares[0] < 0.01 and shares[2] > 0.5
 
 
@@ -160,11 +160,11 @@
     for seed in (3, 8, 12):
         pair = draw(seed)
         before = play(pair, pair.before, 3000, 1)
-        world = World(pair.holders, pair.slots, BROKERS, BROKERS)
-        settings = ReplaySettings(measured=3000)
+        world = Environment(pair.holders, pair.slots, BROKERS, BROKERS)
+        settings = ReplaySettings(measured_queries=3000)
         figures = forecast(sampled(before), pair.before, pair.after, world, settings).figures
         after, naive = measured(play(pair, pair.after, 3000, 2), pair), baseline(before, pair)
-        loads = [place for place in after if place[0] is Kind.LOAD]
+        loads = [place for place in after if place[0] is FigureKind.LOAD]
         ours += sum(abs(figures[place].value - after[place]) for place in loads)
         theirs += sum(abs(naive[place] - after[place]) for place in loads)
     assert ours < 0.5 * theirs
@@ -173,50 +173,56 @@
 def test_what_is_measured_is_held_against_the_forecast() -> None:
     one = found()
     values = {place: figure.value for place, figure in one.figures.items()}
-    same = held_against(one, values)
-    assert not same.halt and not same.differs and not same.missing
-    burning = held_against(one, values | {(Kind.LOAD, "g1"): 3 * values[Kind.LOAD, "g1"]})
-    assert burning.halt and [str(each).partition(":")[0] for each in burning.differs] == ["load of g1"]
-    assert held_against(one, {}).halt
-    some = held_against(one, {(Kind.LOAD, "g1"): values[Kind.LOAD, "g1"]})
-    assert not some.halt and (Kind.LOAD, "g2") in some.missing
+    same = compare_with_measured(one, values)
+    assert not same.halt and not same.deviations and not same.missing
+    burning = compare_with_measured(
+        one, values | {(FigureKind.LOAD, "g1"): 3 * values[FigureKind.LOAD, "g1"]}
+    )
+    assert burning.halt and [str(each).partition(":")[0] for each in burning.deviations] == ["load of g1"]
+    assert compare_with_measured(one, {}).halt
+    some = compare_with_measured(one, {(FigureKind.LOAD, "g1"): values[FigureKind.LOAD, "g1"]})
+    assert not some.halt and (FigureKind.LOAD, "g2") in some.missing
 
 
 def test_one_figure_just_outside_is_told_and_does_not_halt() -> None:
     one = found()
     values = {place: figure.value for place, figure in one.figures.items()}
-    figure = one.figures[Kind.LOAD, "g1"]
-    close = held_against(one, values | {(Kind.LOAD, "g1"): figure.value + 1.2 * (figure.high - figure.value)})
-    assert not close.halt and len(close.differs) == 1
+    figure = one.figures[FigureKind.LOAD, "g1"]
+    close = compare_with_measured(
+        one, values | {(FigureKind.LOAD, "g1"): figure.value + 1.2 * (figure.high - figure.value)}
+    )
+    assert not close.halt and len(close.deviations) == 1
 
 
 def test_how_far_forecasts_were_off_widens_and_is_bounded() -> None:
-    record = Record()
+    record = AccuracyRecord()
     assert set(record.factors().values()) == {1.0}
-    once = record.with_ratios({Kind.LOAD: [0.2, 2.5]})
-    assert once.factors()[Kind.LOAD] == 2.5 and once.factors()[Kind.MISS] == 1.0
+    once = record.with_ratios({FigureKind.LOAD: [0.2, 2.5]})
+    assert once.factors()[FigureKind.LOAD] == 2.5 and once.factors()[FigureKind.MISS] == 1.0
     for _ in range(200):
-        record = record.with_ratios({Kind.LOAD: [0.5] * 18 + [3.0] * 2, Kind.MISS: [1e9]})
+        record = record.with_ratios({FigureKind.LOAD: [0.5] * 18 + [3.0] * 2, FigureKind.MISS: [1e9]})
     assert len(record.ratios["load"]) == KEPT
-    assert record.factors()[Kind.LOAD] == 3.0 and record.factors()[Kind.MISS] == MOST
-    assert record_of(msgspec.msgpack.encode(record)) == record
+    assert record.factors()[FigureKind.LOAD] == 3.0 and record.factors()[FigureKind.MISS] == MOST
+    assert decode_record(msgspec.msgpack.encode(record)) == record
     for bad in (b"", b"\x91\x81\xa4heat\x90", msgspec.msgpack.encode([{"load": [[1.0, 2.0]]}])):
         with pytest.raises(ValueError, match="record of forecasts"):
-            record_of(bad)
+            decode_record(bad)
 
 
 def test_a_ratio_is_in_half_bars_before_widening() -> None:
     values = {place: f.value + 0.8 * (f.high - f.value) for place, f in found().figures.items()}
-    plain = held_against(found(), values).ratios
-    wide = held_against(found(widen=dict.fromkeys(Kind, 2.0)), values).ratios
-    assert plain[Kind.LOAD] == pytest.approx([0.8, 0.8]) and wide[Kind.LOAD] == pytest.approx([0.8, 0.8])
+    plain = compare_with_measured(found(), values).ratios
+    wide = compare_with_measured(found(widen=dict.fromkeys(FigureKind, 2.0)), values).ratios
+    assert plain[FigureKind.LOAD] == pytest.approx([0.8, 0.8]) and wide[FigureKind.LOAD] == pytest.approx(
+        [0.8, 0.8]
+    )
 
 
 def bare(**figures: Figure) -> Forecast:
     """A forecast of the loads of sets."""
-    each = {(Kind.LOAD, name): one for name, one in figures.items()}
+    each = {(FigureKind.LOAD, name): one for name, one in figures.items()}
     hours = [0.0] * 12 + [1.0] + [0.0] * 11
-    return Forecast(each, "", 1000, 1000, EPOCH + 12 * HOUR, EPOCH + 12 * HOUR + SECOND, hours, 1, 1)
+    return Forecast(each, "", 1000, 1000, EPOCH + 12 * HOUR_NS, EPOCH + 12 * HOUR_NS + SECOND, hours, 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -229,10 +235,10 @@
     ],
 )
 def test_bars_against_a_limit(figure: Figure, answer: Answer) -> None:
-    rules = Rules((Limit(Kind.LOAD, 0.8),))
-    said = verdict(bare(g=figure, cool=Figure(0.1, 0.0, 0.2)), rules, EPOCH + 12 * HOUR + 2 * SECOND)
+    rules = Rules((Limit(FigureKind.LOAD, 0.8),))
+    said = verdict(bare(g=figure, cool=Figure(0.1, 0.0, 0.2)), rules, EPOCH + 12 * HOUR_NS + 2 * SECOND)
     assert said.answer is answer
-    assert [over.place for over in said.over] == ([] if answer is Answer.ACCEPT else [(Kind.LOAD, "g")])
+    assert [over.place for over in said.over] == ([] if answer is Answer.ACCEPT else [(FigureKind.LOAD, "g")])
     if answer is Answer.REFUSE:
         assert said.why == ("load of a holder of set 'g': 0.9 (90%: 0.81 to 1), limit 0.8",)
 
@@ -240,12 +246,12 @@
 @pytest.mark.parametrize(
     "make",
     [
-        lambda: Limit(Kind.LOAD, 0),
+        lambda: Limit(FigureKind.LOAD, 0),
         lambda: Rules(()),
         lambda: ReplaySettings(draws=3),
-        lambda: forecast(sample(QUERIES), BEFORE, AFTER, World({}, 0, 1, 1)),
-        lambda: forecast(sample(QUERIES), BEFORE, AFTER, World({}, 1, 2, 1)),
-        lambda: forecast(sample(QUERIES), BEFORE, AFTER, WORLD, None, {Kind.LOAD: 0.5}),
+        lambda: forecast(sample(QUERIES), BEFORE, AFTER, Environment({}, 0, 1, 1)),
+        lambda: forecast(sample(QUERIES), BEFORE, AFTER, Environment({}, 1, 2, 1)),
+        lambda: forecast(sample(QUERIES), BEFORE, AFTER, WORLD, None, {FigureKind.LOAD: 0.5}),
     ],
 )
 def test_settings_that_make_no_sense_are_refused(make: Any) -> None:
--- a/tests/fleet/forecast/test_merge.py
+++ b/tests/fleet/forecast/test_merge.py
@@ -10,16 +10,25 @@
 from hypothesis import strategies as st
 
 import quincepath.fleet.forecast.footprints as module
-from quincepath.fleet.forecast import Footprint, Gathering, Part, Sample, Sampler, decode, encode, place_of
+from quincepath.fleet.forecast import (
+    Footprint,
+    Part,
+    Sample,
+    SampleAssembler,
+    Sampler,
+    decode,
+    encode,
+    query_hash,
+)
 from quincepath.fleet.forecast.footprints import (
-    HOUR,
-    PARTS_MOST,
-    SOURCES_MOST,
-    VALUES_MOST,
+    HOUR_NS,
+    MAX_LISTED_VALUES,
+    MAX_PARTS,
+    MAX_SOURCES,
     Source,
     bounded,
 )
-from tests.fleet.forecast.made import EPOCH, MS, SECOND
+from tests.fleet.forecast.builders import EPOCH, MS, SECOND
 
 NAMES = ("a", "b", "c")
 queries = st.lists(
@@ -32,7 +41,7 @@
     found: dict[int, Any] = {}
     sources: dict[tuple[str, int, int], Any] = {}
     for broker, boot, query in asked:
-        place = place_of(broker, boot, query)
+        place = query_hash(broker, boot, query)
         part = room.Part((f"v{query}",), 1, MS, MS, 1)
         found[place] = room.Footprint(place, EPOCH + query, "k", "t", (part,), SECOND, MS)
         key = (broker, boot, 0)
@@ -111,9 +120,9 @@
     for query in range(times):
         at = begin + query * SECOND
         sampler.count(at)
-        place = sampler.wanted(query)
+        place = sampler.hash_if_sampled(query)
         if place is not None:
-            sampler.put(Footprint(place, at, "k", "t", (Part(("v",), 1, MS, MS, 1),), SECOND, MS))
+            sampler.add(Footprint(place, at, "k", "t", (Part(("v",), 1, MS, MS, 1),), SECOND, MS))
     return sampler
 
 
@@ -133,7 +142,7 @@
 def test_two_windows_are_kept_and_the_third_forgets_the_first() -> None:
     sampler = broker("a", 1, 3 * 3600, 4096)
     found = sampler.sample()
-    assert found.total == 2 * 3600 and found.since == EPOCH + HOUR
+    assert found.total == 2 * 3600 and found.since == EPOCH + HOUR_NS
     assert [hour for hour, share in enumerate(found.hours()) if share] == [1, 2]
     sampler.count(EPOCH)  # a clock that ran back counts into the window that is
     assert sampler.sample().total == 2 * 3600 + 1
@@ -155,17 +164,19 @@
     wide = Footprint(1, EPOCH, "k", "t", (Part(tuple(values), 1, 1, 1, 1),), 1, 1)
     many = Footprint(2, EPOCH, "k", "t", tuple(Part((v,), 1, 1, 1, 1) for v in values[:9000]), 1, 1)
     cut, folded = bounded(wide), bounded(many)
-    assert len(cut.parts[0].values) == VALUES_MOST and cut.parts[0].more == 100_000 - VALUES_MOST
-    assert len(folded.parts) == PARTS_MOST and sum(len(part.values) for part in folded.parts) <= VALUES_MOST
+    assert len(cut.parts[0].values) == MAX_LISTED_VALUES and cut.parts[0].more == 100_000 - MAX_LISTED_VALUES
+    assert (
+        len(folded.parts) == MAX_PARTS and sum(len(part.values) for part in folded.parts) <= MAX_LISTED_VALUES
+    )
     assert sum(len(part.values) + part.more for part in folded.parts) == 9000
     assert sum(part.service for part in folded.parts) == 9000
     assert bounded(cut) == cut and bounded(folded) == folded
     sampler = Sampler("a", 1, 256)
     for number, value in enumerate(values):
         sampler.count(EPOCH + number)
-        place = sampler.wanted(number)
+        place = sampler.hash_if_sampled(number)
         if place is not None:
-            sampler.put(Footprint(place, EPOCH, "k", "t", (Part((value,), 1, 1, 1, 1),), 1, 1))
+            sampler.add(Footprint(place, EPOCH, "k", "t", (Part((value,), 1, 1, 1, 1),), 1, 1))
     found = sampler.sample()
     assert len(found.footprints) == 256 and found.total == 100_000
     messages = encode(found, "a", 1, 1)
@@ -173,11 +184,9 @@
 
 
 def test_too_many_sources_leave_the_newest_and_say_so() -> None:
-    sources = {(f"b{n}", 1, 0): Source(EPOCH + n, 1, EPOCH) for n in range(SOURCES_MOST + 50)}
+    sources = {(f"b{n}", 1, 0): Source(EPOCH + n, 1, EPOCH) for n in range(MAX_SOURCES + 50)}
     merged = Sample().merged(Sample({}, sources))
-    assert (
-        merged.full and len(merged.sources) == SOURCES_MOST and merged.merged(Sample({}, sources)) == merged
-    )
+    assert merged.full and len(merged.sources) == MAX_SOURCES and merged.merged(Sample({}, sources)) == merged
     assert ("b49", 1, 0) not in merged.sources and ("b50", 1, 0) in merged.sources
 
 
@@ -185,27 +194,27 @@
     sample = broker("a", 1, 3000, 512).sample()
     messages = [decode(data) for data in encode(sample, "a", 1, 9, most=4096)]
     assert len(messages) > 3
-    gathering = Gathering(512)
-    told = [gathering.take(message) for message in [*messages[1:], messages[1], messages[0], messages[2]]]
+    assembler = SampleAssembler(512)
+    told = [assembler.receive(message) for message in [*messages[1:], messages[1], messages[0], messages[2]]]
     assert told.count(True) == 1 and not any(told[: len(messages) - 1])
-    assert same(gathering.sample(), sample)
+    assert same(assembler.sample(), sample)
     older = [decode(data) for data in encode(broker("a", 1, 10).sample(), "a", 1, 8)]
-    assert not any(gathering.take(message) for message in older) and gathering.sample().total == 3000
-    partly = Gathering(512)
-    assert not any(partly.take(message) for message in messages[1:]) and partly.sample().total == 0
+    assert not any(assembler.receive(message) for message in older) and assembler.sample().total == 3000
+    partly = SampleAssembler(512)
+    assert not any(partly.receive(message) for message in messages[1:]) and partly.sample().total == 0
 
 
 def test_messages_are_within_their_bounds_and_what_does_not_fit_makes_the_sample_smaller(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sample = broker("a", 1, 3000, 512).sample()
-    monkeypatch.setattr("quincepath.fleet.forecast.messages.MESSAGES_MOST", 3)
+    monkeypatch.setattr("quincepath.fleet.forecast.messages.MAX_MESSAGES", 3)
     data = encode(sample, "a", 1, 1, most=1200)
     assert len(data) == 3 and max(map(len, data)) <= 1200
-    gathering = Gathering(512)
+    assembler = SampleAssembler(512)
     for one in data:
-        gathering.take(decode(one))
-    got = gathering.sample()
+        assembler.receive(decode(one))
+    got = assembler.sample()
     assert got.size == len(got.footprints) < 512 and got.total == 3000
     assert list(got.footprints) == sorted(sample.footprints)[: got.size]
 
--- a/tests/test_shard_versions.py
+++ b/tests/test_shard_versions.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from quincepath.shards.versions import MapVersion, MapVersions, Move, difference, map_problems
-from tests.fleet.forecast.made import version
+from tests.fleet.forecast.builders import version
 
 OLD = version(1, {"s1": ["g1", ["a", "b"]], "s2": ["g1", ["c"]], "s3": ["g2", ["d", "e"]]})
 
