--- a/benchmarks/capacity/exchanges.py
+++ b/benchmarks/capacity/exchanges.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.measuring import Measured, fact
 from benchmarks.capacity.site import SETS, list_body, node_entry, settings
 from benchmarks.capacity.target import BROKERS, NODES
-from quincepath.fleet.messages import About, size
+from quincepath.fleet.messages import MemberState, encoded_size
 from quincepath.fleet.overload.facts import OverloadSettings
 from quincepath.fleet.view.facts import ViewSettings
 from quincepath.net.http1 import request_bytes, response_head
@@ -32,8 +32,10 @@
 def _news_bytes() -> int:
     """One piece of news of a member, as often as each member tells it on."""
     view = ViewSettings("fleet", "broker-0000", ())
-    about = About(broker_names(BROKERS)[-1], (1 << 61) + 1, 3, 3, 1000, (), False, "zone-1", "0.2.0", "c41e")
-    return size(about) * view.sendings(BROKERS)
+    state = MemberState(
+        broker_names(BROKERS)[-1], (1 << 61) + 1, 3, 3, 1000, (), False, "zone-1", "0.2.0", "c41e"
+    )
+    return encoded_size(state) * view.max_transmits(BROKERS)
 
 
 def measure() -> Measured:
--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -22,7 +22,16 @@
 from quincepath.fleet.ledger.kept import MEMBERS_MOST as SUMMED_MOST
 from quincepath.fleet.ledger.tally import Tally
 from quincepath.fleet.ledger.tree import Tree
-from quincepath.fleet.messages import FRAME, MEMBERS_MOST, About, Full, Rejected, body_of, pack, unpack
+from quincepath.fleet.messages import (
+    MAX_FRAME_BYTES,
+    MAX_MEMBERS,
+    FullState,
+    MemberState,
+    Rejected,
+    body_of,
+    pack,
+    unpack,
+)
 from quincepath.fleet.permits import Permits
 from quincepath.fleet.sharing.blame import SETS_MOST, Shares
 from quincepath.lab.fleet.script import FleetScript
@@ -80,14 +89,14 @@
     )
 
 
-def _about(name: str, number: int) -> About:
+def _about(name: str, number: int) -> MemberState:
     zone = ZONE_NAMES[number % len(ZONE_NAMES)]
-    return About(name, (1 << 61) + number, 3, 1, 0, (), False, zone, "0.2.0", "c41e77d0c41e")
+    return MemberState(name, (1 << 61) + number, 3, 1, 0, (), False, zone, "0.2.0", "c41e77d0c41e")
 
 
 def _full_message(members: int) -> bytes:
     beliefs = tuple(_about(name, number) for number, name in enumerate(broker_names(members)))
-    return pack("fleet", "broker-0001", beliefs[0], 1 << 61, 1, Full(beliefs))
+    return pack("fleet", "broker-0001", beliefs[0], 1 << 61, 1, FullState(beliefs))
 
 
 def _full_taken(members: int) -> bool:
@@ -102,15 +111,21 @@
     most = largest(_full_taken, BROKERS)
     return LimitFound(
         "members in one exchange of views", "fleet/messages.py MEMBERS_MOST", VIEW, most, BROKERS, "members",
-        f"dropped as an unknown kind beyond {MEMBERS_MOST}",
+        f"dropped as an unknown kind beyond {MAX_MEMBERS}",
     )  # fmt: skip
 
 
 def _bytes_exchanged() -> LimitFound:
     needed = len(_full_message(BROKERS))
-    answer = "whole view of 2,600 fits" if needed <= FRAME else "dropped as too large"
+    answer = "whole view of 2,600 fits" if needed <= MAX_FRAME_BYTES else "dropped as too large"
     return LimitFound(
-        "bytes of one exchange of views", "fleet/messages.py FRAME", VIEW, FRAME, needed, "bytes", answer
+        "bytes of one exchange of views",
+        "fleet/messages.py FRAME",
+        VIEW,
+        MAX_FRAME_BYTES,
+        needed,
+        "bytes",
+        answer,
     )
 
 
--- a/benchmarks/capacity/scale/hollow.py
+++ b/benchmarks/capacity/scale/hollow.py
@@ -157,7 +157,7 @@
 
     def look_at_living(self) -> None:
         """Note whether the number of living brokers is the expected one, and since when."""
-        if self.fleet.view.table.living != self._expected_living():
+        if self.fleet.view.table.live_count != self._expected_living():
             self.knows_living_at = 0
         elif not self.knows_living_at:
             self.knows_living_at = time.monotonic_ns()
--- a/benchmarks/capacity/scale/simulated.py
+++ b/benchmarks/capacity/scale/simulated.py
@@ -142,7 +142,7 @@
         what="kill, simulated",
         names=names[:NAMES_SHOWN],
         known_after_s=(world.now - killed_at) / SECOND if world.agree() else None,
-        known_by=sum(member.view.table.living == living for member in world.members.values()),
+        known_by=sum(member.view.table.live_count == living for member in world.members.values()),
         of=living,
         worst_messages_a_second=round(worst_messages / living, 2),
         worst_bytes_a_second=round(worst_bytes / living, 2),
--- a/benchmarks/capacity/view.py
+++ b/benchmarks/capacity/view.py
@@ -70,7 +70,7 @@
         view = View(ViewSettings("fleet", names[0], tuple(names[1:])), 1, 1, 0)
         for number, name in enumerate(names[1:]):
             belief = Belief(name, (1 << 61) + number, 3, Phase.ALIVE, 0, "broker-0001", 0, zone="zone-1")
-            view.table.place(belief, "known")
+            view.table.put(belief, "known")
         return view
 
     return allocated_bytes(build)
--- a/benchmarks/fleet_settled.py
+++ b/benchmarks/fleet_settled.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from quincepath.fleet.messages import PACKET, Ack, Ask, Nack, Ping, body_of, unpack
+from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, Ack, Nack, Ping, PingReq, body_of, unpack
 from quincepath.fleet.view import Phase, View
 from quincepath.fleet.view.probing import Probe
 from quincepath.lab.fleet.script import FleetScript
@@ -155,7 +155,7 @@
         world.ways.fates = watched  # type: ignore[method-assign]
 
     def _sent(self, sender: str, to: str, data: bytes, lost: bool) -> None:
-        body = body_of(unpack(data, "lab", to, PACKET))
+        body = body_of(unpack(data, "lab", to, MAX_DATAGRAM_BYTES))
         mine, theirs = self.world.members[sender].view.prober, self.world.members[to].view.prober
         key, hop = ("", 0), ""
         match body:
@@ -163,17 +163,17 @@
                 key, hop = (sender, number), "ping"
                 self.count["probes"] += key not in self.lost
                 self.lost.setdefault(key, set())
-            case Ping(number) if number in mine.relays:
-                relay = mine.relays[number]
-                key, hop = (relay.asker, relay.number), f"ping by {sender}"
+            case Ping(number) if number in mine.indirect_probes:
+                relay = mine.indirect_probes[number]
+                key, hop = (relay.requester, relay.number), f"ping by {sender}"
             case Ack(number) if number in theirs.probes and sender == theirs.probes[number].target:
                 key, hop = (to, number), "ack"
             case Ack(number) if number in theirs.probes:
                 key, hop = (to, number), f"ack back by {sender}"
-            case Ack(number) if number in theirs.relays:
-                relay = theirs.relays[number]
-                key, hop = (relay.asker, relay.number), f"ack to {to}"
-            case Ask(number, _):
+            case Ack(number) if number in theirs.indirect_probes:
+                relay = theirs.indirect_probes[number]
+                key, hop = (relay.requester, relay.number), f"ack to {to}"
+            case PingReq(number, _):
                 key, hop = (sender, number), f"ask of {to}"
                 self.count["asks"] += 1
             case Nack(_):
@@ -208,13 +208,13 @@
     members, lose, changes, seconds, seed = job
     world = Virtual(calm(members, lose, changes, seconds), seed, warm=True)
     causes = Causes(world)
-    asked = View._probe_timer
-    failed = View._not_answered
+    asked = View._on_probe_timer
+    failed = View._on_probe_failed
 
     def counted(view: View, probe: Probe) -> None:
-        was = probe.asked
+        was = probe.indirect_sent
         asked(view, probe)
-        if probe.asked and not was:
+        if probe.indirect_sent and not was:
             causes.count["not answered when helpers are asked"] += 1
 
     def judged(view: View, probe: Probe) -> None:
@@ -227,9 +227,9 @@
         if before is not None and before[0] is not Phase.SUSPECT and before != after:
             causes.count["doubts begun"] += 1
 
-    View._probe_timer, View._not_answered = counted, judged  # type: ignore[assignment,method-assign]
+    View._on_probe_timer, View._on_probe_failed = counted, judged  # type: ignore[assignment,method-assign]
     try:
         world.run()
     finally:
-        View._probe_timer, View._not_answered = asked, failed  # type: ignore[method-assign]
+        View._on_probe_timer, View._on_probe_failed = asked, failed  # type: ignore[method-assign]
     return dict(causes.count)
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -46,9 +46,9 @@
     ) -> None:
         self.fleet = Fleet(config, entry, loop, log, registry, base, open_keepers_store)
         self.fleet.on_drained = holders.drained
-        self.fleet.out_at = lambda: holders.out_at(driver)
+        self.fleet.open_parts = lambda: holders.out_at(driver)
         self.fleet.zone_name = lambda position: holders.source.zone_name(position)
-        self.fleet.facts = lambda: list(holders.source.state.holders.values())
+        self.fleet.holder_infos = lambda: list(holders.source.state.holders.values())
         if self.fleet.distribution is not None:
             self.fleet.distribution.put_in_force = lambda edits: put_in_force(edits, holders, room)
 
--- a/quincepath/cli/configuration.py
+++ b/quincepath/cli/configuration.py
@@ -12,7 +12,7 @@
 from pydantic import Field
 from ruamel.yaml import YAML
 
-from quincepath.cli.fleet import AT, BY, COMMAND_TIMEOUT, JSON, KEY, ask
+from quincepath.cli.fleet import AT, BY, COMMAND_TIMEOUT_S, JSON, KEY, fetch_page
 from quincepath.config.load import ConfigError, load
 from quincepath.config.schema.base import Model
 
@@ -66,7 +66,7 @@
 
     Ask a keeper. Exit status 3 while the newest revision, or that of --revision, is not in force everywhere.
     """
-    page = ask(at, "/fleet/config/status")
+    page = fetch_page(at, "/fleet/config/status")
     if as_json:
         click.echo(json.dumps(page))
     else:
@@ -93,7 +93,7 @@
 @JSON
 def show(name: str, at: str, as_json: bool) -> None:
     """Committed resources as a file for ``propose``: its revision, and the values to edit."""
-    page = ask(at, "/fleet/config/show" + (f"/{quote(name, safe='')}" if name else ""))
+    page = fetch_page(at, "/fleet/config/show" + (f"/{quote(name, safe='')}" if name else ""))
     if as_json:
         click.echo(json.dumps(page))
         return
@@ -105,7 +105,7 @@
     id = key or uuid.uuid4().hex
     body = json.dumps({"id": id, "by": by, **order}, default=str)
     parts = urlsplit(at if "//" in at else f"//{at}")
-    line = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT)
+    line = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT_S)
     try:
         line.request("POST", f"/fleet/config/{what}", body, {"Content-Type": "application/json"})
         answer = json.loads(line.getresponse().read())
--- a/quincepath/cli/fleet.py
+++ b/quincepath/cli/fleet.py
@@ -13,20 +13,20 @@
 from rich.console import Console
 from rich.table import Table
 
-TIMEOUT = 5.0  # seconds
-COMMAND_TIMEOUT = 15.0  # seconds; the broker gives up sooner
-WIDTH = 130
+PAGE_TIMEOUT_S = 5.0  # seconds
+COMMAND_TIMEOUT_S = 15.0  # seconds; the broker gives up sooner
+MIN_TABLE_WIDTH = 130
 AT = click.option("--at", required=True, help="Metrics address of any member, such as http://127.0.0.1:9090.")
 JSON = click.option("--json", "as_json", is_flag=True)
 
 
-def ask(at: str, path: str) -> Any:
+def fetch_page(at: str, path: str) -> Any:
     """What a member says on its metrics listener; ends with status 1 where it says nothing."""
     parts = urlsplit(at if "//" in at else f"//{at}")
     try:
         if not parts.hostname or not parts.port:
             raise OSError("expected an address with a port, such as http://127.0.0.1:9090")
-        line = http.client.HTTPConnection(parts.hostname, parts.port, timeout=TIMEOUT)
+        line = http.client.HTTPConnection(parts.hostname, parts.port, timeout=PAGE_TIMEOUT_S)
         try:
             line.request("GET", path)
             response = line.getresponse()
@@ -45,7 +45,7 @@
         sys.exit(1)
 
 
-def tell(
+def send_command(
     at: str,
     what: str,
     names: tuple[str, ...],
@@ -57,7 +57,7 @@
     """Give a command to a member; says what came of it, and ends with status 1 where a part was refused."""
     order = {"id": key or uuid.uuid4().hex, "by": by, "names": list(names), "why": why, **(more or {})}
     parts = urlsplit(at if "//" in at else f"//{at}")
-    line = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT)
+    line = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT_S)
     try:
         line.request("POST", f"/fleet/{what}", json.dumps(order), {"Content-Type": "application/json"})
         response = line.getresponse()
@@ -77,14 +77,14 @@
     sys.exit(1 if any(answer["results"].values()) else 0)
 
 
-def table(title: str, columns: list[str], rows: list[list[Any]]) -> None:
+def print_table(title: str, columns: list[str], rows: list[list[Any]]) -> None:
     """Print a table; an absent value is an empty cell."""
     table = Table(title=title)
     for column in columns:
         table.add_column(column, overflow="fold")
     for row in rows:
         table.add_row(*("" if cell is None else str(cell) for cell in row))
-    Console(width=max(Console().width, WIDTH)).print(table)
+    Console(width=max(Console().width, MIN_TABLE_WIDTH)).print(table)
 
 
 def _clock(at: float) -> str:
@@ -101,7 +101,7 @@
 @JSON
 def view(at: str, as_json: bool) -> None:
     """Who is believed what, since when, by whose word. Exit status 3 where the view is not settled."""
-    page = ask(at, "/fleet/view")
+    page = fetch_page(at, "/fleet/view")
     if as_json:
         click.echo(json.dumps(page))
     else:
@@ -128,7 +128,7 @@
             for row in page["members"]
         ]  # fmt: skip
         rows += [[name, "never heard", *[None] * 7] for name in page["never_heard"]]
-        table(title, columns, rows)
+        print_table(title, columns, rows)
     sys.exit(0 if page["settled"] else 3)
 
 
@@ -138,7 +138,7 @@
 @JSON
 def explain(name: str, at: str, as_json: bool) -> None:
     """Why a member is believed what it is, and what comes next."""
-    page = ask(at, f"/fleet/explain/{quote(name, safe='')}")
+    page = fetch_page(at, f"/fleet/explain/{quote(name, safe='')}")
     if as_json:
         click.echo(json.dumps(page))
         return
@@ -153,7 +153,7 @@
 @JSON
 def history(at: str, as_json: bool) -> None:
     """Changes of belief, oldest first."""
-    page = ask(at, "/fleet/history")
+    page = fetch_page(at, "/fleet/history")
     if as_json:
         click.echo(json.dumps(page))
         return
@@ -169,7 +169,7 @@
         ]
         for line in lines
     ]
-    table("changes of belief", columns, rows)
+    print_table("changes of belief", columns, rows)
 
 
 BY = click.option("--by", default=getpass.getuser, help="Who asks; stands in the log.")
@@ -184,7 +184,7 @@
 @KEY
 def drain(names: tuple[str, ...], at: str, by: str, key: str) -> None:
     """Have the fleet drain holders, within its limits. ``status`` tells when they are."""
-    tell(at, "drain", names, by, "", key)
+    send_command(at, "drain", names, by, "", key)
 
 
 @fleet.command()
@@ -194,7 +194,7 @@
 @KEY
 def undrain(names: tuple[str, ...], at: str, by: str, key: str) -> None:
     """They are back: all brokers send to them again."""
-    tell(at, "undrain", names, by, "", key)
+    send_command(at, "undrain", names, by, "", key)
 
 
 @fleet.command(name="close")
@@ -205,7 +205,7 @@
 @WHY
 def close_(names: tuple[str, ...], at: str, by: str, key: str, why: str) -> None:
     """Free the place of a permit by hand, whatever became of its holder."""
-    tell(at, "close", names, by, why, key)
+    send_command(at, "close", names, by, why, key)
 
 
 @fleet.command()
@@ -215,7 +215,7 @@
 @WHY
 def halt(at: str, by: str, key: str, why: str) -> None:
     """Grant nothing new until ``resume``."""
-    tell(at, "halt", (), by, why, key)
+    send_command(at, "halt", (), by, why, key)
 
 
 @fleet.command()
@@ -224,7 +224,7 @@
 @KEY
 def resume(at: str, by: str, key: str) -> None:
     """Grant again."""
-    tell(at, "resume", (), by, "", key)
+    send_command(at, "resume", (), by, "", key)
 
 
 @fleet.command()
@@ -232,7 +232,7 @@
 @JSON
 def status(at: str, as_json: bool) -> None:
     """Permits, drains and whom they wait for, who keeps the log. Exit status 3 while a drain is not done."""
-    page = ask(at, "/fleet/status")
+    page = fetch_page(at, "/fleet/status")
     if as_json:
         click.echo(json.dumps(page))
     else:
--- a/quincepath/cli/topology.py
+++ b/quincepath/cli/topology.py
@@ -6,7 +6,7 @@
 
 import click
 
-from quincepath.cli.fleet import AT, BY, JSON, KEY, ask, table, tell
+from quincepath.cli.fleet import AT, BY, JSON, KEY, fetch_page, print_table, send_command
 from quincepath.config.load import ConfigError, parse
 from quincepath.config.schema.base import Model
 from quincepath.config.schema.holders import Shards
@@ -38,7 +38,7 @@
         sys.exit(1)
     entries = [[one.name, one.set or one.name, one.values] for one in shards.map]
     found = [shards.label, entries, shards.unlabelled == "everywhere"]
-    tell(at, "propose", (), by, "", key, {"map": found, "may_lose": list(may_lose)})
+    send_command(at, "propose", (), by, "", key, {"map": found, "may_lose": list(may_lose)})
 
 
 @topology.command()
@@ -48,7 +48,7 @@
 @KEY
 def adopt(without: tuple[str, ...], at: str, by: str, key: str) -> None:
     """Use the proposed map, as far as the forecast accepts it; --without: name who is gone, later on."""
-    tell(at, "adopt", without, by, "", key)
+    send_command(at, "adopt", without, by, "", key)
 
 
 @topology.command()
@@ -57,7 +57,7 @@
 @KEY
 def back(at: str, by: str, key: str) -> None:
     """Give up a proposal that nobody uses yet; else stage the version before again and use it."""
-    tell(at, "back", (), by, "", key)
+    send_command(at, "back", (), by, "", key)
 
 
 @topology.command()
@@ -65,7 +65,7 @@
 @JSON
 def status(at: str, as_json: bool) -> None:
     """Versions, the verdict, whom a step waits for. Exit status 3 while a step is open, 4 where it halted."""
-    page = ask(at, "/fleet/topology")
+    page = fetch_page(at, "/fleet/topology")
     if as_json:
         click.echo(json.dumps(page))
     else:
@@ -84,9 +84,9 @@
                 rows = [
                     [kind, where or "all", *(f"{x:.4g}" for x in bar)] for kind, where, *bar in judged["bars"]
                 ]
-                table("forecast", ["figure", "of", "value", "low", "high"], rows)
+                print_table("forecast", ["figure", "of", "value", "low", "high"], rows)
         rows = [[name, why] for name, why in page["waits_for"].items()]
         rows += [[name, f"away: {why}"] for name, why in page["away"].items()]
         if rows:
-            table(f"{page['step']}, as {page['member']} sees it", ["waits for", "because"], rows)
+            print_table(f"{page['step']}, as {page['member']} sees it", ["waits for", "because"], rows)
     sys.exit(4 if page["halted"] else 3 if page["step"] in ("staging", "measuring") else 0)
--- a/quincepath/fleet/agreement/post.py
+++ b/quincepath/fleet/agreement/post.py
@@ -7,7 +7,7 @@
 
 from quincepath.fleet.adoption.gathering import MapReport
 from quincepath.fleet.agreement.messages import Message
-from quincepath.fleet.messages import FRAME, Counter, Name, Versions, body_in, opened
+from quincepath.fleet.messages import MAX_FRAME_BYTES, Counter, Name, Versions, decode_body, decode_envelope
 
 SCHEMA = 1
 VERSIONS = Versions(SCHEMA, 1)
@@ -53,5 +53,5 @@
 
 def unpack(data: bytes, fleet: str, to: str) -> tuple[Post, Body]:
     """A message to this broker. Raises ``Rejected``, with the causes of the view's messages."""
-    post = opened(data, _posts, VERSIONS, fleet, to, FRAME)
-    return post, body_in(post.body, _bodies)
+    post = decode_envelope(data, _posts, VERSIONS, fleet, to, MAX_FRAME_BYTES)
+    return post, decode_body(post.body, _bodies)
--- a/quincepath/fleet/configuration/messages.py
+++ b/quincepath/fleet/configuration/messages.py
@@ -20,7 +20,16 @@
     Delta,
     Revision,
 )
-from quincepath.fleet.messages import Counter, Name, Rejected, Text, Versions, Word64, body_in, opened
+from quincepath.fleet.messages import (
+    Counter,
+    Name,
+    Rejected,
+    Text,
+    Versions,
+    Word64,
+    decode_body,
+    decode_envelope,
+)
 
 SCHEMA = 1
 VERSIONS = Versions(SCHEMA, 1)
@@ -204,7 +213,7 @@
     """
     if data[: len(MARK)] != MARK:
         raise Rejected("unreadable")
-    found = opened(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, FRAME_MOST)
+    found = decode_envelope(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, FRAME_MOST)
     if (found.sender == to) is not own:
         raise Rejected("wrong name")
     return found
@@ -213,7 +222,7 @@
 def unpack(data: bytes, fleet: str, to: str, own: bool = False) -> tuple[Envelope, Body]:
     """A message to this member, whole. Raises ``Rejected``, as ``open_envelope``."""
     found = open_envelope(data, fleet, to, own)
-    return found, body_in(found.body, _bodies)
+    return found, decode_body(found.body, _bodies)
 
 
 class Addressee(StrEnum):
--- a/quincepath/fleet/configuration/relay.py
+++ b/quincepath/fleet/configuration/relay.py
@@ -51,7 +51,7 @@
 from quincepath.fleet.configuration.slots import SLOT_IDLE, Slot, SnapshotSlots
 from quincepath.fleet.configuration.subscriber import WINDOW_PIECES
 from quincepath.fleet.configuration.table import apply_edits
-from quincepath.fleet.messages import COUNTER_MOST, Rejected
+from quincepath.fleet.messages import MAX_COUNTER, Rejected
 
 SUBSCRIBERS_MOST = 1000  # one more is told to ask another relay
 TICK = 100 * MS  # between looks at the table
@@ -98,8 +98,8 @@
     def age_ms(self) -> int:
         """Since a voter last knew our newest revision to be the newest."""
         if self._confirmed_at is None:
-            return COUNTER_MOST
-        return min((self._now - self._confirmed_at) // MS, COUNTER_MOST)
+            return MAX_COUNTER
+        return min((self._now - self._confirmed_at) // MS, MAX_COUNTER)
 
     def step(self, now: int, inputs: Sequence[RelayInput]) -> list[RelayOutput]:
         """Take in what came and what the time asks for."""
--- a/quincepath/fleet/edge.py
+++ b/quincepath/fleet/edge.py
@@ -8,19 +8,19 @@
 from collections import Counter
 from collections.abc import Callable
 
-from quincepath.fleet.messages import FRAME
+from quincepath.fleet.messages import MAX_FRAME_BYTES
 from quincepath.fleet.view.core import (
-    Call,
-    Called,
-    Frame,
-    Framed,
-    HangUp,
-    Heard,
+    CloseConnection,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DatagramReceived,
+    FrameReceived,
     Input,
-    Lost,
+    OpenConnection,
+    OperatorNotice,
     Output,
-    Packet,
-    Told,
+    SendDatagram,
+    SendFrame,
     View,
 )  # fmt: skip
 from quincepath.fleet.view.facts import Change
@@ -75,7 +75,7 @@
         places: dict[str, tuple[str, int]],
         host: str,
         port: int,
-        on_told: Callable[[Change | Told], None],
+        on_told: Callable[[Change | OperatorNotice], None],
     ) -> None:
         self.loop, self.view, self.places, self.on_told = loop, view, places, on_told
         # Messages and bytes that went out, by kind. "frames" and "bytes" are of all mechanisms together;
@@ -140,18 +140,18 @@
 
     def _carry_out(self, out: Output) -> None:
         match out:
-            case Packet(to, data):
+            case SendDatagram(to, data):
                 self._datagram(to, data)
-            case Call(line, to):
+            case OpenConnection(line, to):
                 self._call(line, to)
-            case Frame(line, data):
+            case SendFrame(line, data):
                 self._frame(line, data)
-            case HangUp(line, at_once):
+            case CloseConnection(line, at_once):
                 if at_once:
                     self._drop(line)
                 else:
                     self._hang_up(line)
-            case Change() | Told():
+            case Change() | OperatorNotice():
                 self.on_told(out)
 
     # --- datagrams ---
@@ -183,7 +183,7 @@
             if data[:1] == OTHER and self.on_other is not None:
                 self.on_other(data)
             else:
-                inputs.append(Heard(data))
+                inputs.append(DatagramReceived(data))
         self.step(inputs)
 
     # --- lines ---
@@ -213,7 +213,7 @@
         number = -self._taken
         line = self._lines[number] = _Line()
         self._stream(number, line, sock)
-        self.step([Called(number)])
+        self.step([ConnectionAccepted(number)])
 
     def _stream(self, number: int, line: _Line, sock: socket.socket) -> None:
         line.stream = Stream(
@@ -229,7 +229,7 @@
         while len(line.data) >= HEAD:
             length = int.from_bytes(line.data[:HEAD])
             agreed, length = bool(length & AGREED), length & ~AGREED
-            if length > FRAME:
+            if length > MAX_FRAME_BYTES:
                 self.view.dropped["too large"] += 1
                 if line.stream is not None:
                     line.stream.close()
@@ -240,11 +240,12 @@
             message = bytes(line.data[HEAD : HEAD + length])
             del line.data[: HEAD + length]
             if not agreed:
-                inputs.append(Framed(number, message))
+                inputs.append(FrameReceived(number, message))
                 continue
             if not line.agreed:
                 line.agreed = True
-                inputs.append(Lost(number, "carries the keepers' log"))  # no exchange of the view's
+                # no exchange of the view's
+                inputs.append(ConnectionClosed(number, "carries the keepers' log"))
             line.heard_at = self.loop.now
             if self.on_agreed is not None:
                 self.on_agreed(message)
@@ -282,7 +283,7 @@
             timer.cancel()
             self._lines.pop(number, None)
 
-        line.stream.finish(FRAME, done)
+        line.stream.finish(MAX_FRAME_BYTES, done)
 
     def _drop(self, number: int) -> None:
         line = self._lines.pop(number, None)
@@ -295,7 +296,7 @@
 
     def _ended(self, number: int, said: str) -> None:
         if self._lines.pop(number, None) is not None:
-            self.step([Lost(number, said)])
+            self.step([ConnectionClosed(number, said)])
 
     # --- the keepers' log ---
 
@@ -303,14 +304,14 @@
         """Send a message of the log; it may be lost, like any."""
         way = self._ways.setdefault(to, _Way())
         chunk = (len(data) | AGREED).to_bytes(HEAD) + data
-        if self._closed or to not in self.places or len(data) > FRAME:
+        if self._closed or to not in self.places or len(data) > MAX_FRAME_BYTES:
             return
         self.sent["frames"] += 1
         self.sent["bytes"] += len(chunk)
         self.sent["log_frames"] += 1
         self.sent["log_bytes"] += len(chunk)
         if way.stream is not None and not way.stream.closed:
-            if way.stream.pending < FRAME * 4:
+            if way.stream.pending < MAX_FRAME_BYTES * 4:
                 way.stream.write(chunk)
             return
         if len(way.waiting) < WAITING_MOST:
--- a/quincepath/fleet/ledger/messages.py
+++ b/quincepath/fleet/ledger/messages.py
@@ -13,13 +13,13 @@
 
 from quincepath.fleet.ledger.fields import FIELDS, VALUE_MOST, runs_of, width
 from quincepath.fleet.ledger.tally import TENANT_MOST
-from quincepath.fleet.messages import PACKET, Counter, Name, Rejected, Word64
+from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, Counter, Name, Rejected, Word64
 
 SCHEMA = 1
 OLDEST = 1
 MARK = b"\xc1L"  # 0xc1 begins no msgpack value
 HEAD = 176  # bytes that envelope and a body's other fields take at most
-ROOM = PACKET - HEAD
+ROOM = MAX_DATAGRAM_BYTES - HEAD
 CAUSES = (
     "unreadable", "too large", "too old", "too new", "wrong fleet", "wrong name", "unknown member",
     "unknown kind", "not mine", "older", "second boot", "backwards", "jump", "clipped",
@@ -28,7 +28,7 @@
 Value = Annotated[int, Meta(ge=0, le=VALUE_MOST)]
 Small = Annotated[int, Meta(ge=0, le=1 << 20)]
 Permille = Annotated[int, Meta(ge=0, le=1000)]
-Runs = Annotated[tuple[Value, ...], Meta(max_length=PACKET)]
+Runs = Annotated[tuple[Value, ...], Meta(max_length=MAX_DATAGRAM_BYTES)]
 Tenant = Annotated[str, Meta(min_length=1, max_length=TENANT_MOST)]
 
 
@@ -109,7 +109,7 @@
 
 def unpack(data: bytes, fleet: str, to: str) -> tuple[Envelope, Body]:
     """A message to this member. Raises ``Rejected``."""
-    if len(data) > PACKET:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise Rejected("too large")
     if data[: len(MARK)] != MARK:
         raise Rejected("unreadable")
--- a/quincepath/fleet/messages.py
+++ b/quincepath/fleet/messages.py
@@ -17,23 +17,23 @@
 from msgspec import Meta
 
 SCHEMA = 1
-OLDEST = 1  # what this program still reads
-PACKET = 1200  # bytes of a datagram: fits one packet on every sound path
-FRAME = 512 * 1024  # bytes of one message of an exchange
-MEMBERS_MOST = 1000  # of one fleet
-NAME_MOST = 32  # characters of a name
-ACCUSERS_MOST = 4  # named with one suspicion
-COUNTER_MOST = 1 << 40  # an incarnation beyond is no count of anything that happened
-
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-Word = Annotated[str, Meta(max_length=40)]
+OLDEST_READABLE = 1  # what this program still reads
+MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram: fits one packet on every sound path
+MAX_FRAME_BYTES = 512 * 1024  # bytes of one message of an exchange
+MAX_MEMBERS = 1000  # of one fleet
+MAX_NAME_CHARS = 32  # characters of a name
+MAX_ACCUSERS = 4  # named with one suspicion
+MAX_COUNTER = 1 << 40  # an incarnation beyond is no count of anything that happened
+
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
+ShortText = Annotated[str, Meta(max_length=40)]
 Millis = Annotated[int, Meta(ge=0, le=1 << 53)]  # of a wall clock, since the epoch
 Text = Annotated[str, Meta(max_length=400)]
-Counter = Annotated[int, Meta(ge=0, le=COUNTER_MOST)]
+Counter = Annotated[int, Meta(ge=0, le=MAX_COUNTER)]
 Word64 = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
 
-class About(msgspec.Struct, array_like=True, frozen=True):
+class MemberState(msgspec.Struct, array_like=True, frozen=True):
     """What is said of one member. ``age``: ms since it was suspected, dead or gone; 0 for the others."""
 
     name: Name
@@ -41,11 +41,11 @@
     incarnation: Counter
     phase: Annotated[int, Meta(ge=0, le=4)]
     age: Counter = 0
-    accusers: Annotated[tuple[Name, ...], Meta(max_length=ACCUSERS_MOST)] = ()
+    accusers: Annotated[tuple[Name, ...], Meta(max_length=MAX_ACCUSERS)] = ()
     draining: bool = False
-    zone: Word = ""
-    version: Word = ""
-    config: Word = ""
+    zone: ShortText = ""
+    version: ShortText = ""
+    config: ShortText = ""
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
@@ -54,7 +54,7 @@
     number: Counter
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class PingReq(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Ping ``target`` for me: ``Ack`` if it answers, ``Nack`` if it does not in time."""
 
     number: Counter
@@ -73,26 +73,26 @@
     number: Counter
 
 
-class Tell(msgspec.Struct, array_like=True, frozen=True, tag=5):
+class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """News only."""
 
 
-class Same(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class SameDigest(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """Of an exchange: my view has your digest."""
 
 
-class Compare(msgspec.Struct, array_like=True, frozen=True, tag=7):
+class ExchangeRequest(msgspec.Struct, array_like=True, frozen=True, tag=7):
     """Of an exchange: its first message; the digest stands in the envelope."""
 
 
-class Full(msgspec.Struct, array_like=True, frozen=True, tag=8):
+class FullState(msgspec.Struct, array_like=True, frozen=True, tag=8):
     """Of an exchange: all that I believe. ``answer``: send yours back."""
 
-    beliefs: Annotated[tuple[About, ...], Meta(max_length=MEMBERS_MOST)]
+    beliefs: Annotated[tuple[MemberState, ...], Meta(max_length=MAX_MEMBERS)]
     answer: bool = True
 
 
-Body = Ping | Ask | Ack | Nack | Tell | Same | Compare | Full
+Body = Ping | PingReq | Ack | Nack | Gossip | SameDigest | ExchangeRequest | FullState
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
@@ -106,11 +106,11 @@
     fleet: Name
     sender: Name
     to: Name
-    me: About
+    me: MemberState
     digest: Word64
     count: Counter
     body: msgspec.Raw
-    news: Annotated[tuple[About, ...], Meta(max_length=64)] = ()
+    news: Annotated[tuple[MemberState, ...], Meta(max_length=64)] = ()
 
 
 class Rejected(ValueError):
@@ -135,7 +135,7 @@
     oldest: int
 
 
-class Around(Protocol):
+class EnvelopeFields(Protocol):
     """What stands around any message between brokers."""
 
     @property
@@ -155,30 +155,41 @@
         """Name of the member that it is for."""
 
 
-Outer = TypeVar("Outer", bound=Around)
-Inner = TypeVar("Inner")
-VERSIONS = Versions(SCHEMA, OLDEST)
+AnyEnvelope = TypeVar("AnyEnvelope", bound=EnvelopeFields)
+AnyBody = TypeVar("AnyBody")
+VERSIONS = Versions(SCHEMA, OLDEST_READABLE)
 _encoder = msgspec.msgpack.Encoder()
-_envelopes = msgspec.msgpack.Decoder(Envelope)
-_bodies: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
+_envelope_decoder = msgspec.msgpack.Decoder(Envelope)
+_body_decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
 
 
-def size(about: About) -> int:
+def encoded_size(about: MemberState) -> int:
     """Bytes that it takes in a message."""
     return len(_encoder.encode(about))
 
 
 def pack(
-    fleet: str, to: str, me: About, digest: int, count: int, body: Body, news: Sequence[About] = ()
+    fleet: str,
+    to: str,
+    me: MemberState,
+    digest: int,
+    count: int,
+    body: Body,
+    news: Sequence[MemberState] = (),
 ) -> bytes:
     """One message, ready to go."""
     raw = msgspec.Raw(_encoder.encode(body))
     return _encoder.encode(Envelope(SCHEMA, SCHEMA, fleet, me.name, to, me, digest, count, raw, tuple(news)))
 
 
-def opened(
-    data: bytes, decoder: msgspec.msgpack.Decoder[Outer], known: Versions, fleet: str, to: str, most: int
-) -> Outer:
+def decode_envelope(
+    data: bytes,
+    decoder: msgspec.msgpack.Decoder[AnyEnvelope],
+    known: Versions,
+    fleet: str,
+    to: str,
+    most: int,
+) -> AnyEnvelope:
     """A message of at most ``most`` bytes to this member, its body not yet read. Raises ``Rejected``."""
     if len(data) > most:
         raise Rejected("too large")
@@ -197,7 +208,7 @@
     return found
 
 
-def body_in(raw: msgspec.Raw, decoder: msgspec.msgpack.Decoder[Inner]) -> Inner:
+def decode_body(raw: msgspec.Raw, decoder: msgspec.msgpack.Decoder[AnyBody]) -> AnyBody:
     """What a message holds. Raises ``Rejected`` where this program does not know the kind."""
     try:
         return decoder.decode(raw)
@@ -207,7 +218,7 @@
 
 def unpack(data: bytes, fleet: str, to: str, most: int) -> Envelope:
     """The envelope of a message to this member. Raises ``Rejected``."""
-    found = opened(data, _envelopes, VERSIONS, fleet, to, most)
+    found = decode_envelope(data, _envelope_decoder, VERSIONS, fleet, to, most)
     if found.me.name != found.sender:
         raise Rejected("wrong name")
     return found
@@ -215,4 +226,4 @@
 
 def body_of(envelope: Envelope) -> Body:
     """What an envelope holds. Raises ``Rejected`` where this program does not know the kind."""
-    return body_in(envelope.body, _bodies)
+    return decode_body(envelope.body, _body_decoder)
--- a/quincepath/fleet/pages.py
+++ b/quincepath/fleet/pages.py
@@ -11,7 +11,7 @@
 
 
 def _row(view: View, belief: Belief, now: int) -> dict[str, Any]:
-    heard = view.table.heard.get(belief.name)
+    heard = view.table.last_heard.get(belief.name)
     return {
         "name": belief.name,
         "phase": belief.phase.name.lower(),
@@ -40,7 +40,7 @@
         "member": settings.name,
         "settled": not unsettled,
         "unsettled": unsettled,
-        "live": table.living,
+        "live": table.live_count,
         "configured": configured,
         "digest": f"{table.digest:016x}",
         "own_trouble": view.prober.health.score,
@@ -50,7 +50,7 @@
     }
 
 
-def change_line(change: Change, now: int, wall: float) -> dict[str, Any]:
+def change_row(change: Change, now: int, wall: float) -> dict[str, Any]:
     """One change of belief; ``wall`` (seconds since the epoch) is the moment ``now``."""
     return {
         "at": round(wall - (now - change.at) / SECOND, 3),
@@ -65,7 +65,7 @@
 
 def history_page(view: View, now: int, wall: float, name: str = "") -> list[dict[str, Any]]:
     """Changes of belief, oldest first; of one member where it is named."""
-    return [change_line(change, now, wall) for change in view.table.history if name in ("", change.name)]
+    return [change_row(change, now, wall) for change in view.table.history if name in ("", change.name)]
 
 
 def explain_page(view: View, name: str, now: int, wall: float) -> dict[str, Any] | None:
@@ -104,7 +104,7 @@
 def _next(view: View, belief: Belief, now: int) -> str:
     match belief.phase:
         case Phase.SUSPECT:
-            ends = view.table.suspicion_ends(belief)
+            ends = view.table.suspicion_deadline(belief)
             return f"dead in {_seconds(ends - now)} s unless it refutes; sooner with further accusers"
         case Phase.DEAD | Phase.LEFT:
             ends = belief.since + view.settings.reclaim
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -18,7 +18,7 @@
 from quincepath.fleet.orders import OF_MAPS, OrderError, command_of, read_order
 from quincepath.fleet.pages import explain_page, history_page, view_page
 from quincepath.fleet.permits import Command, Grant, Permits
-from quincepath.fleet.view.core import Drain, Leave, Told, View
+from quincepath.fleet.view.core import Drain, Leave, OperatorNotice, View
 from quincepath.fleet.view.facts import Change, Phase, ViewSettings
 from quincepath.membership.state import HolderInfo
 from quincepath.net.loop import Loop
@@ -96,8 +96,8 @@
         self.loop, self.entry, self.configured = loop, entry, config.broker.brokers
         self.ramp = config.rules.ramp_time
         self.on_drained: Callable[[frozenset[str]], None] = lambda names: None
-        self.out_at: Callable[[], dict[str, int]] = dict
-        self.facts: Callable[[], list[HolderInfo]] = list
+        self.open_parts: Callable[[], dict[str, int]] = dict
+        self.holder_infos: Callable[[], list[HolderInfo]] = list
         self.zone_name: Callable[[int], str] = str
         self.brokers = {entry.member, *(peer.name for peer in entry.peers)}
         self.sets = {entry.name: entry.set or entry.name for entry in config.shards.map}
@@ -141,7 +141,7 @@
                 self.edge.tell,
                 self._judge,
                 self._applied,
-                lambda: self.out_at(),
+                lambda: self.open_parts(),
                 open_store,
                 self._drop,
                 self._maps(config, boot),
@@ -163,8 +163,8 @@
         """Where peers reach this member."""
         return self.edge.address
 
-    def _told(self, out: Change | Told) -> None:
-        if isinstance(out, Told):
+    def _told(self, out: Change | OperatorNotice) -> None:
+        if isinstance(out, OperatorNotice):
             self.log.error("fleet: one name, two processes", kind=out.kind, text=out.text)
             return
         self.changes.labels(out.now.partition(",")[0]).inc()
@@ -195,10 +195,10 @@
         if self._reasons is None or bool(reasons) != bool(self._reasons):
             self.log.info("fleet: unsettled" if reasons else "fleet: settled", cause="; ".join(reasons))
         self._reasons = reasons
-        differs = not reasons and table.living != self.configured
+        differs = not reasons and table.live_count != self.configured
         if differs and not self._differs:
             self.log.warning(
-                "fleet: live brokers are not as many as configured", live=table.living,
+                "fleet: live brokers are not as many as configured", live=table.live_count,
                 configured=self.configured, effect="none on routing: shares go by the configured number",
             )  # fmt: skip
         self._differs = differs
@@ -269,7 +269,7 @@
     def units(self) -> dict[str, Unit]:
         """All brokers and holders that this broker knows of."""
         found = {name: Unit(name, "broker") for name in sorted(self.brokers)}
-        for fact in self.facts():
+        for fact in self.holder_infos():
             sets = tuple(sorted({self.sets[shard] for shard in fact.shards}))
             found[fact.name] = Unit(fact.name, "holder", self.zone_name(fact.zone), sets)
         return found
@@ -285,7 +285,7 @@
             if reason is not None:
                 found[belief.name] = reason
         now = self.loop.clock()
-        for fact in self.facts():
+        for fact in self.holder_infos():
             if fact.phase.name != "READY" and fact.name not in self._drained:
                 found[fact.name] = Reason.DRAINING
             elif fact.since and now < fact.since + self.ramp:
@@ -300,7 +300,7 @@
         if reasons:
             return command, f"the view is not settled: {'; '.join(reasons)}"
         units = self.units()
-        both = sorted(self.brokers & {fact.name for fact in self.facts()})
+        both = sorted(self.brokers & {fact.name for fact in self.holder_infos()})
         if both:
             return command, f"{both[0]} names a broker and a holder: rename one of them"
         if command.name not in units:
--- a/quincepath/fleet/shared.py
+++ b/quincepath/fleet/shared.py
@@ -117,7 +117,7 @@
 
     def _living(self) -> Living | None:
         """Who lives, where it changed."""
-        found = {one.name: one.boot for one in self.view.table.all() if one.living}
+        found = {one.name: one.boot for one in self.view.table.all() if one.live}
         found[self.view.settings.name] = self.view.own.boot
         if found == self._boots:
             return None
--- a/quincepath/fleet/view/core.py
+++ b/quincepath/fleet/view/core.py
@@ -10,39 +10,47 @@
 
 from collections.abc import Iterable
 
-from quincepath.fleet.messages import FRAME, PACKET, Envelope, Rejected, Tell, body_of, unpack
-from quincepath.fleet.view.facts import Phase, ViewSettings, key_of
+from quincepath.fleet.messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    Envelope,
+    Gossip,
+    Rejected,
+    body_of,
+    unpack,
+)
+from quincepath.fleet.view.facts import Phase, ViewSettings, state_key
+from quincepath.fleet.view.failure_detector import FailureDetector
 from quincepath.fleet.view.ports import (
-    Call,
-    Called,
+    CloseConnection,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DatagramReceived,
     Drain,
-    Frame,
-    Framed,
-    HangUp,
-    Heard,
+    FrameReceived,
     Input,
     Leave,
-    Lost,
+    OpenConnection,
+    OperatorNotice,
     Output,
-    Packet,
-    Told,
+    SendDatagram,
+    SendFrame,
 )  # fmt: skip
-from quincepath.fleet.view.saying import NEVER
-from quincepath.fleet.view.settled import reasons_against
-from quincepath.fleet.view.watching import Watching
+from quincepath.fleet.view.sending import NEVER
+from quincepath.fleet.view.settled import unsettled_reasons
 
 __all__ = [
-    "Call", "Called", "Drain", "Frame", "Framed", "HangUp", "Heard", "Input", "Leave", "Lost", "Output",
-    "Packet", "Told", "View",
+    "CloseConnection", "ConnectionAccepted", "ConnectionClosed", "DatagramReceived", "Drain", "FrameReceived",
+    "Input", "Leave", "OpenConnection", "OperatorNotice", "Output", "SendDatagram", "SendFrame", "View",
 ]  # fmt: skip
 
 
-class View(Watching):
+class View(FailureDetector):
     """One member's view. ``step`` takes what came in; ``due`` is when it is to be called without (ns)."""
 
     def __init__(self, settings: ViewSettings, boot: int, seed: int, now: int) -> None:
         super().__init__(settings, boot, seed, now)
-        self.table.place(self.own.belief(now), "begins")
+        self.table.put(self.own.belief(now), "begins")
         if not settings.peers:
             self._enter()
         self.due = max(self._next_due(), now)
@@ -70,7 +78,7 @@
         if self._left:
             return NEVER
         due = [self.table.next_due(), self.exchanges.next_due(), self.prober.next_due(), self._trial_at]
-        if len(self.news):
+        if len(self.gossip_queue):
             due.append(self._gossip_at)
         if not self._round_open():
             due.append(self._probe_at)
@@ -78,15 +86,15 @@
 
     def _take_in(self, item: Input) -> None:
         match item:
-            case Heard(data):
-                self._message(data, PACKET, None)
-            case Framed(line, data):
+            case DatagramReceived(data):
+                self._message(data, MAX_DATAGRAM_BYTES, None)
+            case FrameReceived(line, data):
                 if line in self.exchanges.lines:
-                    self._message(data, FRAME, line)
-            case Called(line):
+                    self._message(data, MAX_FRAME_BYTES, line)
+            case ConnectionAccepted(line):
                 if not self.exchanges.take(line, self.now):
-                    self._out.append(HangUp(line))
-            case Lost(line):
+                    self._out.append(CloseConnection(line))
+            case ConnectionClosed(line):
                 self._lost(line)
             case Drain(draining):
                 if self.own.drain(draining):
@@ -96,17 +104,17 @@
 
     def _hand_over(self) -> None:
         """What changed goes to the news and to people."""
-        for name in self.table.adopted:
-            if not len(self.news):
+        for name in self.table.updated:
+            if not len(self.gossip_queue):
                 self._gossip_at = min(self._gossip_at, self.now + self.settings.gossip)
-            self.news.add(name)
+            self.gossip_queue.add(name)
             belief = self.table.get(name)
             if belief is not None and name != self.settings.name:
-                if belief.living:
+                if belief.live:
                     self.prober.insert(name)
                 if belief.phase is Phase.SUSPECT:
                     self._look_for_oneself(belief)
-        self.table.adopted.clear()
+        self.table.updated.clear()
         self._out.extend(self.table.changes)
         self.table.changes.clear()
 
@@ -116,8 +124,8 @@
         The machine measures this itself, from when it asked to be called: nobody has to tell it.
         """
         self.prober.stood_still(by)
-        self.table.stretch(by)
-        self.late_at = self.heard_at = now
+        self.table.extend_suspicions(by)
+        self.last_stall_at = self.last_heard_at = now
 
     # --- hearing ---
 
@@ -128,7 +136,7 @@
                 raise Rejected("unknown member")
             self._speaker(envelope)
             for about in envelope.news:
-                self._hear_of(about, envelope.sender)
+                self._apply_state(about, envelope.sender)
             body = body_of(envelope)
         except Rejected as error:
             self.dropped[error.cause] += 1
@@ -138,39 +146,39 @@
         if line is None:
             self._datagram(envelope.sender, body)
         else:
-            self._on_line(line, envelope, body)
+            self._on_frame(line, envelope, body)
 
     def _speaker(self, envelope: Envelope) -> None:
         """What a message says by itself: its sender lives, as this process, with this digest."""
         me, now, name = envelope.me, self.now, envelope.sender
         newest = self._newest(name, me.boot, envelope.count)
-        self.heard_at = now
-        self.table.hear(me, now, name)
+        self.last_heard_at = now
+        self.table.apply_state(me, now, name)
         belief = self.table.beliefs[name]
         if belief.boot != me.boot:
             if newest:
                 self._stranger(name, me.boot)
-        elif newest and belief.living:
-            self.table.heard[name] = now
-        if key_of(me)[:2] < belief.key[:2] and (not belief.living or belief.boot != me.boot):
+        elif newest and belief.live:
+            self.table.last_heard[name] = now
+        if state_key(me)[:2] < belief.key[:2] and (not belief.live or belief.boot != me.boot):
             self._correct(name)
         same = envelope.digest == self.table.digest
-        if self.exchanges.compare(name, same, now, self.table.changed_at) and belief.living:
+        if self.exchanges.compare(name, same, now, self.table.changed_at) and belief.live:
             self._exchange(name)
 
     # --- time ---
 
     def _timers(self) -> None:
         now = self.now
-        self.table.condemn(now)
+        self.table.expire_suspicions(now)
         for line in [number for number, state in self.exchanges.lines.items() if now >= state.until]:
             state = self.exchanges.lines[line]
             if state.mine and not state.probe:
                 self.exchanges.failed += 1
             self._hang_up(line)
         for probe in list(self.prober.probes.values()):
-            self._probe_timer(probe)
-        for number, relay in list(self.prober.relays.items()):
+            self._on_probe_timer(probe)
+        for number, relay in list(self.prober.indirect_probes.items()):
             self._relay_timer(number, relay)
         if now >= self._probe_at and not self._round_open():
             self._probe_next()
@@ -181,18 +189,18 @@
         if now >= self._trial_at:
             self._trial()
         self._hand_over()
-        if len(self.news) and now >= self._gossip_at:
+        if len(self.gossip_queue) and now >= self._gossip_at:
             self._gossip()
 
     def _gossip(self) -> None:
-        names = self.table.living_peers()
+        names = self.table.live_peers()
         for name in self.random.sample(names, min(self.settings.fanout, len(names))):
-            if len(self.news):
-                self._send(name, Tell())
-        self._gossip_at = self.now + self.settings.gossip if len(self.news) else NEVER
+            if len(self.gossip_queue):
+                self._send(name, Gossip())
+        self._gossip_at = self.now + self.settings.gossip if len(self.gossip_queue) else NEVER
 
     # --- for people ---
 
     def unsettled(self) -> list[str]:
         """Why the view is not settled; empty where it is."""
-        return reasons_against(self)
+        return unsettled_reasons(self)
--- a/quincepath/fleet/view/exchange.py
+++ b/quincepath/fleet/view/exchange.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Line:
+class ExchangeConnection:
     """One exchange that goes on; ``peer`` is empty while the caller has not said who it is."""
 
     peer: str
@@ -36,8 +36,8 @@
 
     def __init__(self, settings: ViewSettings, source: random.Random, now: int) -> None:
         self.settings, self.random = settings, source
-        self.lines: dict[int, Line] = {}
-        self.count = 0
+        self.lines: dict[int, ExchangeConnection] = {}
+        self.opened_count = 0
         self.next_at = now
         self.heal_at = now
         self.done = self.failed = self.turned_away = self.unasked = 0
@@ -49,25 +49,25 @@
 
     def call(self, peer: str, now: int) -> int:
         """The number of a line that this member opens."""
-        self.count += 1
-        self.lines[self.count] = Line(peer, now + self.settings.exchange_time, True)
-        return self.count
+        self.opened_count += 1
+        self.lines[self.opened_count] = ExchangeConnection(peer, now + self.settings.exchange_time, True)
+        return self.opened_count
 
     def ask(self, peer: str, probe: int, until: int) -> int:
         """The number of a line for one ping; 0 without room."""
         if sum(line.probe > 0 for line in self.lines.values()) >= PROBES_MOST:
             self.unasked += 1
             return 0
-        self.count += 1
-        self.lines[self.count] = Line(peer, until, True, probe)
-        return self.count
+        self.opened_count += 1
+        self.lines[self.opened_count] = ExchangeConnection(peer, until, True, probe)
+        return self.opened_count
 
     def take(self, number: int, now: int) -> bool:
         """Another member's call; whether there is room."""
         if sum(not line.mine for line in self.lines.values()) >= TAKEN_MOST:
             self.turned_away += 1
             return False
-        self.lines[number] = Line("", now + self.settings.exchange_time, False)
+        self.lines[number] = ExchangeConnection("", now + self.settings.exchange_time, False)
         return True
 
     def room(self, peer: str) -> bool:
@@ -75,7 +75,7 @@
         mine = [line for line in self.lines.values() if line.mine and not line.probe]
         return len(mine) < OWN_MOST and all(line.peer != peer for line in mine)
 
-    def plan(self, now: int, joining: bool) -> None:
+    def schedule_next(self, now: int, joining: bool) -> None:
         """Set the time of the next regular one."""
         wait = JOIN_EVERY if joining else self.settings.exchange
         self.next_at = now + int(wait * (0.5 + self.random.random()))
--- a/quincepath/fleet/view/facts.py
+++ b/quincepath/fleet/view/facts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from quincepath.fleet.messages import ACCUSERS_MOST, About
+from quincepath.fleet.messages import MAX_ACCUSERS, MemberState
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -21,7 +21,7 @@
     LEFT = 4
 
 
-LIVING = (Phase.JOINING, Phase.ALIVE, Phase.SUSPECT)  # what has not been given up
+LIVE_PHASES = (Phase.JOINING, Phase.ALIVE, Phase.SUSPECT)  # what has not been given up
 Key = tuple[int, int, int]  # incarnation, phase, boot
 
 
@@ -58,17 +58,17 @@
     told_first: bool = True
     shrinking: bool = True
 
-    def longest_suspicion(self, members: int) -> int:
+    def max_suspicion_timeout(self, members: int) -> int:
         """ns, for so many living members."""
         return max(int(self.ceiling_periods * self.period * math.log2(members + 1)), self.floor)
 
-    def sendings(self, members: int) -> int:
+    def max_transmits(self, members: int) -> int:
         """How often one piece of news is told by each member."""
         return 3 + math.ceil(math.log2(members + 1))
 
-    def suspicion_time(self, members: int, accusers: int) -> int:
+    def suspicion_timeout(self, members: int, accusers: int) -> int:
         """How long a suspicion stands until it counts as a death: shorter with each independent accuser."""
-        longest = self.longest_suspicion(members)
+        longest = self.max_suspicion_timeout(members)
         wanted = min(self.accusers, max(members - 2, 0))  # all but the first and the suspect itself
         if not self.shrinking:
             return longest
@@ -102,31 +102,31 @@
         return self.incarnation, int(self.phase), self.boot
 
     @property
-    def living(self) -> bool:
+    def live(self) -> bool:
         """Whether it is not given up."""
-        return self.phase in LIVING
+        return self.phase in LIVE_PHASES
 
-    def about(self, now: int) -> About:
+    def to_state(self, now: int) -> MemberState:
         """For telling."""
         aged = self.phase in (Phase.SUSPECT, Phase.DEAD, Phase.LEFT)
         age = max(now - self.since, 0) // MS if aged else 0
-        return About(
+        return MemberState(
             self.name, self.boot, self.incarnation, int(self.phase), age,
-            tuple(self.accusers[:ACCUSERS_MOST]), self.draining, self.zone, self.version, self.config,
+            tuple(self.accusers[:MAX_ACCUSERS]), self.draining, self.zone, self.version, self.config,
         )  # fmt: skip
 
-    def mark(self) -> int:
+    def digest_share(self) -> int:
         """Its share of the digest: who lives, and as what."""
         text = f"{self.name}\0{self.boot}\0{self.incarnation}"
         return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest()) >> 1
 
 
-def key_of(about: About) -> Key:
+def state_key(about: MemberState) -> Key:
     """The order of what is told."""
     return about.incarnation, about.phase, about.boot
 
 
-def belief_of(about: About, now: int, told_by: str) -> Belief:
+def belief_from_state(about: MemberState, now: int, told_by: str) -> Belief:
     """What is told, as believed from now on."""
     return Belief(
         about.name, about.boot, about.incarnation, Phase(about.phase), now - about.age * MS, told_by, now,
--- a/quincepath/fleet/view/news.py
+++ b/quincepath/fleet/view/gossip_queue.py
@@ -7,13 +7,13 @@
 import heapq
 from collections.abc import Callable, Iterable
 
-from quincepath.fleet.messages import PACKET, About, size
+from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, MemberState, encoded_size
 
 HEAD = 16  # bytes that the news of a message take beside themselves
 MOST = 32  # pieces looked at for one message
 
 
-class News:
+class GossipQueue:
     """Names that there is something to tell of, and how often each was told."""
 
     def __init__(self) -> None:
@@ -29,13 +29,17 @@
         self._told[name] = (0, -self._count)
 
     def choose(
-        self, room: int, most_sendings: int, about: Callable[[str], About | None], first: Iterable[About] = ()
-    ) -> list[About]:
+        self,
+        room: int,
+        most_sendings: int,
+        about: Callable[[str], MemberState | None],
+        first: Iterable[MemberState] = (),
+    ) -> list[MemberState]:
         """What to tell in ``room`` bytes; ``first`` goes before all else and is not counted as told."""
-        chosen: list[About] = []
-        room = min(room, PACKET) - HEAD
+        chosen: list[MemberState] = []
+        room = min(room, MAX_DATAGRAM_BYTES) - HEAD
         for one in first:
-            room -= size(one)
+            room -= encoded_size(one)
             if room >= 0:
                 chosen.append(one)
         names = {one.name for one in chosen}
@@ -46,13 +50,13 @@
             if found is None:
                 del self._told[name]
                 continue
-            room -= size(found)
+            room -= encoded_size(found)
             if room < 0:
                 break
             chosen.append(found)
-            sendings, order = self._told[name]
-            if sendings + 1 >= most_sendings:
+            max_transmits, order = self._told[name]
+            if max_transmits + 1 >= most_sendings:
                 del self._told[name]
             else:
-                self._told[name] = (sendings + 1, order)
+                self._told[name] = (max_transmits + 1, order)
         return chosen
--- a/quincepath/fleet/view/own.py
+++ b/quincepath/fleet/view/own_state.py
@@ -4,16 +4,16 @@
 from collections import Counter, deque
 from enum import Enum
 
-from quincepath.fleet.messages import About
+from quincepath.fleet.messages import MemberState
 from quincepath.fleet.view.facts import SECOND, Belief, Phase, ViewSettings
 
-REFUTES_MOST = 6  # raises within REFUTES_WINDOW: one that is doubted for ever makes bounded noise
-REFUTES_WINDOW = 10 * SECOND
-NEWS_LIVES = 5 * SECOND  # what was said of an earlier process has come round or died down in this time
-OVER_MOST = 4  # times that one process goes above another of its name, however soon after each other
+MAX_REFUTES = 6  # raises within REFUTES_WINDOW: one that is doubted for ever makes bounded noise
+REFUTE_WINDOW_NS = 10 * SECOND
+STALE_GOSSIP_NS = 5 * SECOND  # what was said of an earlier process has come round or died down in this time
+MAX_TAKEOVERS = 4  # times that one process goes above another of its name, however soon after each other
 
 
-class Answer(Enum):
+class RefuteResult(Enum):
     """What was done about a word on this member."""
 
     NONE = "nothing to say"
@@ -21,10 +21,10 @@
     TOOK_OVER = "went above an earlier process of this name"
     CLONE = "another process of this name is running"
     YIELDED = "another process of this name goes on, this one keeps silent"
-    HELD = "has refuted too often of late"
+    RATE_LIMITED = "has refuted too often of late"
 
 
-class Own:
+class OwnState:
     """This member's own belief about itself; nobody else raises its incarnation.
 
     A process that starts under a name that was used before goes above what is believed of the earlier one.
@@ -46,7 +46,7 @@
         self._over: Counter[int] = Counter()  # by boot, how often this one went above it
         self._over_at: dict[int, int] = {}  # and when it last did
         self._second: set[int] = set()  # boots that were there when this one joined
-        self._raised: deque[int] = deque(maxlen=REFUTES_MOST)
+        self._raised: deque[int] = deque(maxlen=MAX_REFUTES)
 
     def belief(self, now: int) -> Belief:
         """As it stands in the table."""
@@ -56,7 +56,7 @@
             self.draining, settings.zone, settings.version, settings.config,
         )  # fmt: skip
 
-    def enter(self, now: int) -> None:
+    def finish_joining(self, now: int) -> None:
         """Joining is over."""
         self.phase, self.since = Phase.ALIVE, now
 
@@ -73,49 +73,49 @@
         self.phase, self.since = Phase.LEFT, now
         self.incarnation += 1
 
-    def hear(self, about: About, now: int) -> Answer:
+    def apply_state(self, about: MemberState, now: int) -> RefuteResult:
         """What others believe of this member."""
         if about.boot != self.boot:
             return self._other_process(about, now)
         if about.incarnation < self.incarnation or self.phase is Phase.LEFT:
-            return Answer.NONE
+            return RefuteResult.NONE
         if about.incarnation == self.incarnation and about.phase <= self.phase:
-            return Answer.NONE
-        return self._raise(about.incarnation, now, Answer.REFUTED)
+            return RefuteResult.NONE
+        return self._raise(about.incarnation, now, RefuteResult.REFUTED)
 
-    def _other_process(self, about: About, now: int) -> Answer:
+    def _other_process(self, about: MemberState, now: int) -> RefuteResult:
         if self.phase is Phase.LEFT:
-            return Answer.NONE
+            return RefuteResult.NONE
         if self.yielded:
             if about.phase in (Phase.DEAD, Phase.LEFT) and about.incarnation >= self.incarnation:
                 self.yielded, self.clone = False, 0  # the other has gone
-                return self._raise(about.incarnation, now, Answer.TOOK_OVER)
-            return Answer.NONE
+                return self._raise(about.incarnation, now, RefuteResult.TOOK_OVER)
+            return RefuteResult.NONE
         if about.incarnation < self.incarnation:
-            return Answer.NONE
+            return RefuteResult.NONE
         if about.phase in (Phase.DEAD, Phase.LEFT):
-            return self._raise(about.incarnation, now, Answer.TOOK_OVER)
+            return self._raise(about.incarnation, now, RefuteResult.TOOK_OVER)
         times, boot = self._over[about.boot], about.boot
-        lasting = now > self._over_at.get(boot, self.since) + NEWS_LIVES
-        if times >= OVER_MOST or times > 1 and lasting and boot in self._second:
+        lasting = now > self._over_at.get(boot, self.since) + STALE_GOSSIP_NS
+        if times >= MAX_TAKEOVERS or times > 1 and lasting and boot in self._second:
             self.yielded, self.clone = True, boot
-            return Answer.YIELDED
-        answer = Answer.TOOK_OVER
+            return RefuteResult.YIELDED
+        answer = RefuteResult.TOOK_OVER
         if self.phase is Phase.JOINING:
             self._second.add(boot)
         elif lasting:
-            self.clone, answer = boot, Answer.CLONE
+            self.clone, answer = boot, RefuteResult.CLONE
         done = self._raise(about.incarnation, now, answer)
         if done is answer:
             self._over[boot] += 1
             self._over_at[boot] = now
         return done
 
-    def _raise(self, above: int, now: int, answer: Answer) -> Answer:
-        while self._raised and self._raised[0] <= now - REFUTES_WINDOW:
+    def _raise(self, above: int, now: int, answer: RefuteResult) -> RefuteResult:
+        while self._raised and self._raised[0] <= now - REFUTE_WINDOW_NS:
             self._raised.popleft()
-        if len(self._raised) >= REFUTES_MOST:
-            return Answer.HELD
+        if len(self._raised) >= MAX_REFUTES:
+            return RefuteResult.RATE_LIMITED
         self._raised.append(now)
         self.incarnation = above + 1
         return answer
--- a/quincepath/fleet/view/ports.py
+++ b/quincepath/fleet/view/ports.py
@@ -8,33 +8,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class DatagramReceived:
     """A datagram."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Called:
+class ConnectionAccepted:
     """Somebody opened a line to this member; the edge's number of it is below 0."""
 
-    line: int
+    connection: int
 
 
 @dataclass(slots=True, frozen=True)
-class Framed:
+class FrameReceived:
     """One message on a line."""
 
-    line: int
+    connection: int
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Lost:
+class ConnectionClosed:
     """A line has ended, or could not be had."""
 
-    line: int
-    why: str
+    connection: int
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,14 +49,14 @@
     """This member goes; nothing is sent after this step."""
 
 
-Input = Heard | Called | Framed | Lost | Drain | Leave
+Input = DatagramReceived | ConnectionAccepted | FrameReceived | ConnectionClosed | Drain | Leave
 
 
 # --- outputs ---
 
 
 @dataclass(slots=True, frozen=True)
-class Packet:
+class SendDatagram:
     """A datagram for a member."""
 
     to: str
@@ -64,35 +64,35 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
+class OpenConnection:
     """Open a line to a member; what is framed before it stands waits."""
 
-    line: int
+    connection: int
     to: str
 
 
 @dataclass(slots=True, frozen=True)
-class Frame:
+class SendFrame:
     """A message for a line."""
 
-    line: int
+    connection: int
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class HangUp:
+class CloseConnection:
     """Close a line when what was framed has gone out; ``at_once``: nobody waits for that any more."""
 
-    line: int
+    connection: int
     at_once: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class OperatorNotice:
     """Something for people, beside the changes: a clone, a yield."""
 
     kind: str
     text: str
 
 
-Output = Packet | Call | Frame | HangUp | Told | Change
+Output = SendDatagram | OpenConnection | SendFrame | CloseConnection | OperatorNotice | Change
--- a/quincepath/fleet/view/probing.py
+++ b/quincepath/fleet/view/probing.py
@@ -13,7 +13,7 @@
 RELAYS_MOST = 256  # probes on behalf of others, open at once; one more is not made, which its asker survives
 
 
-class Health:
+class LocalHealth:
     """0 is sound. Grows when this member's own timers run late, or nobody answers; shrinks with each answer.
 
     A member that is slow itself must not take the others for dead (Lifeguard).
@@ -54,16 +54,16 @@
     end_at: int
     of_round: bool
     helpers: list[str] = field(default_factory=list)
-    asked: bool = False
+    indirect_sent: bool = False
     nacks: int = 0
     void: bool = False
 
 
 @dataclass(slots=True)
-class Relay:
+class IndirectProbe:
     """A probe on behalf of ``asker``, known to it by ``number``."""
 
-    asker: str
+    requester: str
     number: int
     target: str
     nack_at: int
@@ -76,9 +76,9 @@
 
     def __init__(self, settings: ViewSettings, source: random.Random) -> None:
         self.settings, self.random = settings, source
-        self.health = Health(settings.local_health)
+        self.health = LocalHealth(settings.local_health)
         self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, Relay] = {}
+        self.indirect_probes: dict[int, IndirectProbe] = {}
         self.number = source.getrandbits(30)  # so that an answer to an earlier process fits nothing
         self.refused = 0  # relays not made for want of room
         self._round: list[str] = []
@@ -123,28 +123,30 @@
         """Whether a probe of this member is open."""
         return any(probe.target == name for probe in self.probes.values())
 
-    def relay(self, asker: str, number: int, target: str, now: int) -> int:
+    def relay(self, requester: str, number: int, target: str, now: int) -> int:
         """The number of a probe made for another; 0 without room."""
-        if len(self.relays) >= RELAYS_MOST:
+        if len(self.indirect_probes) >= RELAYS_MOST:
             self.refused += 1
             return 0
         self.number += 1
         nack_at = now + self.settings.ack_time
-        self.relays[self.number] = Relay(asker, number, target, nack_at, now + self.settings.period)
+        self.indirect_probes[self.number] = IndirectProbe(
+            requester, number, target, nack_at, now + self.settings.period
+        )
         return self.number
 
     def stood_still(self, by: int) -> None:
         """All that is open says nothing any more: answers may have come and lie unread."""
         for probe in self.probes.values():
             probe.void = True
-        self.relays.clear()
+        self.indirect_probes.clear()
         self.health.late(by // self.settings.period)
 
     def next_due(self) -> int:
         """When one of the open ones has a step to make."""
         due = [
-            min(probe.again_at, probe.end_at if probe.asked else probe.ask_at)
+            min(probe.again_at, probe.end_at if probe.indirect_sent else probe.ask_at)
             for probe in self.probes.values()
         ]
-        due += [relay.end_at if relay.nacked else relay.nack_at for relay in self.relays.values()]
+        due += [relay.end_at if relay.nacked else relay.nack_at for relay in self.indirect_probes.values()]
         return min(due, default=NEVER)
--- a/quincepath/fleet/view/settled.py
+++ b/quincepath/fleet/view/settled.py
@@ -1,14 +1,14 @@
 """Whether a view is settled, and what keeps it from being so."""
 
 from quincepath.fleet.view.facts import SECOND, Phase
-from quincepath.fleet.view.hearing import STRANGER_MEMORY
-from quincepath.fleet.view.watching import Watching
+from quincepath.fleet.view.failure_detector import FailureDetector
+from quincepath.fleet.view.updates import OTHER_PROCESS_MEMORY_NS
 
 SHOWN = 5  # names in one reason
 SILENCE = 4  # periods without a word from anybody
 
 
-def reasons_against(view: Watching) -> list[str]:
+def unsettled_reasons(view: FailureDetector) -> list[str]:
     """Why a view is not settled, for people; empty where it is."""
     now, reasons = view.now, []
     if view.own.phase is Phase.JOINING:
@@ -21,11 +21,11 @@
     if now < view.table.changed_at + view.settings.settle and view.table.history:
         last = view.table.history[-1]
         reasons.append(f"{last.name} became {last.now} less than {view.settings.settle / 1e9:g} s ago")
-    if view.table.living_peers() and now > view.heard_at + SILENCE * view.settings.period:
-        reasons.append(f"nobody heard for {(now - view.heard_at) / 1e9:.1f} s")
-    if now < view.late_at + view.settings.settle:
+    if view.table.live_peers() and now > view.last_heard_at + SILENCE * view.settings.period:
+        reasons.append(f"nobody heard for {(now - view.last_heard_at) / 1e9:.1f} s")
+    if now < view.last_stall_at + view.settings.settle:
         reasons.append("this member stood still or ran late")
-    clones = sorted(name for name, at in view.clones.items() if now < at + STRANGER_MEMORY)
+    clones = sorted(name for name, at in view.clones.items() if now < at + OTHER_PROCESS_MEMORY_NS)
     if clones:
         reasons.append(f"two processes run as {_names(clones)}")
     differing = sorted(
--- a/quincepath/lab/fleet/virtual.py
+++ b/quincepath/lab/fleet/virtual.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass, field
 
 from quincepath.fleet.view.core import (
-    Call,
-    Called,
+    CloseConnection,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DatagramReceived,
     Drain,
-    Frame,
-    Framed,
-    HangUp,
-    Heard,
+    FrameReceived,
     Input,
     Leave,
-    Lost,
-    Packet,
+    OpenConnection,
+    SendDatagram,
+    SendFrame,
     View,
 )  # fmt: skip
 from quincepath.fleet.view.facts import Change, Phase, ViewSettings
@@ -135,7 +135,7 @@
 
     def again(self, to: str, data: bytes) -> None:
         """A datagram of earlier arrives once more."""
-        self.deliver(to, Heard(data))
+        self.deliver(to, DatagramReceived(data))
 
     def of_load(self, entry: FaultEntry, holders: list[str]) -> None:
         """Nothing: views alone are played here, and no view hears of load or holders."""
@@ -168,15 +168,15 @@
         for name in self.script.names:
             self._begin(name)
         for member in self.members.values():
-            member.view.own.enter(0)
+            member.view.own.finish_joining(0)
         for member in self.members.values():
             table = member.view.table
             for other in self.members.values():
-                table.place(other.view.own.belief(0), "known")
-            for kept in (table.adopted, table.changes, table.history):
+                table.put(other.view.own.belief(0), "known")
+            for kept in (table.updated, table.changes, table.history):
                 kept.clear()
             table.changed_at = -SECOND * SECOND
-            member.view.exchanges.plan(self.random.randrange(member.view.settings.exchange), False)
+            member.view.exchanges.schedule_next(self.random.randrange(member.view.settings.exchange), False)
             self._step(member, [])
 
     def _wake(self, member: Member) -> None:
@@ -195,13 +195,13 @@
     def _step(self, member: Member, inputs: list[Input]) -> None:
         for out in member.view.step(self.now, inputs):
             match out:
-                case Packet(to, data):
+                case SendDatagram(to, data):
                     self._send(member, to, data)
-                case Call(line, to):
+                case OpenConnection(line, to):
                     self._call(member, line, to)
-                case Frame(line, data):
+                case SendFrame(line, data):
                     self._frame(member, line, data)
-                case HangUp(line):
+                case CloseConnection(line):
                     self._hang_up(member, line)
                 case Change(name=of, now=phase):
                     if member.place == member.name:
@@ -226,7 +226,7 @@
         self.verdict.messages += 1
         self.verdict.bytes += len(data) + 28  # with the headers of UDP and IPv4
         for wait in self.ways.fates(member.name, to, data):
-            self.at(self.now + wait, lambda: self.deliver(to, Heard(data)))
+            self.at(self.now + wait, lambda: self.deliver(to, DatagramReceived(data)))
 
     def _call(self, member: Member, line: int, to: str) -> None:
         there = self.members.get(to)
@@ -249,11 +249,11 @@
         number = self._numbers
         wire = Wire({member.place: line, there.place: number}, self.now + wait, self.now + wait)
         member.lines[line] = there.lines[number] = wire
-        self.at(wire.free_at, lambda: self.deliver(to, Called(number)))
+        self.at(wire.free_at, lambda: self.deliver(to, ConnectionAccepted(number)))
 
     def _lost(self, member: Member, line: int, why: str) -> None:
         if not member.gone:
-            self.deliver(member.place, Lost(line, why))
+            self.deliver(member.place, ConnectionClosed(line, why))
 
     def _other(self, wire: Wire, member: Member) -> tuple[Member | None, int]:
         for place, number in wire.ends.items():
@@ -276,7 +276,7 @@
         def arrives() -> None:
             # Cut while it was sent again: it does not come, and what comes after it neither.
             if not self.ways.is_cut(member.name, name):
-                self.deliver(place, Framed(number, data))
+                self.deliver(place, FrameReceived(number, data))
 
         self.at(wire.free_at, arrives)
 
@@ -290,7 +290,8 @@
             there.lines.pop(number, None)
             place = there.place
             self.at(
-                max(wire.free_at, self.now) + 1, lambda: self.deliver(place, Lost(number, "end of stream"))
+                max(wire.free_at, self.now) + 1,
+                lambda: self.deliver(place, ConnectionClosed(number, "end of stream")),
             )
 
     # --- faults ---
@@ -337,7 +338,7 @@
         if not views or len({view.table.digest for view in views}) > 1:
             return False
         first = views[0].table
-        living = {belief.name for belief in first.all() if belief.living}
+        living = {belief.name for belief in first.all() if belief.live}
         return (
             living == self.truth()
             and not any(view.table.suspects for view in views)
@@ -348,7 +349,7 @@
         """What keeps views from being equal and true, for people."""
         truth = self.truth()
         for place, member in sorted(self.members.items()):
-            living = {belief.name for belief in member.view.table.all() if belief.living}
+            living = {belief.name for belief in member.view.table.all() if belief.live}
             if living != truth or member.view.table.suspects:
                 missing, extra = sorted(truth - living), sorted(living - truth)
                 suspects = sorted(member.view.table.suspects)
--- a/tests/fleet/adoption/test_wiring.py
+++ b/tests/fleet/adoption/test_wiring.py
@@ -214,7 +214,7 @@
 
 def test_a_file_is_proposed_as_the_brokers_read_it(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     told: list[Any] = []
-    monkeypatch.setattr(commands, "tell", lambda *given: told.append(given))
+    monkeypatch.setattr(commands, "send_command", lambda *given: told.append(given))
     path = tmp_path / "map.yaml"
     path.write_text("shards:\n  label: district\n  map:\n  - {name: s1, values: [a], set: g1}\n")
     result = CliRunner().invoke(
@@ -234,7 +234,7 @@
     fleet.do(ProposeMap, moved(2))
     fleet.do(AdoptMap)
     fleet.tick()
-    monkeypatch.setattr(commands, "ask", lambda at, path: json.loads(json.dumps(fleet.status())))
+    monkeypatch.setattr(commands, "fetch_page", lambda at, path: json.loads(json.dumps(fleet.status())))
     result = CliRunner().invoke(main, ["fleet", "topology", "status", "--at", "x"])
     assert result.exit_code == 3, result.output
     assert "version 1 in use, version 2 proposed by ann; step: staging" in result.output
--- a/tests/fleet/configuration/test_relay.py
+++ b/tests/fleet/configuration/test_relay.py
@@ -28,7 +28,7 @@
 from quincepath.fleet.configuration.ports import Close, Committed, Loaded, Lost, Received, Report, Resume
 from quincepath.fleet.configuration.slots import SLOTS
 from quincepath.fleet.configuration.snapshots import Assembly, read_image
-from quincepath.fleet.messages import COUNTER_MOST, Rejected
+from quincepath.fleet.messages import MAX_COUNTER, Rejected
 from tests.fleet.configuration.ends import FLEET, RelayEnd, events
 from tests.fleet.configuration.made import tenant, weights
 
@@ -132,7 +132,7 @@
 
 def test_a_relay_without_voters_looks_as_if_it_had_them() -> None:
     end = RelayEnd()
-    assert end.hear("b1", Subscribe(0, 0))[0][1] == Heartbeat(0, COUNTER_MOST)
+    assert end.hear("b1", Subscribe(0, 0))[0][1] == Heartbeat(0, MAX_COUNTER)
     end.step(Committed(0, (), age=50_000_000))
     assert end.relay.age_ms == 50
     ages = [body.age for _, body in end.wait(4000) if isinstance(body, Heartbeat)]
--- a/tests/fleet/ledger/test_kept.py
+++ b/tests/fleet/ledger/test_kept.py
@@ -18,7 +18,7 @@
 from quincepath.fleet.ledger.fields import CELLS_AT, FIELDS, SLOT, flatten, read_runs, runs_of
 from quincepath.fleet.ledger.messages import ROOM, Report, Sum, Telling, Use, cut, encode, fit, pack, unpack
 from quincepath.fleet.ledger.tally import TENANTS_KEPT
-from quincepath.fleet.messages import PACKET, Rejected
+from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, Rejected
 
 LONG = LedgerSettings(window=1000 * SECOND, forget=1000 * SECOND)
 # (boot, number, ms that it has counted, queries taken); the second boot began at 2.0 s, after the first ended
@@ -192,7 +192,7 @@
         assert 1 <= len(reports) <= 2
         for report in reports:
             data = pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(report))
-            assert len(data) <= PACKET
+            assert len(data) <= MAX_DATAGRAM_BYTES
             assert unpack(data, "f" * 32, "t" * 32)[1] == report
             heard.update(read_runs(report.runs))
             named |= {use.name for use in report.uses}
@@ -211,7 +211,7 @@
         uses = fit((Use("t" * 64, 1 << 40, 1 << 20) for _ in range(32)), ROOM // 2) if not low else None
         most = 1 << 20
         body = Sum(True, 4, 1024, 1024, 1 << 40, most, most, most, most, low, high, runs, uses)
-        assert len(pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(body))) <= PACKET
+        assert len(pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(body))) <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize(
@@ -219,7 +219,7 @@
     [
         (b"", "unreadable"),
         (b"\xc1Lnonsense", "unreadable"),
-        (b"\xc1L" + bytes(PACKET), "too large"),
+        (b"\xc1L" + bytes(MAX_DATAGRAM_BYTES), "too large"),
         (pack("other", "a", 1, "me", encode(Report(1, 0, 0, 0, ()))), "wrong fleet"),
         (pack("f", "a", 1, "you", encode(Report(1, 0, 0, 0, ()))), "wrong name"),
         (pack("f", "me", 1, "me", encode(Report(1, 0, 0, 0, ()))), "wrong name"),
--- a/tests/test_fleet_edge.py
+++ b/tests/test_fleet_edge.py
@@ -6,8 +6,8 @@
 import pytest
 
 from quincepath.fleet.edge import HEAD, WAITING_MOST, Edge
-from quincepath.fleet.messages import FRAME, Compare, pack
-from quincepath.fleet.view.core import HangUp, View
+from quincepath.fleet.messages import MAX_FRAME_BYTES, ExchangeRequest, pack
+from quincepath.fleet.view.core import CloseConnection, View
 from quincepath.fleet.view.facts import Phase, ViewSettings
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Stream
@@ -60,7 +60,7 @@
         sock.sendto(b"nonsense", pair.places["b0"])
         pair.until(lambda: one.view.dropped["unreadable"] == 1)
     for first, cause in (
-        ((FRAME + 1).to_bytes(HEAD), "too large"),
+        ((MAX_FRAME_BYTES + 1).to_bytes(HEAD), "too large"),
         ((3).to_bytes(HEAD) + b"abc", "unreadable"),
     ):
         before = one.view.dropped[cause]
@@ -81,8 +81,8 @@
 def test_a_message_that_comes_byte_by_byte_is_one_message(pair: Pair) -> None:
     pair.start("b0")
     view = View(ViewSettings("lab", "b1", ("b0",)), 9, 1, pair.loop.clock())
-    me = view.own.belief(0).about(0)
-    data = pack("lab", "b0", me, 1, 1, Compare())
+    me = view.own.belief(0).to_state(0)
+    data = pack("lab", "b0", me, 1, 1, ExchangeRequest())
     with socket.create_connection(pair.places["b0"]) as sock:
         for byte in len(data).to_bytes(HEAD) + data:
             sock.sendall(bytes([byte]))
@@ -114,7 +114,7 @@
             break
     assert b"now" in pair.agreed and len(pair.agreed) <= WAITING_MOST + 201
     one.tell("nobody", b"x")
-    one.tell("b1", b"x" * (FRAME + 1))
+    one.tell("b1", b"x" * (MAX_FRAME_BYTES + 1))
     one.tell("b1", b"last")
     pair.until(lambda: pair.agreed[-1] == b"last")
 
@@ -144,9 +144,9 @@
     one, two = pair.start("b0"), pair.start("b1")
     pair.until(lambda: one.view.own.phase is two.view.own.phase is Phase.ALIVE)
     two._datagram = lambda to, data, what="": None  # type: ignore[method-assign]
-    asked = one.view.exchanges.count
+    asked = one.view.exchanges.opened_count
     pair.until(
-        lambda: one.view.exchanges.count >= asked + 5
+        lambda: one.view.exchanges.opened_count >= asked + 5
     )  # four probes that no datagram answered, at least
     assert [change.now for change in one.view.table.history if change.name == "b1"][-1] == "alive"
     two.close()
@@ -159,7 +159,7 @@
     one, two = pair.start("b0"), pair.start("b1")
     pair.until(lambda: one.view.own.phase is two.view.own.phase is Phase.ALIVE)
     for edge in (one, two):
-        edge.view._ask_on_a_line = lambda probe: None  # type: ignore[method-assign]
+        edge.view._ping_by_connection = lambda probe: None  # type: ignore[method-assign]
     two._datagram = lambda to, data, what="": None  # type: ignore[method-assign]
     pair.until(lambda: one.view.table.beliefs["b1"].phase is Phase.SUSPECT)
 
@@ -168,7 +168,7 @@
     one = pair.start("b0")
     one._call(7, "b1")  # nobody is there
     one._frame(7, b"a ping")
-    one._carry_out(HangUp(7, True))
+    one._carry_out(CloseConnection(7, True))
     assert 7 not in one._lines
 
 
--- a/tests/test_fleet_settled.py
+++ b/tests/test_fleet_settled.py
@@ -6,13 +6,23 @@
 import pytest
 
 from benchmarks.fleet_settled import BEFORE, one_calm, one_kill
-from quincepath.fleet.messages import Ack, Ask, Compare, Envelope, Nack, Ping, body_of, pack
-from quincepath.fleet.view.comparing import Comparing
-from quincepath.fleet.view.core import Call, Called, Frame, Framed, HangUp, Heard, Lost, Output, View
+from quincepath.fleet.messages import Ack, Envelope, ExchangeRequest, Nack, Ping, PingReq, body_of, pack
+from quincepath.fleet.view.anti_entropy import AntiEntropy
+from quincepath.fleet.view.core import (
+    CloseConnection,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DatagramReceived,
+    FrameReceived,
+    OpenConnection,
+    Output,
+    SendFrame,
+    View,
+)
 from quincepath.fleet.view.exchange import PROBES_MOST, Exchanges
 from quincepath.fleet.view.facts import MS, SECOND, Phase, ViewSettings
+from quincepath.fleet.view.failure_detector import FailureDetector
 from quincepath.fleet.view.probing import NEVER, Probe, Prober
-from quincepath.fleet.view.watching import Watching
 from quincepath.lab.fleet.links import FIRST_RESEND, RESEND, RESENDS_MOST, Ways
 from quincepath.lab.fleet.script import Links
 from quincepath.lab.fleet.virtual import Virtual
@@ -55,7 +65,7 @@
         return probe
 
     monkeypatch.setattr(Prober, "begin", once)
-    monkeypatch.setattr(Watching, "_ask_on_a_line", lambda self, probe: None)
+    monkeypatch.setattr(FailureDetector, "_ping_by_connection", lambda self, probe: None)
     with pytest.raises(AssertionError):
         nine_are_settled()
 
@@ -72,10 +82,10 @@
 def frames(out: list[Output], kind: type) -> list[tuple[int, Any]]:
     found = []
     for one in out:
-        if isinstance(one, Frame):
+        if isinstance(one, SendFrame):
             body = body_of(msgspec.msgpack.decode(one.data, type=Envelope))
             if isinstance(body, kind):
-                found.append((one.line, body))
+                found.append((one.connection, body))
     return found
 
 
@@ -111,10 +121,10 @@
     one.meet_all()
     target, number = probed(one)
     out = one.run(one.settings.ack_time)
-    line = next(call.line for call in out if isinstance(call, Call) and call.to == target)
-    assert len(sent(out, Ask)) == 2 and frames(out, Ping) == [(line, Ping(number))]
+    line = next(call.connection for call in out if isinstance(call, OpenConnection) and call.to == target)
+    assert len(sent(out, PingReq)) == 2 and frames(out, Ping) == [(line, Ping(number))]
     ack = pack("lab", "b0", one.about(target), 0, 900, Ack(number))
-    assert HangUp(line, True) in one.feed(Framed(line, ack))
+    assert CloseConnection(line, True) in one.feed(FrameReceived(line, ack))
     assert number not in one.view.prober.probes
     for _ in range(50):  # the others answer
         one.answer(one.run(10 * MS), target)
@@ -126,9 +136,9 @@
     one.meet_all()
     target, number = probed(one)
     out = one.run(one.settings.ack_time)
-    line = next(call.line for call in out if isinstance(call, Call) and call.to == target)
+    line = next(call.connection for call in out if isinstance(call, OpenConnection) and call.to == target)
     for name, wrong in ((target, number + 1), ("b1" if target != "b1" else "b2", number)):
-        one.feed(Framed(line, pack("lab", "b0", one.about(name), 0, 900, Ack(wrong))))
+        one.feed(FrameReceived(line, pack("lab", "b0", one.about(name), 0, 900, Ack(wrong))))
         assert number in one.view.prober.probes
 
 
@@ -136,9 +146,13 @@
     one = One()
     one.meet_all()
     target, number = probed(one)
-    calls = [call for call in one.run(one.settings.ack_time) if isinstance(call, Call) and call.to == target]
+    calls = [
+        call
+        for call in one.run(one.settings.ack_time)
+        if isinstance(call, OpenConnection) and call.to == target
+    ]
     failed = one.view.exchanges.failed
-    one.feed(Lost(calls[-1].line, "refused"))
+    one.feed(ConnectionClosed(calls[-1].connection, "refused"))
     assert one.view.exchanges.failed == failed and one.phase(target) is Phase.ALIVE
     one.says(target, Ack(number))  # a late answer to one of its pings
     one.run(one.settings.period)
@@ -156,16 +170,16 @@
     one = One()
     one.meet_all()
     ping = pack("lab", "b0", one.about("b1"), 0, 900, Ping(44))
-    one.feed(Called(-1))
-    out = one.feed(Framed(-1, ping))
-    assert frames(out, Ack) == [(-1, Ack(44))] and HangUp(-1) in out
+    one.feed(ConnectionAccepted(-1))
+    out = one.feed(FrameReceived(-1, ping))
+    assert frames(out, Ack) == [(-1, Ack(44))] and CloseConnection(-1) in out
 
     class Older(View):
-        _on_line = Comparing._on_line  # as it was before it knew of pings on lines
+        _on_frame = AntiEntropy._on_frame  # as it was before it knew of pings on lines
 
     older = Older(ViewSettings("lab", "b0", ("b1", "b2")), 5, 5, one.now)
-    out = older.step(one.now, [Called(-1), Framed(-1, ping)])
-    assert HangUp(-1) in out and frames(out, Ack) == [] and not older.dropped
+    out = older.step(one.now, [ConnectionAccepted(-1), FrameReceived(-1, ping)])
+    assert CloseConnection(-1) in out and frames(out, Ack) == [] and not older.dropped
     assert older.table.beliefs["b1"].phase is Phase.ALIVE
 
 
@@ -179,7 +193,7 @@
     for name in ("b1", "b2"):
         one.counts += 1
         data = pack("lab", "b0", one.about(name), digest, 1000 + one.counts, Nack(1))
-        one.feed(Heard(data))
+        one.feed(DatagramReceived(data))
     assert set(one.view.exchanges.differs) == {"b3"}
     one.says("b3", None, me=one.about("b3", Phase.LEFT, 9))
     one.run(2 * SECOND)
@@ -205,11 +219,13 @@
     world.run(SECOND)
     one = world.members["b0"]
     world._call(one, 900, "b1")
-    world._frame(one, 900, pack("lab", "b1", one.view.own.belief(0).about(0), 0, 1 << 30, Compare()))
-    heard = world.members["b1"].view.table.heard["b0"]
+    world._frame(
+        one, 900, pack("lab", "b1", one.view.own.belief(0).to_state(0), 0, 1 << 30, ExchangeRequest())
+    )
+    heard = world.members["b1"].view.table.last_heard["b0"]
     world.ways.way("b0", "b1").cut += 1
     world.run(3 * SECOND // 2)
-    assert world.members["b1"].view.table.heard["b0"] == heard
+    assert world.members["b1"].view.table.last_heard["b0"] == heard
     world.end("b1", False)
     world.ways.way("b0", "b1").cut -= 1
     seen: list[Any] = []
@@ -217,4 +233,4 @@
     world.deliver = lambda place, item: (seen.append(item), deliver(place, item))[1]  # type: ignore
     world._call(one, 901, "b1")
     world.run(2 * SECOND)
-    assert Lost(901, "refused") in seen
+    assert ConnectionClosed(901, "refused") in seen
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -16,21 +16,32 @@
 
 from quincepath.config.load import ConfigError, load, parse
 from quincepath.fleet import messages
-from quincepath.fleet.messages import FRAME, PACKET, About, Ack, Envelope, Full, Ping, Tell, pack, unpack
-from quincepath.fleet.view import own, table
+from quincepath.fleet.messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    Ack,
+    Envelope,
+    FullState,
+    Gossip,
+    MemberState,
+    Ping,
+    pack,
+    unpack,
+)
+from quincepath.fleet.view import own_state, table
 from quincepath.fleet.view.core import (
-    Call,
-    Called,
+    CloseConnection,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DatagramReceived,
     Drain,
-    Frame,
-    Framed,
-    HangUp,
-    Heard,
+    FrameReceived,
     Input,
     Leave,
-    Lost,
+    OpenConnection,
     Output,
-    Packet,
+    SendDatagram,
+    SendFrame,
     View,
 )  # fmt: skip
 from quincepath.fleet.view.facts import MS, SECOND, Belief, Change, Phase, ViewSettings
@@ -96,7 +107,7 @@
     world = Virtual(script)
     world.run(9 * SECOND)
     lonely = world.members["b2"].view
-    assert [belief.name for belief in lonely.table.all() if not belief.living] == []
+    assert [belief.name for belief in lonely.table.all() if not belief.live] == []
     assert any(reason.startswith("nobody heard") for reason in lonely.unsettled())
     assert world.run().findings == []
 
@@ -148,15 +159,17 @@
         self.now = end
         return out
 
-    def about(self, name: str, phase: Phase = Phase.ALIVE, incarnation: int = 1, **more: Any) -> About:
-        return About(name, more.pop("boot", 7), incarnation, int(phase), **more)
+    def about(self, name: str, phase: Phase = Phase.ALIVE, incarnation: int = 1, **more: Any) -> MemberState:
+        return MemberState(name, more.pop("boot", 7), incarnation, int(phase), **more)
 
-    def says(self, name: str, body: Any = None, *news: About, me: About | None = None) -> list[Output]:
+    def says(
+        self, name: str, body: Any = None, *news: MemberState, me: MemberState | None = None
+    ) -> list[Output]:
         """A datagram of another member arrives."""
         self.counts += 1
         me = me or self.about(name)
-        data = pack("lab", "b0", me, 0, self.counts, Tell() if body is None else body, news)
-        return self.feed(Heard(data))
+        data = pack("lab", "b0", me, 0, self.counts, Gossip() if body is None else body, news)
+        return self.feed(DatagramReceived(data))
 
     def meet_all(self) -> None:
         for name in self.settings.peers:
@@ -167,7 +180,7 @@
         for name, ping in sent(out, Ping):
             if name != silent and ping.number:
                 self.says(name, Ack(ping.number))
-        for name, ask in sent(out, messages.Ask):
+        for name, ask in sent(out, messages.PingReq):
             if name != silent:
                 self.says(name, messages.Nack(ask.number) if ask.target == silent else Ack(ask.number))
 
@@ -180,7 +193,7 @@
     """Datagrams of a kind, with their receivers."""
     found = []
     for one in out:
-        if isinstance(one, Packet):
+        if isinstance(one, SendDatagram):
             envelope = msgspec.msgpack.decode(one.data, type=Envelope)
             body = messages.body_of(envelope)
             if isinstance(body, kind):
@@ -188,10 +201,10 @@
     return found
 
 
-def told_about(out: list[Output], name: str) -> list[tuple[str, About]]:
+def told_about(out: list[Output], name: str) -> list[tuple[str, MemberState]]:
     found = []
     for one in out:
-        if isinstance(one, Packet):
+        if isinstance(one, SendDatagram):
             envelope = msgspec.msgpack.decode(one.data, type=Envelope)
             found += [(one.to, about) for about in envelope.news if about.name == name]
     return found
@@ -228,7 +241,7 @@
     one = One()
     one.meet_all()
     one.says("b1", None, one.about("b2", Phase.SUSPECT, accusers=("b1", "b3")))
-    ends = one.view.table.suspicion_ends(one.view.table.beliefs["b2"])
+    ends = one.view.table.suspicion_deadline(one.view.table.beliefs["b2"])
     one.now = ends + 3 * SECOND
     one.says("b2", None, me=one.about("b2", incarnation=2))  # the refutation lay unread
     assert one.phase("b2") is Phase.ALIVE
@@ -239,7 +252,7 @@
     one.meet_all()
     for phase in (Phase.SUSPECT, Phase.DEAD, Phase.LEFT):
         before = one.view.own.incarnation
-        one.says("b1", None, About("b0", 77, before + 4, int(phase)))
+        one.says("b1", None, MemberState("b0", 77, before + 4, int(phase)))
         assert one.view.own.incarnation == before + 5
 
 
@@ -247,22 +260,22 @@
     one = One()
     one.meet_all()
     for _ in range(100):
-        one.says("b1", None, About("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
-    assert one.view.own.incarnation == 1 + own.REFUTES_MOST
-    one.run(own.REFUTES_WINDOW)
-    one.says("b1", None, About("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
-    assert one.view.own.incarnation == 2 + own.REFUTES_MOST
+        one.says("b1", None, MemberState("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
+    assert one.view.own.incarnation == 1 + own_state.MAX_REFUTES
+    one.run(own_state.REFUTE_WINDOW_NS)
+    one.says("b1", None, MemberState("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
+    assert one.view.own.incarnation == 2 + own_state.MAX_REFUTES
 
 
 def test_a_replayed_message_is_no_sign_of_life() -> None:
     one = One()
     one.meet_all()
-    data = pack("lab", "b0", one.about("b2"), 0, 3, Tell())
-    one.feed(Heard(data))
-    first = one.view.table.heard["b2"]
+    data = pack("lab", "b0", one.about("b2"), 0, 3, Gossip())
+    one.feed(DatagramReceived(data))
+    first = one.view.table.last_heard["b2"]
     one.now += 3600 * SECOND
-    one.feed(Heard(data))
-    assert one.view.table.heard["b2"] == first
+    one.feed(DatagramReceived(data))
+    assert one.view.table.last_heard["b2"] == first
 
 
 def test_a_message_of_the_time_before_its_death_does_not_bring_a_member_back() -> None:
@@ -308,39 +321,43 @@
 def test_a_probe_is_made_for_another_and_its_outcome_told() -> None:
     one = One()
     one.meet_all()
-    number = sent(one.says("b1", messages.Ask(9, "b2")), Ping)[0][1].number
+    number = sent(one.says("b1", messages.PingReq(9, "b2")), Ping)[0][1].number
     assert sent(one.run(200 * MS), messages.Nack) == [("b1", messages.Nack(9))]
     assert ("b1", Ack(9)) in sent(one.says("b2", Ack(number)), Ack)
-    for asked in range(messages.ACCUSERS_MOST * 100):
-        one.says("b1", messages.Ask(100 + asked, "b2"))
+    for asked in range(messages.MAX_ACCUSERS * 100):
+        one.says("b1", messages.PingReq(100 + asked, "b2"))
     assert one.view.prober.refused > 0  # a bound, and no fall
 
 
 def test_an_exchange_that_makes_no_progress_is_given_up() -> None:
     one = One()
-    line = next(out.line for out in one.feed() if isinstance(out, Call))
+    line = next(out.connection for out in one.feed() if isinstance(out, OpenConnection))
     out = one.run(one.settings.exchange_time + SECOND)
-    assert HangUp(line) in out and one.view.exchanges.failed > 0
-    one.feed(Called(-1))
-    assert HangUp(-1) in one.run(one.settings.exchange_time + SECOND)
-    one.feed(*(Called(-2 - n) for n in range(64)))
-    assert one.feed(Called(-100)) == [HangUp(-100)]
-    one.feed(Lost(-2, "reset"))
-    assert one.feed(Called(-101)) == []
+    assert CloseConnection(line) in out and one.view.exchanges.failed > 0
+    one.feed(ConnectionAccepted(-1))
+    assert CloseConnection(-1) in one.run(one.settings.exchange_time + SECOND)
+    one.feed(*(ConnectionAccepted(-2 - n) for n in range(64)))
+    assert one.feed(ConnectionAccepted(-100)) == [CloseConnection(-100)]
+    one.feed(ConnectionClosed(-2, "reset"))
+    assert one.feed(ConnectionAccepted(-101)) == []
 
 
 def test_a_whole_view_comes_by_one_exchange() -> None:
     one, two = One(), View(ViewSettings("lab", "b1", ("b0", "b2", "b3")), 9, 1, 100 * SECOND)
-    call = next(out for out in one.feed() if isinstance(out, Call))
+    call = next(out for out in one.feed() if isinstance(out, OpenConnection))
     one.says("b2")
     one.says("b3", None, one.about("b1", Phase.DEAD, 4))
-    asked = pack("lab", "b1", one.about("b0", boot=77), 5, 1, messages.Compare())
-    answer = [out for out in two.step(one.now, [Called(-1), Framed(-1, asked)]) if isinstance(out, Frame)]
-    full = next(out for out in answer if out.line == -1)
-    back = one.feed(Framed(call.line, full.data))
-    mine = next(out for out in back if isinstance(out, Frame))
-    assert HangUp(call.line) in back and one.view.own.phase is Phase.ALIVE
-    two.step(one.now, [Framed(-1, mine.data)])
+    asked = pack("lab", "b1", one.about("b0", boot=77), 5, 1, messages.ExchangeRequest())
+    answer = [
+        out
+        for out in two.step(one.now, [ConnectionAccepted(-1), FrameReceived(-1, asked)])
+        if isinstance(out, SendFrame)
+    ]
+    full = next(out for out in answer if out.connection == -1)
+    back = one.feed(FrameReceived(call.connection, full.data))
+    mine = next(out for out in back if isinstance(out, SendFrame))
+    assert CloseConnection(call.connection) in back and one.view.own.phase is Phase.ALIVE
+    two.step(one.now, [FrameReceived(-1, mine.data)])
     assert {belief.name for belief in two.table.all()} == {"b0", "b1", "b2", "b3"}
     assert two.own.incarnation == 5  # above what was said of its death
 
@@ -356,7 +373,7 @@
         "wrong fleet": pack("other", "b0", me, 0, 50, ping),
         "wrong name": pack("lab", "b9", me, 0, 50, ping),
         "unknown member": pack("lab", "b0", one.about("stranger"), 0, 50, ping),
-        "too large": b"x" * (PACKET + 1),
+        "too large": b"x" * (MAX_DATAGRAM_BYTES + 1),
         "unreadable": b"\x93\x01\x02",
         "unknown kind": messages._encoder.encode(
             Envelope(1, 1, "lab", "b1", "b0", me, 0, 51, msgspec.Raw(msgspec.msgpack.encode([99, 1])))
@@ -370,13 +387,13 @@
     }
     assert set(cases) == set(messages.CAUSES)
     for cause, data in cases.items():
-        assert sent(one.feed(Heard(data)), Ack) == [], cause
+        assert sent(one.feed(DatagramReceived(data)), Ack) == [], cause
         assert one.view.dropped[cause] == 1, cause
     one.says("b1", None, one.about("stranger"))
     assert one.view.dropped["unknown member"] == 2 and one.phase("stranger") is None
 
 
-class NewerAbout(About, array_like=True, frozen=True):
+class NewerAbout(MemberState, array_like=True, frozen=True):
     """As a later program may write it: one more field at the end."""
 
     load: int = 0
@@ -387,9 +404,9 @@
     me = NewerAbout("b1", 7, 1, int(Phase.ALIVE), load=9)
     raw = msgspec.Raw(msgspec.msgpack.encode([1, 5, "more"]))
     newer = [2, 1, "lab", "b1", "b0", me, 0, 1, raw, [], "yet more"]
-    assert sent(one.feed(Heard(msgspec.msgpack.encode(newer))), Ack) == [("b1", Ack(5))]
+    assert sent(one.feed(DatagramReceived(msgspec.msgpack.encode(newer))), Ack) == [("b1", Ack(5))]
     older = [1, 1, "lab", "b2", "b0", ["b2", 7, 1, 1], 0, 1, [1, 6]]  # no news, and nothing of its zone
-    assert sent(one.feed(Heard(msgspec.msgpack.encode(older))), Ack) == [("b2", Ack(6))]
+    assert sent(one.feed(DatagramReceived(msgspec.msgpack.encode(older))), Ack) == [("b2", Ack(6))]
     assert one.phase("b1") is one.phase("b2") is Phase.ALIVE
 
 
@@ -398,22 +415,25 @@
     for number in range(1, 601):
         name = f"b{number}"
         one.says(name, me=one.about(name, zone="a" * 40, version="v" * 40, config="c" * 40))
-    sizes = [len(out.data) for out in one.run(5 * SECOND) if isinstance(out, Packet)]
-    assert sizes and max(sizes) <= PACKET
-    names = tuple(f"b{n:031d}" for n in range(messages.MEMBERS_MOST))  # the longest that there may be
+    sizes = [len(out.data) for out in one.run(5 * SECOND) if isinstance(out, SendDatagram)]
+    assert sizes and max(sizes) <= MAX_DATAGRAM_BYTES
+    names = tuple(f"b{n:031d}" for n in range(messages.MAX_MEMBERS))  # the longest that there may be
     every = (1 << 62, 1 << 40, 2, 1 << 40, names[:4], True, "z" * 40, "v" * 40, "c" * 40)
-    whole = Full(tuple(About(name, *every) for name in names))
+    whole = FullState(tuple(MemberState(name, *every) for name in names))
     longest = pack("f" * 32, names[1], whole.beliefs[0], 1 << 62, 1 << 40, whole)
-    assert len(longest) <= FRAME
-    assert unpack(longest, "f" * 32, names[1], FRAME).sender == names[0]
-    assert unpack(pack("lab", "b0", one.about("b1"), 0, 1, Tell()), "lab", "b0", PACKET).sender == "b1"
+    assert len(longest) <= MAX_FRAME_BYTES
+    assert unpack(longest, "f" * 32, names[1], MAX_FRAME_BYTES).sender == names[0]
+    assert (
+        unpack(pack("lab", "b0", one.about("b1"), 0, 1, Gossip()), "lab", "b0", MAX_DATAGRAM_BYTES).sender
+        == "b1"
+    )
 
 
 @given(st.binary(max_size=200))
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_make_a_member_fall(data: bytes) -> None:
     one = One()
-    one.feed(Heard(data), Called(-1), Framed(-1, data))
+    one.feed(DatagramReceived(data), ConnectionAccepted(-1), FrameReceived(-1, data))
 
 
 # --- any order, loss and doubling ---
@@ -448,29 +468,29 @@
     def lose_line(self, key: tuple[str, int]) -> None:
         other = self.lines.pop(key, None)
         if other is not None and self.lines.pop(other, None) is not None and other[0] in self.views:
-            self.step(other[0], [Lost(other[1], "reset")])
+            self.step(other[0], [ConnectionClosed(other[1], "reset")])
 
     def step(self, name: str, inputs: list[Input]) -> None:
         for out in self.views[name].step(self.now, inputs):
             match out:
-                case Packet(to, data):
-                    self.flight.append((name, to, Heard(data)))
-                case Call(line, to):
+                case SendDatagram(to, data):
+                    self.flight.append((name, to, DatagramReceived(data)))
+                case OpenConnection(line, to):
                     if to in self.views:
                         number = -1 - self.boots * 1000 - len(self.lines) - self.now // MS * 10_000
                         self.lines[name, line], self.lines[to, number] = (to, number), (name, line)
-                        self.step(to, [Called(number)])
+                        self.step(to, [ConnectionAccepted(number)])
                     else:
-                        self.flight.append((to, name, Lost(line, "refused")))
-                case Frame(line, data):
+                        self.flight.append((to, name, ConnectionClosed(line, "refused")))
+                case SendFrame(line, data):
                     other = self.lines.get((name, line))
                     if other is not None:
-                        self.flight.append((name, other[0], Framed(other[1], data)))
-                case HangUp(line):
+                        self.flight.append((name, other[0], FrameReceived(other[1], data)))
+                case CloseConnection(line):
                     other = self.lines.pop((name, line), None)
                     if other is not None:
                         self.lines.pop(other, None)
-                        self.flight.append((name, other[0], Lost(other[1], "end of stream")))
+                        self.flight.append((name, other[0], ConnectionClosed(other[1], "end of stream")))
 
     def deliver(self, at: int, keep: bool = False) -> None:
         _, to, item = self.flight[at] if keep else self.flight.pop(at)
@@ -506,7 +526,7 @@
         """What holds at every moment."""
         for name, view in self.views.items():
             assert len(view.table.beliefs) <= len(self.names)
-            assert len(view.news) <= len(self.names)
+            assert len(view.gossip_queue) <= len(self.names)
             for belief in view.table.beliefs.values():
                 other = self.views.get(belief.name)
                 if other is not None and belief.boot == other.boot:
@@ -517,7 +537,7 @@
         """After a while without faults all agree, and are right."""
         self.sound(40 * SECOND)
         for name, view in self.views.items():
-            living = {belief.name for belief in view.table.all() if belief.living}
+            living = {belief.name for belief in view.table.all() if belief.live}
             assert living == set(self.views), f"{name} believes {living}, true is {set(self.views)}"
             assert not view.table.suspects
         assert len({view.table.digest for view in self.views.values()}) == 1
@@ -580,7 +600,7 @@
     states = rested = 0
     first = Small(3)
     first.sound(3 * SECOND)  # they know each other
-    first.views["b1"].table.accuse("b2", first.now, "b1")  # and a suspicion is about to travel
+    first.views["b1"].table.suspect("b2", first.now, "b1")  # and a suspicion is about to travel
     first.step("b1", [])
     first.advance(300 * MS)
     stack = [(first, 0, False, False)]
@@ -621,14 +641,14 @@
 
 def plant_others_raise(monkeypatch: pytest.MonkeyPatch) -> None:
     """A bug: who hears of a suspicion raises the suspect's count on its behalf."""
-    hear = table.Table.hear
+    hear = table.Table.apply_state
 
-    def wrong(self: table.Table, about: About, now: int, told_by: str) -> bool:
+    def wrong(self: table.Table, about: MemberState, now: int, told_by: str) -> bool:
         if about.phase == Phase.SUSPECT:
-            about = About(about.name, about.boot, about.incarnation + 1, int(Phase.ALIVE))
+            about = MemberState(about.name, about.boot, about.incarnation + 1, int(Phase.ALIVE))
         return hear(self, about, now, told_by)
 
-    monkeypatch.setattr(table.Table, "hear", wrong)
+    monkeypatch.setattr(table.Table, "apply_state", wrong)
 
 
 @pytest.mark.parametrize("plant", [plant_weak_order, plant_others_raise])
