--- a/quincepath/fleet/load_reports/messages.py
+++ b/quincepath/fleet/load_reports/messages.py
@@ -13,13 +13,13 @@
 
 from quincepath.fleet.load_reports.fields import FIELD_COUNT, MAX_VALUE, encode_runs, encoded_width
 from quincepath.fleet.load_reports.load_counter import MAX_TENANT_NAME_LENGTH
-from quincepath.fleet.messages import PACKET, Counter, Name, Rejected, Word64
+from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, Counter, Name, Rejected, Word64
 
 SCHEMA = 1
 MIN_SCHEMA = 1
 MAGIC = b"\xc1L"  # 0xc1 begins no msgpack value
 MAX_OVERHEAD_BYTES = 176  # bytes that envelope and a body's other fields take at most
-MAX_BODY_BYTES = PACKET - MAX_OVERHEAD_BYTES
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES
 DROP_CAUSES = (
     "unreadable", "too large", "too old", "too new", "wrong fleet", "wrong name", "unknown member",
     "unknown kind", "not mine", "older", "second boot", "backwards", "jump", "clipped",
@@ -28,7 +28,7 @@
 Value = Annotated[int, Meta(ge=0, le=MAX_VALUE)]
 Small = Annotated[int, Meta(ge=0, le=1 << 20)]
 Permille = Annotated[int, Meta(ge=0, le=1000)]
-Runs = Annotated[tuple[Value, ...], Meta(max_length=PACKET)]
+Runs = Annotated[tuple[Value, ...], Meta(max_length=MAX_DATAGRAM_BYTES)]
 TenantName = Annotated[str, Meta(min_length=1, max_length=MAX_TENANT_NAME_LENGTH)]
 
 
@@ -109,7 +109,7 @@
 
 def unpack(data: bytes, fleet: str, recipient: str) -> tuple[Envelope, Body]:
     """A message to this member. Raises ``Rejected``."""
-    if len(data) > PACKET:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise Rejected("too large")
     if data[: len(MAGIC)] != MAGIC:
         raise Rejected("unreadable")
--- a/quincepath/fleet/load_service.py
+++ b/quincepath/fleet/load_service.py
@@ -117,7 +117,7 @@
 
     def _live_members(self) -> LiveMembers | None:
         """Who lives, where it changed."""
-        boots = {member.name: member.boot for member in self.view.table.all() if member.living}
+        boots = {member.name: member.boot for member in self.view.table.all() if member.live}
         boots[self.view.settings.name] = self.view.own.boot
         if boots == self._live_boots:
             return None
