--- a/benchmarks/capacity/scale/meter.py
+++ b/benchmarks/capacity/scale/meter.py
@@ -12,9 +12,9 @@
 from types import TracebackType
 
 from quincepath.fleet.distribution import Distribution
+from quincepath.fleet.load_service import LoadService
 from quincepath.fleet.replicated_log import ReplicatedLog
 from quincepath.fleet.service import Fleet
-from quincepath.fleet.shared import Shared
 from quincepath.fleet.transport import Transport
 from quincepath.net.loop import Loop, Timer
 
@@ -25,7 +25,7 @@
 HARNESS = "harness"  # the run's own work
 _OWNERS: tuple[tuple[type, str], ...] = (
     (Transport, VIEW),
-    (Shared, LEDGER),
+    (LoadService, LEDGER),
     (ReplicatedLog, LOG),
     (Distribution, CONFIGURATION),
     (Fleet, METRICS),
--- a/quincepath/fleet/consensus/envelope.py
+++ b/quincepath/fleet/consensus/envelope.py
@@ -5,9 +5,9 @@
 import msgspec
 from msgspec import Meta
 
-from quincepath.fleet.adoption.gathering import MapReport
+from quincepath.fleet.adoption.reports import MapReport
 from quincepath.fleet.consensus.messages import Message
-from quincepath.fleet.messages import FRAME, Counter, Name, Versions, body_in, opened
+from quincepath.fleet.messages import MAX_FRAME_BYTES, Counter, Name, Versions, decode_body, decode_envelope
 
 SCHEMA = 1
 VERSIONS = Versions(SCHEMA, 1)
@@ -55,5 +55,5 @@
 
 def unpack(data: bytes, fleet: str, to: str) -> tuple[LogEnvelope, Body]:
     """Decode a message to this broker. Raises ``Rejected``, with the causes of the view's messages."""
-    envelope = opened(data, _envelope_decoder, VERSIONS, fleet, to, FRAME)
-    return envelope, body_in(envelope.body, _body_decoder)
+    envelope = decode_envelope(data, _envelope_decoder, VERSIONS, fleet, to, MAX_FRAME_BYTES)
+    return envelope, decode_body(envelope.body, _body_decoder)
--- a/quincepath/fleet/replicated_log.py
+++ b/quincepath/fleet/replicated_log.py
@@ -13,7 +13,7 @@
 
 from quincepath.config.schema import FleetEntry
 from quincepath.fleet.adoption import MAP_COMMANDS, MapReport, ReadMap
-from quincepath.fleet.configuration.commands import ChangeConfiguration, refusal_before
+from quincepath.fleet.configuration.commands import ChangeConfiguration, proposal_refusal
 from quincepath.fleet.consensus.core import (
     ConsensusSettings,
     Done,
@@ -38,14 +38,14 @@
     ProposalResponse,
 )
 from quincepath.fleet.consensus.storage import Storage, StoreError
-from quincepath.fleet.drains import Progress
+from quincepath.fleet.drains import DrainProgress
 from quincepath.fleet.messages import Rejected
 from quincepath.fleet.permits import Command, Permits, encode
 from quincepath.fleet.proposals import Proposal, Proposals
 from quincepath.net.loop import Loop, Timer
 
 if TYPE_CHECKING:
-    from quincepath.fleet.topology import Maps
+    from quincepath.fleet.topology import MapAdoption
 
 POLL_INTERVAL_NS = 500_000_000  # between a learner's polls, progress reports, and retries of a proposal
 VOTER_SILENCE_NS = 1_500_000_000  # without a useful answer until a learner polls another voter
@@ -64,8 +64,8 @@
     attempts_in_flight: Callable[[], dict[str, int]]  # by holder name
     open_store: OpenStore  # called once, if this broker is a voter
     on_dropped: Callable[[str], None] = field(default=lambda cause: None)
-    # Returns something only where the configuration has a topology: section.
-    make_maps: Callable[[Permits], "Maps | None"] = field(default=lambda machine: None)
+    # Returns None without a topology: section.
+    make_maps: Callable[[Permits], "MapAdoption | None"] = field(default=lambda machine: None)
 
 
 def _refuse_none(command: ChangeConfiguration) -> str:
@@ -85,7 +85,7 @@
         self.loop, self.entry, self.hooks, self.log = loop, entry, hooks, log
         self._peers = frozenset(peer.name for peer in entry.peers)
         self.machine = Permits()
-        self.progress = Progress()
+        self.progress = DrainProgress()
         self.maps = hooks.make_maps(self.machine)
         self.store_error = ""
         self.store: Storage | None = None
@@ -121,7 +121,7 @@
             self.loop.call_in(POLL_INTERVAL_NS, self._submit_read_mark)
             return
         self.log.info("fleet: log read", index=self.applied_index)
-        self.maps.read()
+        self.maps.on_log_read()
 
     def _open_store(self, base: Path, seed: int) -> None:
         assert self.entry.store is not None
@@ -181,13 +181,13 @@
             return
         match body:
             case ProgressReport(applied, out):
-                self.progress.hear(envelope.sender, self.loop.clock(), applied, out)
+                self.progress.apply_report(envelope.sender, self.loop.clock(), applied, out)
             case MapReport():
                 if self.maps is not None:
-                    self.maps.gathered.hear(envelope.sender, self.loop.clock(), body)
+                    self.maps.reports.receive(envelope.sender, self.loop.clock(), body)
             case FootprintSample():
                 if self.maps is not None:
-                    why = self.maps.samples.take(envelope.sender, body.data)
+                    why = self.maps.samples.receive(envelope.sender, body.data)
                     if why:
                         self.log.debug("fleet: footprint sample rejected", cause=why)
             case ProposalResponse():
@@ -280,7 +280,7 @@
         self._notified_index = self.applied_index
         self.proposals.complete_applied(self.applied_index, self.machine.state.results)
         if self.maps is not None:
-            self.maps.applied()
+            self.maps.on_applied()
         self.hooks.on_applied()
 
     # --- periodic work ---
@@ -298,7 +298,7 @@
             self._send_body(others[self._poll_turn % len(others)], self.learner.poll())
         if self.machine.drained():
             out = {name: count for name, count in self.hooks.attempts_in_flight().items() if count}
-            self.progress.hear(self.entry.member, now, self.applied_index, out)
+            self.progress.apply_report(self.entry.member, now, self.applied_index, out)
             for name in others:
                 self._send_body(name, ProgressReport(self.applied_index, out))
         self._advance_map_change(now, others)
@@ -314,9 +314,9 @@
             for name in others:
                 self._send_body(name, report)
         wall = self.loop.system.wall_ms()
-        for data in self.maps.sampled(now, wall, self.leader):
+        for data in self.maps.sample_messages(now, wall, self.leader):
             self._send_body(self.leader, FootprintSample(data))
-        step = self.maps.next(now, wall) if self.is_leader else None
+        step = self.maps.next_command(now, wall) if self.is_leader else None
         if step is not None and not self.proposals.has_pending(type(step)):
             self.submit(step, lambda why: self.log.info("fleet: shard map step proposed", refused=why))
 
@@ -340,10 +340,10 @@
         if isinstance(command, MAP_COMMANDS):
             if self.maps is None:
                 return data, f"{FINAL_REFUSAL}the leader's fleet: section has no topology:"
-            filled, why = self.maps.judge(command, self.loop.clock(), self.loop.system.wall_ms())
+            filled, why = self.maps.prepare_command(command, self.loop.clock(), self.loop.system.wall_ms())
             return encode(filled), f"{FINAL_REFUSAL}{why}"[:200] if why else ""
         if isinstance(command, ChangeConfiguration):
-            why = refusal_before(self.machine.configuration, command) or self.change_refusal(command)
+            why = proposal_refusal(self.machine.configuration, command) or self.change_refusal(command)
             return data, f"{FINAL_REFUSAL}{why}"[:200] if why else ""
         command, why = self.hooks.prepare_command(command)
         return encode(command), f"{FINAL_REFUSAL}{why}"[:200] if why else ""
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -23,7 +23,7 @@
 from quincepath.fleet.pages import explain_page, history_page, view_page
 from quincepath.fleet.permits import Command, Grant, Permits
 from quincepath.fleet.transport import Transport
-from quincepath.fleet.view.core import Drain, Leave, Told, View
+from quincepath.fleet.view.core import Drain, Leave, OperatorNotice, View
 from quincepath.fleet.view.facts import Change, Phase, ViewSettings
 from quincepath.membership.state import HolderInfo
 from quincepath.net.loop import Loop
@@ -33,9 +33,9 @@
     from quincepath.fleet.configuration.commands import ChangeConfiguration
     from quincepath.fleet.configuration_requests import ConfigurationRequests
     from quincepath.fleet.distribution import Distribution
+    from quincepath.fleet.load_service import LoadService
     from quincepath.fleet.replicated_log import OpenStore, ReplicatedLog
-    from quincepath.fleet.shared import Shared
-    from quincepath.fleet.topology import Maps
+    from quincepath.fleet.topology import MapAdoption
 
 OWN = ("number", "seed", "zone")  # what may differ from broker to broker within one configuration
 LOOK = 1_000_000_000  # ns between looks at the figures
@@ -101,8 +101,8 @@
         self.loop, self.entry, self.configured = loop, entry, config.broker.brokers
         self.ramp = config.rules.ramp_time
         self.on_drained: Callable[[frozenset[str]], None] = lambda names: None
-        self.out_at: Callable[[], dict[str, int]] = dict
-        self.facts: Callable[[], list[HolderInfo]] = list
+        self.open_parts: Callable[[], dict[str, int]] = dict
+        self.holder_infos: Callable[[], list[HolderInfo]] = list
         self.zone_name: Callable[[int], str] = str
         self.brokers = {entry.member, *(peer.name for peer in entry.peers)}
         self.sets = {entry.name: entry.set or entry.name for entry in config.shards.map}
@@ -146,7 +146,7 @@
                 self.edge.send_log_message,
                 self._judge,
                 self._applied,
-                lambda: self.out_at(),
+                lambda: self.open_parts(),
                 open_store,
                 self._drop,
                 self._maps(config, boot),
@@ -156,11 +156,13 @@
             self.edge.on_log_message = self.agreed.receive
             if entry.configuration is not None:
                 self._distribute(config, entry.configuration, boot, seed, registry)
-        self.shared: Shared | None = None
+        self.shared: LoadService | None = None
         if entry.ledger is not None:
-            from quincepath.fleet import shared  # only where brokers tell each other of their load
+            from quincepath.fleet import load_service  # only where brokers tell each other of their load
 
-            self.shared = shared.Shared(config, entry, loop, self.view, self.edge, seed, self.log, registry)
+            self.shared = load_service.LoadService(
+                config, entry, loop, self.view, self.edge, seed, self.log, registry
+            )
         self._look()
 
     @property
@@ -168,8 +170,8 @@
         """Where peers reach this member."""
         return self.edge.address
 
-    def _told(self, out: Change | Told) -> None:
-        if isinstance(out, Told):
+    def _told(self, out: Change | OperatorNotice) -> None:
+        if isinstance(out, OperatorNotice):
             self.log.error("fleet: one name, two processes", kind=out.kind, text=out.text)
             return
         self.changes.labels(out.now.partition(",")[0]).inc()
@@ -200,32 +202,36 @@
         if self._reasons is None or bool(reasons) != bool(self._reasons):
             self.log.info("fleet: unsettled" if reasons else "fleet: settled", cause="; ".join(reasons))
         self._reasons = reasons
-        differs = not reasons and table.living != self.configured
+        differs = not reasons and table.live_count != self.configured
         if differs and not self._differs:
             self.log.warning(
-                "fleet: live brokers are not as many as configured", live=table.living,
+                "fleet: live brokers are not as many as configured", live=table.live_count,
                 configured=self.configured, effect="none on routing: shares go by the configured number",
             )  # fmt: skip
         self._differs = differs
 
     # --- what is agreed ---
 
-    def _maps(self, config: Config, boot: int) -> Callable[[Permits], "Maps | None"]:
+    def _maps(self, config: Config, boot: int) -> Callable[[Permits], "MapAdoption | None"]:
         """This broker's part in a new shard map; None without ``topology:``."""
         entry = self.entry.topology
         if entry is None:
             return lambda machine: None
-        from quincepath.fleet.topology import Maps, Ports, configured_map  # only where maps may change
+        from quincepath.fleet.topology import (  # only where maps may change
+            AdoptionHooks,
+            MapAdoption,
+            configured_map,
+        )
 
-        ports = Ports(
+        hooks = AdoptionHooks(
             brokers=lambda: tuple(sorted(self.brokers)),
-            believed=lambda: {one.name: one.phase.name.lower() for one in self.view.table.all()},
+            believed_phases=lambda: {one.name: one.phase.name.lower() for one in self.view.table.all()},
             unsettled=lambda: self.view.unsettled(),
-            sets=lambda: {name: unit.sets[0] for name, unit in self.units().items() if unit.sets},
+            set_by_holder=lambda: {name: unit.sets[0] for name, unit in self.units().items() if unit.sets},
         )
         first = configured_map(config.shards)
-        return lambda machine: Maps(
-            self.entry.member, boot, first, entry, machine, ports, self.log, wall=self.loop.system.wall_ns
+        return lambda machine: MapAdoption(
+            self.entry.member, boot, first, entry, machine, hooks, self.log, wall_ns=self.loop.system.wall_ns
         )
 
     def _distribute(
@@ -234,16 +240,16 @@
         """Take part in the distribution of the configuration."""
         # Only where the configuration is distributed.
         from quincepath.fleet.configuration_requests import ConfigurationRequests
-        from quincepath.fleet.distribution import distribution_of, routed
+        from quincepath.fleet.distribution import build_distribution, route_messages
 
         assert self.agreed is not None
-        self.distribution = distribution_of(
+        self.distribution = build_distribution(
             config, self.entry, section, self.agreed, self.edge, boot, seed, self._expected, self._drop,
             self.log, registry,
         )  # fmt: skip
         self.requests = ConfigurationRequests(self.distribution, self.agreed)
-        self.edge.on_log_message = routed(self.agreed.receive, self.distribution.receive)
-        self.edge.on_connection_lost = self.distribution.lost
+        self.edge.on_log_message = route_messages(self.agreed.receive, self.distribution.receive)
+        self.edge.on_connection_lost = self.distribution.on_connection_lost
 
     def _expected(self) -> int:
         """Brokers that should have the newest configuration: all members but those that left."""
@@ -274,7 +280,7 @@
     def units(self) -> dict[str, Unit]:
         """All brokers and holders that this broker knows of."""
         found = {name: Unit(name, "broker") for name in sorted(self.brokers)}
-        for fact in self.facts():
+        for fact in self.holder_infos():
             sets = tuple(sorted({self.sets[shard] for shard in fact.shards}))
             found[fact.name] = Unit(fact.name, "holder", self.zone_name(fact.zone), sets)
         return found
@@ -290,7 +296,7 @@
             if reason is not None:
                 found[belief.name] = reason
         now = self.loop.clock()
-        for fact in self.facts():
+        for fact in self.holder_infos():
             if fact.phase.name != "READY" and fact.name not in self._drained:
                 found[fact.name] = Reason.DRAINING
             elif fact.since and now < fact.since + self.ramp:
@@ -305,7 +311,7 @@
         if reasons:
             return command, f"the view is not settled: {'; '.join(reasons)}"
         units = self.units()
-        both = sorted(self.brokers & {fact.name for fact in self.facts()})
+        both = sorted(self.brokers & {fact.name for fact in self.holder_infos()})
         if both:
             return command, f"{both[0]} names a broker and a holder: rename one of them"
         if command.name not in units:
--- a/quincepath/fleet/transport.py
+++ b/quincepath/fleet/transport.py
@@ -8,19 +8,19 @@
 from collections import Counter
 from collections.abc import Callable
 
-from quincepath.fleet.messages import FRAME
+from quincepath.fleet.messages import MAX_FRAME_BYTES
 from quincepath.fleet.view.core import (
-    Call,
-    Called,
-    Frame,
-    Framed,
-    HangUp,
-    Heard,
+    CloseConnection,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DatagramReceived,
+    FrameReceived,
     Input,
-    Lost,
+    OpenConnection,
+    OperatorNotice,
     Output,
-    Packet,
-    Told,
+    SendDatagram,
+    SendFrame,
     View,
 )  # fmt: skip
 from quincepath.fleet.view.facts import Change
@@ -77,7 +77,7 @@
         peer_addresses: dict[str, tuple[str, int]],
         host: str,
         port: int,
-        on_notice: Callable[[Change | Told], None],
+        on_notice: Callable[[Change | OperatorNotice], None],
     ) -> None:
         self.loop, self.view, self.peer_addresses, self.on_notice = loop, view, peer_addresses, on_notice
         # Messages and bytes that went out, by kind. "frames" and "bytes" are of all mechanisms together;
@@ -144,18 +144,18 @@
 
     def _carry_out(self, out: Output) -> None:
         match out:
-            case Packet(to, data):
+            case SendDatagram(to, data):
                 self._datagram(to, data)
-            case Call(line, to):
+            case OpenConnection(line, to):
                 self._call(line, to)
-            case Frame(line, data):
+            case SendFrame(line, data):
                 self._frame(line, data)
-            case HangUp(line, at_once):
+            case CloseConnection(line, at_once):
                 if at_once:
                     self._drop(line)
                 else:
                     self._hang_up(line)
-            case Change() | Told():
+            case Change() | OperatorNotice():
                 self.on_notice(out)
 
     # --- datagrams ---
@@ -187,7 +187,7 @@
             if data[:1] == OTHER_DATAGRAM_PREFIX and self.on_other_datagram is not None:
                 self.on_other_datagram(data)
             else:
-                inputs.append(Heard(data))
+                inputs.append(DatagramReceived(data))
         self.step(inputs)
 
     # --- lines ---
@@ -217,7 +217,7 @@
         number = -self._taken
         line = self._lines[number] = _Line()
         self._stream(number, line, sock)
-        self.step([Called(number)])
+        self.step([ConnectionAccepted(number)])
 
     def _stream(self, number: int, line: _Line, sock: socket.socket) -> None:
         line.stream = Stream(
@@ -233,7 +233,7 @@
         while len(line.data) >= LENGTH_PREFIX_BYTES:
             length = int.from_bytes(line.data[:LENGTH_PREFIX_BYTES])
             agreed, length = bool(length & LOG_MESSAGE_FLAG), length & ~LOG_MESSAGE_FLAG
-            if length > FRAME:
+            if length > MAX_FRAME_BYTES:
                 self.view.dropped["too large"] += 1
                 if line.stream is not None:
                     line.stream.close()
@@ -244,11 +244,12 @@
             message = bytes(line.data[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + length])
             del line.data[: LENGTH_PREFIX_BYTES + length]
             if not agreed:
-                inputs.append(Framed(number, message))
+                inputs.append(FrameReceived(number, message))
                 continue
             if not line.agreed:
                 line.agreed = True
-                inputs.append(Lost(number, "carries the keepers' log"))  # no exchange of the view's
+                # no exchange of the view's
+                inputs.append(ConnectionClosed(number, "carries the keepers' log"))
             line.heard_at = self.loop.now
             if self.on_log_message is not None:
                 self.on_log_message(message)
@@ -286,7 +287,7 @@
             timer.cancel()
             self._lines.pop(number, None)
 
-        line.stream.finish(FRAME, done)
+        line.stream.finish(MAX_FRAME_BYTES, done)
 
     def _drop(self, number: int) -> None:
         line = self._lines.pop(number, None)
@@ -299,7 +300,7 @@
 
     def _ended(self, number: int, said: str) -> None:
         if self._lines.pop(number, None) is not None:
-            self.step([Lost(number, said)])
+            self.step([ConnectionClosed(number, said)])
 
     # --- the keepers' log ---
 
@@ -307,14 +308,14 @@
         """Send a message of the log; it may be lost, like any."""
         way = self._outbound.setdefault(to, _Way())
         chunk = (len(data) | LOG_MESSAGE_FLAG).to_bytes(LENGTH_PREFIX_BYTES) + data
-        if self._closed or to not in self.peer_addresses or len(data) > FRAME:
+        if self._closed or to not in self.peer_addresses or len(data) > MAX_FRAME_BYTES:
             return
         self.sent["frames"] += 1
         self.sent["bytes"] += len(chunk)
         self.sent["log_frames"] += 1
         self.sent["log_bytes"] += len(chunk)
         if way.stream is not None and not way.stream.closed:
-            if way.stream.pending < FRAME * 4:
+            if way.stream.pending < MAX_FRAME_BYTES * 4:
                 way.stream.write(chunk)
             return
         if len(way.waiting) < MAX_WAITING_MESSAGES:
