--- a/quincepath/fleet/distribution.py
+++ b/quincepath/fleet/distribution.py
@@ -12,7 +12,6 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from quincepath.config.schema import Config, DistributionEntry, FleetEntry
-from quincepath.fleet.agreed import Agreed
 from quincepath.fleet.configuration.changes import ChangeError, Edit, decode_change
 from quincepath.fleet.configuration.commands import ChangeConfiguration, relay_update
 from quincepath.fleet.configuration.history import History, summarise_faults
@@ -45,8 +44,9 @@
 from quincepath.fleet.configuration.subscriber import Subscriber, SubscriberIdentity
 from quincepath.fleet.configuration.table import Rules
 from quincepath.fleet.configuration.validator import ChangeValidator
-from quincepath.fleet.edge import Edge
 from quincepath.fleet.messages import Rejected
+from quincepath.fleet.replicated_log import ReplicatedLog
+from quincepath.fleet.transport import Transport
 from quincepath.net.loop import Loop, Timer
 
 FEED_INTERVAL_NS = 500 * MS  # between words of the log to the relay while nothing is new
@@ -319,8 +319,8 @@
     config: Config,
     entry: FleetEntry,
     section: DistributionEntry,
-    agreed: Agreed,
-    edge: Edge,
+    agreed: ReplicatedLog,
+    edge: Transport,
     boot: int,
     seed: int,
     expected_brokers: Callable[[], int],
@@ -332,10 +332,10 @@
     rules = Rules(frozenset(frozenset(names) for names in config.shards.sets().values()))
     members = frozenset({entry.member, *(peer.name for peer in entry.peers)})
     ports = Ports(
-        send=edge.tell,
+        send=edge.send_log_message,
         history=lambda: agreed.machine.configuration,
-        age=agreed.age,
-        voters=lambda: agreed.keepers,
+        age=agreed.staleness_ns,
+        voters=lambda: agreed.voters,
         expected_brokers=expected_brokers,
         dropped=dropped,
     )
--- a/tests/fleet/adoption/test_wiring.py
+++ b/tests/fleet/adoption/test_wiring.py
@@ -16,7 +16,7 @@
 from quincepath.config.schema.topology import TopologyEntry
 from quincepath.fleet.adoption import AdoptMap, AwayMap, BackMap, Map, MapCommand, ProposeMap
 from quincepath.fleet.adoption.reports import REPORT_TTL_NS, Measurement
-from quincepath.fleet.agreement.entries import Entry
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.forecast import Environment, FigureKind, Sample, decode_record, forecast
 from quincepath.fleet.permits import Permits, encode
 from quincepath.fleet.topology import NS_PER_MS, AdoptionHooks, MapAdoption, configured_map
--- a/tests/fleet/configuration/test_fuzz.py
+++ b/tests/fleet/configuration/test_fuzz.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.configuration.changes import ChangeError, Delta, Edit, decode_change, encode_change
 from quincepath.fleet.configuration.messages import (
     Ack,
@@ -24,6 +23,7 @@
 from quincepath.fleet.configuration.ports import Committed, Received
 from quincepath.fleet.configuration.relay_preference import MS
 from quincepath.fleet.configuration.snapshots import Image, make_image, read_image
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.permits import Permits
 from tests.fleet.configuration.builders import change, tenant, weights
 from tests.fleet.configuration.harness import FLEET, RelayEnd, SubscriberEnd
