--- a/quincepath/store/consensus.py
+++ b/quincepath/store/consensus.py
@@ -103,7 +103,7 @@
         )
     if result.returncode:
         cause, _, text = result.stdout.strip().partition(": ")
-        by_value = {trouble.value: trouble for trouble in StoreErrorCause}
+        by_value = {member.value: member for member in StoreErrorCause}
         raise StoreError(by_value.get(cause, StoreErrorCause.DAMAGED), text or result.stderr.strip()[-300:])
 
 
