--- a/quincepath/fleet/consensus/core/state.py
+++ b/quincepath/fleet/consensus/core/state.py
@@ -96,7 +96,7 @@
     # --- persisting and sending ---
 
     def _send(self, to: str, message: Message) -> None:
-        """Send a message, after the state on which it rests is on disk."""
+        """Send a message; the state that it reports must be on disk before it leaves."""
         self._persist()
         self._outputs.append(Send(to, message))
 
--- a/quincepath/fleet/transport.py
+++ b/quincepath/fleet/transport.py
@@ -1,7 +1,7 @@
-"""Datagrams and connections of a member on the one loop. Moves bytes and time to the view and back.
+"""Sockets of a fleet member on the event loop, for the view, the load reports and the log.
 
-A message on a connection is four bytes of its length (big-endian) and itself. Each exchange is a connection
-of its own; how many and for how long is the view's to say.
+A message on a connection is preceded by its length in four bytes (big-endian). Each exchange of the view has
+a connection of its own; the view decides how many there are and for how long.
 """
 
 import socket
@@ -29,46 +29,44 @@
 from quincepath.net.stream import Listener, Stream
 
 LENGTH_PREFIX_BYTES = 4
-MAX_DATAGRAMS_PER_TURN = 64  # read in one go; the rest waits for the next turn
+MAX_DATAGRAMS_PER_TURN = 64  # the rest is read in the next turn of the loop
 MAX_DATAGRAM_BYTES = 65_535
-_RECEIVE_BUFFER = memoryview(bytearray(MAX_DATAGRAM_BYTES))  # where datagrams are read to; see net/stream.py
-MAX_CONNECTIONS = 1200  # taken at once: one a member for the log, and exchanges
-LINGER_NS = 1_000_000_000  # ns that a line may take to send its last words
+_RECEIVE_BUFFER = memoryview(bytearray(MAX_DATAGRAM_BYTES))  # shared by all reads; see net/stream.py
+MAX_CONNECTIONS = 1200  # open at a time: one per member for the log, and exchanges
+LINGER_NS = 1_000_000_000  # for a closing connection to send what is left
 MAX_BIND_ATTEMPTS = 16
-OTHER_DATAGRAM_PREFIX = (
-    b"\xc1"  # the first byte of a datagram that is not the view's: it begins no msgpack value
-)
-LOG_MESSAGE_FLAG = 1 << 31  # in a message's length: it is of the keepers' log, not of the view
-MAX_WAITING_MESSAGES = 256  # messages of the log that wait for a connection; more are lost, as on a bad way
-REDIAL_DELAY_NS = 250_000_000  # ns until a member that could not be reached is dialled again
-IDLE_TIMEOUT_NS = 60_000_000_000  # ns until a connection for the log that carries nothing is closed
+OTHER_DATAGRAM_PREFIX = b"\xc1"  # begins datagrams that are not the view's; no msgpack value begins with it
+LOG_MESSAGE_FLAG = 1 << 31  # in the length: the message is of the replicated log, not of the view
+MAX_QUEUED_MESSAGES = 256  # of the log, for a connection; more are dropped, as on a lossy network
+REDIAL_DELAY_NS = 250_000_000  # until a member that could not be reached is dialled again
+IDLE_TIMEOUT_NS = 60_000_000_000  # until an accepted connection of the log that carries nothing is closed
 
 
-class _Way:
-    """The connection by which messages of the log go out to one member."""
+class _OutboundConnection:
+    """The connection that carries the log's messages to one member."""
 
     def __init__(self) -> None:
         self.dial: Dial | None = None
         self.stream: Stream | None = None
-        self.waiting: list[bytes] = []
+        self.queued: list[bytes] = []
         self.not_before = 0
 
 
-class _Line:
-    """One connection: frames out of bytes, and what waits while it is not established."""
+class _Connection:
+    """One connection: the bytes of incomplete frames, and the frames that wait until it is established."""
 
     def __init__(self) -> None:
         self.dial: Dial | None = None
         self.stream: Stream | None = None
-        self.waiting: list[bytes] = []
-        self.data = bytearray()
-        self.ending = False
-        self.agreed = False
+        self.queued: list[bytes] = []
+        self.received = bytearray()
+        self.closing = False
+        self.carries_log = False
         self.heard_at = 0
 
 
 class Transport:
-    """Sockets of one view. ``on_notice`` gets what is for people."""
+    """Sockets of one member. ``on_notice`` receives the view's changes and notices for operators."""
 
     def __init__(
         self,
@@ -80,40 +78,39 @@
         on_notice: Callable[[Change | OperatorNotice], None],
     ) -> None:
         self.loop, self.view, self.peer_addresses, self.on_notice = loop, view, peer_addresses, on_notice
-        # Messages and bytes that went out, by kind. "frames" and "bytes" are of all mechanisms together;
-        # the ledger's ("posted") and the log's also stand apart: what is left is the view's.
+        # Messages and bytes sent, by kind. "frames" and "bytes" count all mechanisms together; those of the
+        # load reports ("posted") and of the log are also counted separately; the rest is the view's.
         self.sent: Counter[str] = Counter()
-        self.unsent = 0  # datagrams that the system did not take
-        self._lines: dict[int, _Line] = {}
-        self._outbound: dict[str, _Way] = {}
+        self.unsent = 0  # datagrams that the system did not accept
+        self._connections: dict[int, _Connection] = {}
+        self._outbound: dict[str, _OutboundConnection] = {}
         self.on_log_message: Callable[[bytes], None] | None = None
-        self.on_connection_lost: Callable[[str], None] | None = (
-            None  # to a member: it ended, or could not be had
-        )
+        # Called with a member's name when the log's connection to it ended or could not be established.
+        self.on_connection_lost: Callable[[str], None] | None = None
         self.on_other_datagram: Callable[[bytes], None] | None = None
-        self._taken = 0
+        self._accepted_count = 0
         self._timer: Timer | None = None
         self._closed = False
         self._bind(host, port)
         self.udp.setblocking(False)
-        loop.watch(self.udp, READ, self._readable)
+        loop.watch(self.udp, READ, self._on_readable)
         self.step([])
-        loop.call_in(IDLE_TIMEOUT_NS, self._sweep)
+        loop.call_in(IDLE_TIMEOUT_NS, self._close_idle)
 
-    def _sweep(self) -> None:
-        """Connections for the log whose other end has said nothing for long."""
+    def _close_idle(self) -> None:
+        """Close connections of the log on which the other end has sent nothing for long."""
         if self._closed:
             return
-        self.loop.call_in(IDLE_TIMEOUT_NS, self._sweep)
-        for number, line in list(self._lines.items()):
-            if line.agreed and self.loop.now > line.heard_at + IDLE_TIMEOUT_NS:
+        self.loop.call_in(IDLE_TIMEOUT_NS, self._close_idle)
+        for number, connection in list(self._connections.items()):
+            if connection.carries_log and self.loop.now > connection.heard_at + IDLE_TIMEOUT_NS:
                 self._drop(number)
 
     def _bind(self, host: str, port: int) -> None:
-        """One number for both; a free one is looked for where none is asked for."""
+        """Bind TCP and UDP to the same port; with port 0 to one that is free for both."""
         for attempt in range(MAX_BIND_ATTEMPTS):
             self.listener = Listener(
-                self.loop, host, port, self._accepted, lambda: len(self._lines), MAX_CONNECTIONS
+                self.loop, host, port, self._on_accepted, lambda: len(self._connections), MAX_CONNECTIONS
             )
             self.udp = self.loop.system.datagram_socket()
             try:
@@ -128,7 +125,7 @@
                 return
 
     def step(self, inputs: list[Input]) -> None:
-        """One step of the view, and what comes of it."""
+        """Run one step of the view and carry out its outputs."""
         if self._closed:
             return
         for out in self.view.step(self.loop.clock(), inputs):
@@ -137,52 +134,52 @@
         if self._timer is None or self._timer.call is None or self._timer.at != due:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer = self.loop.call_at(due, self._due)
+            self._timer = self.loop.call_at(due, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self.step([])
 
     def _carry_out(self, out: Output) -> None:
         match out:
             case SendDatagram(to, data):
-                self._datagram(to, data)
-            case OpenConnection(line, to):
-                self._call(line, to)
-            case SendFrame(line, data):
-                self._frame(line, data)
-            case CloseConnection(line, at_once):
+                self._send_udp(to, data)
+            case OpenConnection(number, to):
+                self._open_connection(number, to)
+            case SendFrame(number, data):
+                self._send_frame(number, data)
+            case CloseConnection(number, at_once):
                 if at_once:
-                    self._drop(line)
+                    self._drop(number)
                 else:
-                    self._hang_up(line)
+                    self._close_when_sent(number)
             case Change() | OperatorNotice():
                 self.on_notice(out)
 
     # --- datagrams ---
 
     def send_datagram(self, to: str, data: bytes) -> None:
-        """A datagram of others than the view; it begins with ``OTHER_DATAGRAM_PREFIX``."""
+        """Send a datagram that is not the view's; it begins with ``OTHER_DATAGRAM_PREFIX``."""
         if not self._closed and to in self.peer_addresses:
-            self._datagram(to, data, "posted")
+            self._send_udp(to, data, "posted")
 
-    def _datagram(self, to: str, data: bytes, what: str = "datagrams") -> None:
+    def _send_udp(self, to: str, data: bytes, kind: str = "datagrams") -> None:
         try:
             self.udp.sendto(data, self.peer_addresses[to])
-        except OSError:  # as good as lost on the way
+        except OSError:  # the same as a loss in the network
             self.unsent += 1
             return
-        self.sent[what] += 1
+        self.sent[kind] += 1
         self.sent["bytes"] += len(data)
-        self.sent[f"{what}_bytes"] += len(data)
+        self.sent[f"{kind}_bytes"] += len(data)
 
-    def _readable(self, _: int) -> None:
+    def _on_readable(self, _: int) -> None:
         inputs: list[Input] = []
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data = bytes(_RECEIVE_BUFFER[: self.udp.recv_into(_RECEIVE_BUFFER)])
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # an error of an earlier datagram of ours, told here
+            except OSError:  # a pending error of a datagram sent earlier
                 continue
             if data[:1] == OTHER_DATAGRAM_PREFIX and self.on_other_datagram is not None:
                 self.on_other_datagram(data)
@@ -190,123 +187,123 @@
                 inputs.append(DatagramReceived(data))
         self.step(inputs)
 
-    # --- lines ---
+    # --- connections of the view ---
 
-    def _call(self, number: int, to: str) -> None:
-        line = self._lines[number] = _Line()
+    def _open_connection(self, number: int, to: str) -> None:
+        connection = self._connections[number] = _Connection()
 
         def opened(sock: socket.socket) -> None:
-            line.dial = None
-            self._stream(number, line, sock)
-            for chunk in line.waiting:
-                if line.stream is not None:
-                    line.stream.write(chunk)
-            line.waiting.clear()
-            if line.ending:
-                self._finish(number, line)
+            connection.dial = None
+            self._open_stream(number, connection, sock)
+            for chunk in connection.queued:
+                if connection.stream is not None:
+                    connection.stream.write(chunk)
+            connection.queued.clear()
+            if connection.closing:
+                self._finish_sending(number, connection)
 
         def failed(code: int) -> None:
-            line.dial = None
-            self._ended(number, describe_connect_error(code))
+            connection.dial = None
+            self._on_ended(number, describe_connect_error(code))
 
         timeout = self.view.settings.exchange_time
-        line.dial = Dial(self.loop, self.peer_addresses[to], timeout, opened, failed)
+        connection.dial = Dial(self.loop, self.peer_addresses[to], timeout, opened, failed)
 
-    def _accepted(self, sock: socket.socket) -> None:
-        self._taken += 1
-        number = -self._taken
-        line = self._lines[number] = _Line()
-        self._stream(number, line, sock)
+    def _on_accepted(self, sock: socket.socket) -> None:
+        self._accepted_count += 1
+        number = -self._accepted_count
+        connection = self._connections[number] = _Connection()
+        self._open_stream(number, connection, sock)
         self.step([ConnectionAccepted(number)])
 
-    def _stream(self, number: int, line: _Line, sock: socket.socket) -> None:
-        line.stream = Stream(
+    def _open_stream(self, number: int, connection: _Connection, sock: socket.socket) -> None:
+        connection.stream = Stream(
             self.loop,
             sock,
-            lambda data: self._data(number, line, data),
-            lambda why_: self._ended(number, why_),
+            lambda data: self._on_data(number, connection, data),
+            lambda reason: self._on_ended(number, reason),
         )
 
-    def _data(self, number: int, line: _Line, data: bytes) -> None:
-        line.data += data
+    def _on_data(self, number: int, connection: _Connection, data: bytes) -> None:
+        connection.received += data
         inputs: list[Input] = []
-        while len(line.data) >= LENGTH_PREFIX_BYTES:
-            length = int.from_bytes(line.data[:LENGTH_PREFIX_BYTES])
-            agreed, length = bool(length & LOG_MESSAGE_FLAG), length & ~LOG_MESSAGE_FLAG
+        while len(connection.received) >= LENGTH_PREFIX_BYTES:
+            length = int.from_bytes(connection.received[:LENGTH_PREFIX_BYTES])
+            of_log, length = bool(length & LOG_MESSAGE_FLAG), length & ~LOG_MESSAGE_FLAG
             if length > MAX_FRAME_BYTES:
                 self.view.dropped["too large"] += 1
-                if line.stream is not None:
-                    line.stream.close()
-                self._ended(number, "a message over the limit")
+                if connection.stream is not None:
+                    connection.stream.close()
+                self._on_ended(number, "a message over the limit")
                 return
-            if len(line.data) < LENGTH_PREFIX_BYTES + length:
+            if len(connection.received) < LENGTH_PREFIX_BYTES + length:
                 break
-            message = bytes(line.data[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + length])
-            del line.data[: LENGTH_PREFIX_BYTES + length]
-            if not agreed:
+            message = bytes(connection.received[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + length])
+            del connection.received[: LENGTH_PREFIX_BYTES + length]
+            if not of_log:
                 inputs.append(FrameReceived(number, message))
                 continue
-            if not line.agreed:
-                line.agreed = True
-                # no exchange of the view's
+            if not connection.carries_log:
+                connection.carries_log = True
+                # To the view it is closed: it carries no exchange of the view.
                 inputs.append(ConnectionClosed(number, "carries the keepers' log"))
-            line.heard_at = self.loop.now
+            connection.heard_at = self.loop.now
             if self.on_log_message is not None:
                 self.on_log_message(message)
         if inputs:
             self.step(inputs)
 
-    def _frame(self, number: int, data: bytes) -> None:
-        line = self._lines.get(number)
-        if line is None:
+    def _send_frame(self, number: int, data: bytes) -> None:
+        connection = self._connections.get(number)
+        if connection is None:
             return
         chunk = len(data).to_bytes(LENGTH_PREFIX_BYTES) + data
         self.sent["frames"] += 1
         self.sent["bytes"] += len(chunk)
-        if line.stream is not None:
-            line.stream.write(chunk)
+        if connection.stream is not None:
+            connection.stream.write(chunk)
         else:
-            line.waiting.append(chunk)
+            connection.queued.append(chunk)
 
-    def _hang_up(self, number: int) -> None:
-        line = self._lines.get(number)
-        if line is None:
+    def _close_when_sent(self, number: int) -> None:
+        connection = self._connections.get(number)
+        if connection is None:
             return
-        if line.stream is not None:
-            self._finish(number, line)
-        elif line.waiting and line.dial is not None and not self._closed:
-            line.ending = True
+        if connection.stream is not None:
+            self._finish_sending(number, connection)
+        elif connection.queued and connection.dial is not None and not self._closed:
+            connection.closing = True
         else:
             self._drop(number)
 
-    def _finish(self, number: int, line: _Line) -> None:
-        assert line.stream is not None
+    def _finish_sending(self, number: int, connection: _Connection) -> None:
+        assert connection.stream is not None
         timer = self.loop.call_in(LINGER_NS, lambda: self._drop(number))
 
         def done() -> None:
             timer.cancel()
-            self._lines.pop(number, None)
+            self._connections.pop(number, None)
 
-        line.stream.finish(MAX_FRAME_BYTES, done)
+        connection.stream.finish(MAX_FRAME_BYTES, done)
 
     def _drop(self, number: int) -> None:
-        line = self._lines.pop(number, None)
-        if line is None:
+        connection = self._connections.pop(number, None)
+        if connection is None:
             return
-        if line.dial is not None:
-            line.dial.close()
-        if line.stream is not None:
-            line.stream.close()
+        if connection.dial is not None:
+            connection.dial.close()
+        if connection.stream is not None:
+            connection.stream.close()
 
-    def _ended(self, number: int, said: str) -> None:
-        if self._lines.pop(number, None) is not None:
-            self.step([ConnectionClosed(number, said)])
+    def _on_ended(self, number: int, reason: str) -> None:
+        if self._connections.pop(number, None) is not None:
+            self.step([ConnectionClosed(number, reason)])
 
-    # --- the keepers' log ---
+    # --- messages of the log ---
 
     def send_log_message(self, to: str, data: bytes) -> None:
-        """Send a message of the log; it may be lost, like any."""
-        way = self._outbound.setdefault(to, _Way())
+        """Send a message of the log. It may be lost."""
+        outbound = self._outbound.setdefault(to, _OutboundConnection())
         chunk = (len(data) | LOG_MESSAGE_FLAG).to_bytes(LENGTH_PREFIX_BYTES) + data
         if self._closed or to not in self.peer_addresses or len(data) > MAX_FRAME_BYTES:
             return
@@ -314,59 +311,61 @@
         self.sent["bytes"] += len(chunk)
         self.sent["log_frames"] += 1
         self.sent["log_bytes"] += len(chunk)
-        if way.stream is not None and not way.stream.closed:
-            if way.stream.pending < MAX_FRAME_BYTES * 4:
-                way.stream.write(chunk)
+        if outbound.stream is not None and not outbound.stream.closed:
+            if outbound.stream.pending < MAX_FRAME_BYTES * 4:
+                outbound.stream.write(chunk)
             return
-        if len(way.waiting) < MAX_WAITING_MESSAGES:
-            way.waiting.append(chunk)
-        if way.dial is None and self.loop.now >= way.not_before:
-            self._dial_way(to, way)
+        if len(outbound.queued) < MAX_QUEUED_MESSAGES:
+            outbound.queued.append(chunk)
+        if outbound.dial is None and self.loop.now >= outbound.not_before:
+            self._dial_outbound(to, outbound)
 
-    def _dial_way(self, to: str, way: _Way) -> None:
+    def _dial_outbound(self, to: str, outbound: _OutboundConnection) -> None:
         def opened(sock: socket.socket) -> None:
-            way.dial = None
-            way.stream = Stream(self.loop, sock, lambda data: None, lost)
-            waiting, way.waiting = way.waiting, []
-            for chunk in waiting:
-                if way.stream is not None:  # a write may find that the other end has reset it
-                    way.stream.write(chunk)
+            outbound.dial = None
+            outbound.stream = Stream(self.loop, sock, lambda data: None, lost)
+            queued, outbound.queued = outbound.queued, []
+            for chunk in queued:
+                if outbound.stream is not None:  # a write may find the connection reset and clear it
+                    outbound.stream.write(chunk)
 
         def failed(_: int) -> None:
-            way.dial = None
-            way.waiting.clear()
-            way.not_before = self.loop.now + REDIAL_DELAY_NS
-            self._way_lost(to)
+            outbound.dial = None
+            outbound.queued.clear()
+            outbound.not_before = self.loop.now + REDIAL_DELAY_NS
+            self._report_connection_lost(to)
 
         def lost(_: str) -> None:
-            way.stream = None
-            self._way_lost(to)
+            outbound.stream = None
+            self._report_connection_lost(to)
 
-        way.dial = Dial(self.loop, self.peer_addresses[to], self.view.settings.exchange_time, opened, failed)
+        outbound.dial = Dial(
+            self.loop, self.peer_addresses[to], self.view.settings.exchange_time, opened, failed
+        )
 
-    def _way_lost(self, to: str) -> None:
-        """Reports it in a later turn: the connection may have ended within ``send_log_message``."""
+    def _report_connection_lost(self, to: str) -> None:
+        """Report it in a later turn: the connection may have ended within ``send_log_message``."""
 
-        def told() -> None:
+        def report() -> None:
             if self.on_connection_lost is not None and not self._closed:
                 self.on_connection_lost(to)
 
-        self.loop.call_in(0, told)
+        self.loop.call_in(0, report)
 
     def close(self) -> None:
-        """Give back all sockets; the second time nothing happens."""
+        """Close all sockets; closing again does nothing."""
         if self._closed:
             return
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        for number in list(self._lines):
+        for number in list(self._connections):
             self._drop(number)
-        for way in self._outbound.values():
-            if way.dial is not None:
-                way.dial.close()
-            if way.stream is not None:
-                way.stream.close()
+        for outbound in self._outbound.values():
+            if outbound.dial is not None:
+                outbound.dial.close()
+            if outbound.stream is not None:
+                outbound.stream.close()
         self.listener.close()
-        self.loop.watch(self.udp, 0, self._readable)
+        self.loop.watch(self.udp, 0, self._on_readable)
         self.udp.close()
--- a/tests/conformance/test_tables.py
+++ b/tests/conformance/test_tables.py
@@ -1,4 +1,4 @@
-"""Every table of this directory, row by row; and that the reader finds a changed row and an empty table."""
+"""Every table of this directory, row by row, and the reader's detection of changed rows and empty tables."""
 
 import copy
 from pathlib import Path
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.conformance.runner import HERE, differences, rows_of, runners_without_table, unread
+from tests.conformance.runner import HERE, differences, rows_of, runners_without_table, unread_files
 
 TABLES = sorted(HERE.glob("*.yaml"))
 ROWS = [(path, row["name"]) for path in TABLES for row in rows_of(path)[1]]
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(("path", "name"), ROWS, ids=[f"{path.stem}: {name}" for path, name in ROWS])
-def test_the_row_holds_and_fails_once_any_value_of_it_is_changed(path: Path, name: str) -> None:
+def test_a_row_passes_and_fails_when_any_expected_value_is_changed(path: Path, name: str) -> None:
     run, row = row_of(path, name)
     assert differences(run, row) == []
     for key in row["then"]:
@@ -31,17 +31,17 @@
     assert TABLES
 
 
-def test_no_table_is_left_unread_and_no_runner_without_a_table() -> None:
-    assert unread(HERE, {path for path, _ in ROWS}) == []
+def test_every_table_is_read_and_every_runner_has_a_table() -> None:
+    assert unread_files(HERE, {path for path, _ in ROWS}) == []
     assert runners_without_table(HERE) == []
 
 
-def test_a_table_that_no_test_reads_and_a_runner_without_a_table_are_found(tmp_path: Path) -> None:
+def test_unread_tables_and_runners_without_a_table_are_detected(tmp_path: Path) -> None:
     (tmp_path / "below").mkdir()
     names = ("read.yaml", "left_out.yaml", "other.yml", "below/table.yaml", "run_used.py", "run_alone.py")
     for name in names:
         (tmp_path / name).write_text("runner: used\nrows: [{name: a, given: {}, then: {b: 1}}]")
-    found = unread(tmp_path, {tmp_path / "read.yaml"})
+    found = unread_files(tmp_path, {tmp_path / "read.yaml"})
     assert found == ["below/table.yaml", "left_out.yaml", "other.yml"]
     assert runners_without_table(tmp_path) == ["alone"]
 
--- a/tests/test_fleet_consensus.py
+++ b/tests/test_fleet_consensus.py
@@ -1,6 +1,6 @@
-"""The keepers' log: nothing committed is lost, whatever is lost, doubled, late, and whoever crashes.
+"""The replicated log: no committed entry is lost when messages are lost, duplicated or late and voters crash.
 
-Every keeper's disk is a copy that changes by ``Persist`` alone; a crash may come between any two outputs.
+Every voter's disk is a copy that only ``Persist`` changes; a crash may come between any two outputs.
 """
 
 import copy
@@ -51,24 +51,24 @@
 TIMES = ConsensusSettings()
 
 
-class Lines:
-    """A machine that keeps what was committed, a command after the other."""
+class ListMachine:
+    """A state machine that lists the committed commands in order."""
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []
+        self.commands: list[bytes] = []
 
     def apply(self, entry: Entry) -> None:
-        self.lines.append(entry.data)
+        self.commands.append(entry.data)
 
     def dump(self) -> bytes:
-        return b"\n".join(self.lines)
+        return b"\n".join(self.commands)
 
     def load(self, data: bytes) -> None:
-        self.lines = data.split(b"\n") if data else []
+        self.commands = data.split(b"\n") if data else []
 
 
-def write(disk: StableState, order: Persist) -> None:
-    """What a store does with ``Persist``."""
+def apply_persist(disk: StableState, order: Persist) -> None:
+    """Change the disk as a store does."""
     disk.term, disk.vote = order.term, order.vote
     if order.snapshot is not None:
         disk.log.snapshot = order.snapshot
@@ -78,28 +78,28 @@
         disk.log.truncate(order.truncate_from)
     for entry in order.entries:
         disk.log.truncate(entry.index)
-        assert entry.index == disk.log.last_index + 1, "a hole in the log on disk"
+        assert entry.index == disk.log.last_index + 1, "gap in the log on disk"
         disk.log.entries.append(entry)
 
 
-class World:
-    """Keepers, their disks, and what is on its way between them."""
+class Cluster:
+    """Voters, their disks, and the messages in flight between them."""
 
     def __init__(self, count: int, seed: int = 1, times: ConsensusSettings = TIMES) -> None:
         self.now, self.seed, self.times = 0, seed, times
         self.names = tuple(f"k{n}" for n in range(count))
         self.disks = {name: initial_state(self.names) for name in self.names}
-        self.up: dict[str, Voter] = {}
-        self.flight: list[tuple[str, str, Message]] = []
+        self.running: dict[str, Voter] = {}
+        self.in_flight: list[tuple[str, str, Message]] = []
         self.starts = 0
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, tuple[int, bytes]] = {}
         self.done: dict[int, int] = {}
         self.refused: list[Refused] = []
-        self.told: list[Notice] = []
-        self.reads: dict[int, int] = {}  # by id, what was committed when it was asked
-        self.ids = 0
-        self.followed: list[tuple[str, Message]] = []
+        self.notices: list[Notice] = []
+        self.reads: dict[int, int] = {}  # by id: the newest committed index when it was requested
+        self.last_id = 0
+        self.to_learners: list[tuple[str, Message]] = []
         for name in self.names:
             self.start(name)
 
@@ -107,63 +107,67 @@
         self.starts += 1
         disk = self.disks[name]
         disk.epoch += 1
-        self.up[name] = Voter(
-            name, copy.deepcopy(disk), Lines(), self.seed * 1000 + self.starts, self.now, self.times
+        self.running[name] = Voter(
+            name, copy.deepcopy(disk), ListMachine(), self.seed * 1000 + self.starts, self.now, self.times
         )
 
     def step(self, name: str, inputs: list[Input], crash_after: int = -1) -> None:
-        """One step; with ``crash_after`` only so many of its outputs are carried out, then it crashes."""
-        keeper = self.up[name]
-        for number, out in enumerate(keeper.step(self.now, inputs)):
+        """One step; with ``crash_after`` the voter crashes after that many of its outputs are carried out."""
+        voter = self.running[name]
+        for number, out in enumerate(voter.step(self.now, inputs)):
             if number == crash_after:
                 break
             self.carry_out(name, out)
         if crash_after >= 0:
-            del self.up[name]
+            del self.running[name]
         else:
-            assert self.disks[name].log.entries == keeper.log.entries, "not all is on disk after a step"
-            assert (self.disks[name].term, self.disks[name].vote) == (keeper.stable.term, keeper.stable.vote)
+            assert self.disks[name].log.entries == voter.log.entries, (
+                "state in memory differs from disk after a step"
+            )
+            assert (self.disks[name].term, self.disks[name].vote) == (voter.stable.term, voter.stable.vote)
         self.check()
 
     def carry_out(self, name: str, out: Output) -> None:
         match out:
             case Persist():
-                write(self.disks[name], out)
+                apply_persist(self.disks[name], out)
             case Send(to, message):
-                self.on_disk(name, to, message)
+                self.check_persisted(name, to, message)
                 if to in self.names:
-                    self.flight.append((name, to, message))
+                    self.in_flight.append((name, to, message))
                 else:
-                    self.followed.append((to, message))
+                    self.to_learners.append((to, message))
             case Done(id, index):
                 self.done[id] = index
                 if id in self.reads:
-                    assert index >= self.reads[id], "a read missed what had been committed before it"
+                    assert index >= self.reads[id], "a read missed entries committed before it"
             case Refused():
                 self.refused.append(out)
             case Notice():
-                self.told.append(out)
+                self.notices.append(out)
 
-    def on_disk(self, name: str, to: str, message: Message) -> None:
-        """What a message promises must be written when it leaves."""
+    def check_persisted(self, name: str, to: str, message: Message) -> None:
+        """What a message promises must be on disk when it is sent."""
         disk = self.disks[name]
         match message:
             case VoteResponse(term, True, False):
-                assert (disk.term, disk.vote) == (term, to), "a vote left before it was on disk"
+                assert (disk.term, disk.vote) == (term, to), "a vote was sent before it was on disk"
             case AppendResponse(_, True, match) | AppendRequest(_, match):
                 assert match <= disk.log.last_index, "entries were confirmed or sent before they were on disk"
             case VoteRequest(term, _, _, False):
-                assert (disk.term, disk.vote) == (term, name), "a candidacy left before it was on disk"
+                assert (disk.term, disk.vote) == (term, name), (
+                    "a vote request was sent before the new term was on disk"
+                )
 
     def check(self) -> None:
-        for name, keeper in self.up.items():
-            if keeper.role == Role.LEADER:
-                assert self.leaders.setdefault(keeper.stable.term, name) == name, "two leaders of one term"
-            for index in range(keeper.log.snapshot.index + 1, keeper.commit_index + 1):
-                entry = keeper.log.get(index)
+        for name, voter in self.running.items():
+            if voter.role == Role.LEADER:
+                assert self.leaders.setdefault(voter.stable.term, name) == name, "two leaders of one term"
+            for index in range(voter.log.snapshot.index + 1, voter.commit_index + 1):
+                entry = voter.log.get(index)
                 assert entry is not None
                 known = self.committed.setdefault(index, (entry.term, entry.data))
-                assert known == (entry.term, entry.data), f"{name}: another entry was committed at {index}"
+                assert known == (entry.term, entry.data), f"{name}: a different entry is committed at {index}"
         logs = [disk.log for disk in self.disks.values()]
         for one in logs:
             for other in logs:
@@ -174,319 +178,325 @@
                             if mine is None or theirs is None:
                                 break
                             assert mine == theirs, (
-                                "equal terms at an index, and different entries at or before"
+                                "equal terms at an index, but different entries at or before it"
                             )
                         break
 
     def deliver(self, at: int, keep: bool = False) -> None:
-        sender, to, message = self.flight[at] if keep else self.flight.pop(at)
-        if to in self.up:
+        sender, to, message = self.in_flight[at] if keep else self.in_flight.pop(at)
+        if to in self.running:
             self.step(to, [Received(sender, self.disks[sender].epoch, message)])
 
     def propose(self, name: str, data: bytes) -> int:
-        self.ids += 1
-        self.step(name, [Propose(self.ids, data)])
-        return self.ids
+        self.last_id += 1
+        self.step(name, [Propose(self.last_id, data)])
+        return self.last_id
 
     def read(self, name: str) -> int:
-        self.ids += 1
-        self.reads[self.ids] = max(self.committed, default=0)
-        self.step(name, [ReadIndex(self.ids)])
-        return self.ids
+        self.last_id += 1
+        self.reads[self.last_id] = max(self.committed, default=0)
+        self.step(name, [ReadIndex(self.last_id)])
+        return self.last_id
 
     def wake(self, name: str, by: int) -> None:
-        """Time passes; one keeper is called as its timers want it."""
+        """Let time pass, then call one voter if it is due."""
         self.now += by
-        if name in self.up and self.up[name].due <= self.now:
+        if name in self.running and self.running[name].due <= self.now:
             self.step(name, [])
 
-    def sound(self, time: int, cut: tuple[str, ...] = ()) -> None:
-        """A network without fault, but that some hear nothing and are not heard; a millisecond a way."""
+    def run_healthy(self, time: int, isolated: tuple[str, ...] = ()) -> None:
+        """Run on a network without faults and with 1 ms latency, except that some voters are isolated."""
         end = self.now + time
         while self.now < end:
-            waiting, self.flight = self.flight, []
+            waiting, self.in_flight = self.in_flight, []
             for sender, to, message in waiting:
-                if to in self.up and sender not in cut and to not in cut:
+                if to in self.running and sender not in isolated and to not in isolated:
                     self.step(to, [Received(sender, self.disks[sender].epoch, message)])
-            due = min((keeper.due for keeper in self.up.values()), default=end)
-            self.now = self.now + MS if self.flight else max(self.now + MS, min(due, end))
-            for name in list(self.up):
-                if self.up[name].due <= self.now:
+            due = min((voter.due for voter in self.running.values()), default=end)
+            self.now = self.now + MS if self.in_flight else max(self.now + MS, min(due, end))
+            for name in list(self.running):
+                if self.running[name].due <= self.now:
                     self.step(name, [])
 
     def leader(self) -> Voter:
-        found = [keeper for keeper in self.up.values() if keeper.role == Role.LEADER]
-        assert found, "nobody leads"
-        return max(found, key=lambda keeper: keeper.stable.term)
+        leaders = [voter for voter in self.running.values() if voter.role == Role.LEADER]
+        assert leaders, "there is no leader"
+        return max(leaders, key=lambda voter: voter.stable.term)
 
     def settle(self) -> None:
-        """All are up, the network is sound: there is a leader, it commits, all hold the same."""
+        """With all running on a healthy network there is a leader, it commits, and all hold the same."""
         for name in self.names:
-            if name not in self.up:
+            if name not in self.running:
                 self.start(name)
-        self.sound(10 * SECOND)
+        self.run_healthy(10 * SECOND)
         id = self.propose(self.leader().name, b"last")
-        self.sound(2 * SECOND)
+        self.run_healthy(2 * SECOND)
         assert id in self.done
-        keepers = [keeper for name, keeper in self.up.items() if name in self.leader().voters]
-        assert len({tuple(machine.lines) for k in keepers if isinstance(machine := k.machine, Lines)}) == 1
-        assert len({keeper.commit_index for keeper in keepers}) == 1
+        voters = [voter for name, voter in self.running.items() if name in self.leader().voters]
+        assert (
+            len({tuple(machine.commands) for k in voters if isinstance(machine := k.machine, ListMachine)})
+            == 1
+        )
+        assert len({voter.commit_index for voter in voters}) == 1
 
 
-def lines(keeper: Voter) -> list[bytes]:
-    assert isinstance(keeper.machine, Lines)
-    return keeper.machine.lines
+def commands(voter: Voter) -> list[bytes]:
+    assert isinstance(voter.machine, ListMachine)
+    return voter.machine.commands
 
 
-def ready(count: int = 3, seed: int = 1, times: ConsensusSettings = TIMES) -> World:
-    world = World(count, seed, times)
-    world.sound(5 * SECOND)
-    return world
+def started_cluster(count: int = 3, seed: int = 1, times: ConsensusSettings = TIMES) -> Cluster:
+    cluster = Cluster(count, seed, times)
+    cluster.run_healthy(5 * SECOND)
+    return cluster
 
 
-# --- as it should go ---
+# --- single scenarios ---
 
 
-def test_one_leads_and_what_it_commits_is_everywhere() -> None:
-    world = ready(5)
-    ids = [world.propose(world.leader().name, f"c{n}".encode()) for n in range(200)]
-    world.sound(SECOND)
-    assert all(id in world.done for id in ids)
-    assert {tuple(lines(keeper)) for keeper in world.up.values()} == {
+def test_one_leader_is_elected_and_its_commits_reach_all_voters() -> None:
+    cluster = started_cluster(5)
+    ids = [cluster.propose(cluster.leader().name, f"c{n}".encode()) for n in range(200)]
+    cluster.run_healthy(SECOND)
+    assert all(id in cluster.done for id in ids)
+    assert {tuple(commands(voter)) for voter in cluster.running.values()} == {
         tuple(f"c{n}".encode() for n in range(200))
     }
-    assert len(world.leaders) == 1
+    assert len(cluster.leaders) == 1
 
 
-def test_a_command_takes_two_ways_not_a_heartbeat() -> None:
-    world = ready()
-    id = world.propose(world.leader().name, b"x")
-    world.sound(5 * MS)
-    assert id in world.done
+def test_a_command_is_committed_after_one_round_trip_without_waiting_for_a_heartbeat() -> None:
+    cluster = started_cluster()
+    id = cluster.propose(cluster.leader().name, b"x")
+    cluster.run_healthy(5 * MS)
+    assert id in cluster.done
 
 
-def test_a_leader_without_a_majority_steps_down_and_the_others_go_on() -> None:
-    world = ready(5)
-    old = world.leader()
-    world.sound(10 * SECOND, cut=(old.name,))
-    assert old.role != Role.LEADER and any("majority" in told.text for told in world.told)
-    new = world.leader()
+def test_a_leader_without_a_majority_steps_down_and_the_others_elect_another() -> None:
+    cluster = started_cluster(5)
+    old = cluster.leader()
+    cluster.run_healthy(10 * SECOND, isolated=(old.name,))
+    assert old.role != Role.LEADER and any("majority" in notice.text for notice in cluster.notices)
+    new = cluster.leader()
     assert new.name != old.name
-    lost = world.propose(old.name, b"to nobody")
-    assert world.refused[-1].id == lost
-    id = world.propose(new.name, b"x")
-    world.sound(SECOND, cut=(old.name,))
-    assert id in world.done
-    world.sound(3 * SECOND)
-    assert lines(old) == [b"x"]
-
-
-def test_a_minority_commits_nothing_and_its_proposal_may_be_void() -> None:
-    world = ready(3)
-    old = world.leader()
-    id = world.propose(old.name, b"void")
-    world.flight.clear()  # nobody hears of it
-    world.sound(10 * SECOND, cut=(old.name,))
-    assert id not in world.done and world.refused[-1].id == id
-    world.propose(world.leader().name, b"kept")
-    world.sound(2 * SECOND, cut=(old.name,))
-    world.sound(5 * SECOND)
-    assert {tuple(lines(keeper)) for keeper in world.up.values()} == {(b"kept",)}
-
-
-def test_one_that_was_cut_off_does_not_depose_a_sound_leader_when_it_is_back() -> None:
-    world = ready(5)
-    leader, term = world.leader().name, world.leader().stable.term
-    away = next(name for name in world.names if name != leader)
-    world.sound(30 * SECOND, cut=(away,))
-    world.sound(5 * SECOND)
-    assert world.leader().name == leader and world.leader().stable.term == term
+    lost = cluster.propose(old.name, b"to nobody")
+    assert cluster.refused[-1].id == lost
+    id = cluster.propose(new.name, b"x")
+    cluster.run_healthy(SECOND, isolated=(old.name,))
+    assert id in cluster.done
+    cluster.run_healthy(3 * SECOND)
+    assert commands(old) == [b"x"]
+
+
+def test_a_minority_commits_nothing_and_its_proposal_may_be_discarded() -> None:
+    cluster = started_cluster(3)
+    old = cluster.leader()
+    id = cluster.propose(old.name, b"void")
+    cluster.in_flight.clear()  # no other voter receives it
+    cluster.run_healthy(10 * SECOND, isolated=(old.name,))
+    assert id not in cluster.done and cluster.refused[-1].id == id
+    cluster.propose(cluster.leader().name, b"kept")
+    cluster.run_healthy(2 * SECOND, isolated=(old.name,))
+    cluster.run_healthy(5 * SECOND)
+    assert {tuple(commands(voter)) for voter in cluster.running.values()} == {(b"kept",)}
+
+
+def test_a_voter_that_was_isolated_does_not_depose_the_leader_when_it_returns() -> None:
+    cluster = started_cluster(5)
+    leader, term = cluster.leader().name, cluster.leader().stable.term
+    away = next(name for name in cluster.names if name != leader)
+    cluster.run_healthy(30 * SECOND, isolated=(away,))
+    cluster.run_healthy(5 * SECOND)
+    assert cluster.leader().name == leader and cluster.leader().stable.term == term
 
 
 def test_a_read_is_answered_only_by_a_leader_that_a_majority_confirms() -> None:
-    world = ready(3)
-    leader = world.leader()
-    world.propose(leader.name, b"x")
-    world.sound(SECOND)
-    id = world.read(leader.name)
-    assert id not in world.done  # not before others have answered
-    world.sound(SECOND)
-    assert id in world.done
-    late = world.read(leader.name)
-    world.sound(10 * SECOND, cut=(leader.name,))
-    assert late not in world.done and any(one.id == late for one in world.refused)
-    follower = next(name for name in world.names if world.up[name].role != Role.LEADER)
-    assert world.read(follower) == world.refused[-1].id
-
-
-def test_an_entry_of_an_older_term_is_committed_only_through_one_of_the_own() -> None:
-    world = World(3)
-    keeper = world.up["k0"]
+    cluster = started_cluster(3)
+    leader = cluster.leader()
+    cluster.propose(leader.name, b"x")
+    cluster.run_healthy(SECOND)
+    id = cluster.read(leader.name)
+    assert id not in cluster.done  # not before other voters have answered
+    cluster.run_healthy(SECOND)
+    assert id in cluster.done
+    late = cluster.read(leader.name)
+    cluster.run_healthy(10 * SECOND, isolated=(leader.name,))
+    assert late not in cluster.done and any(one.id == late for one in cluster.refused)
+    follower = next(name for name in cluster.names if cluster.running[name].role != Role.LEADER)
+    assert cluster.read(follower) == cluster.refused[-1].id
+
+
+def test_an_entry_of_an_older_term_is_committed_only_through_one_of_the_current_term() -> None:
+    cluster = Cluster(3)
+    voter = cluster.running["k0"]
     old = Entry(1, 1, b"old")
-    world.disks["k0"].log.entries.append(old)
-    world.disks["k0"].term = 3
-    world.up.clear()
-    world.start("k0")
-    keeper = world.up["k0"]
-    keeper.stable.term, keeper.role = 4, Role.CANDIDATE
-    world.disks["k0"].term = 4
-    keeper._outputs = []
-    keeper._become_leader()
-    for out in keeper._outputs:
-        world.carry_out("k0", out)
-    world.step("k0", [Received("k1", 1, AppendResponse(4, True, 1, 1))])  # a majority has the old one
-    assert keeper.commit_index == 0
-    world.step("k0", [Received("k1", 1, AppendResponse(4, True, 2, 1))])
-    assert keeper.commit_index == 2
-
-
-def test_a_log_that_grows_is_compacted_and_one_that_is_behind_gets_it_in_pieces() -> None:
+    cluster.disks["k0"].log.entries.append(old)
+    cluster.disks["k0"].term = 3
+    cluster.running.clear()
+    cluster.start("k0")
+    voter = cluster.running["k0"]
+    voter.stable.term, voter.role = 4, Role.CANDIDATE
+    cluster.disks["k0"].term = 4
+    voter._outputs = []
+    voter._become_leader()
+    for out in voter._outputs:
+        cluster.carry_out("k0", out)
+    cluster.step("k0", [Received("k1", 1, AppendResponse(4, True, 1, 1))])  # a majority has the old entry
+    assert voter.commit_index == 0
+    cluster.step("k0", [Received("k1", 1, AppendResponse(4, True, 2, 1))])
+    assert voter.commit_index == 2
+
+
+def test_a_growing_log_is_compacted_and_a_lagging_voter_receives_the_snapshot_in_chunks() -> None:
     times = replace(TIMES, entries_before_compaction=50)
-    world = ready(3, times=times)
-    away = next(name for name in world.names if world.up[name].role != Role.LEADER)
-    del world.up[away]
+    cluster = started_cluster(3, times=times)
+    away = next(name for name in cluster.names if cluster.running[name].role != Role.LEADER)
+    del cluster.running[away]
     for number in range(120):
-        world.propose(world.leader().name, bytes([65 + number % 26]) * 2000)
+        cluster.propose(cluster.leader().name, bytes([65 + number % 26]) * 2000)
         if number % 20 == 19:
-            world.sound(SECOND)
-    assert world.leader().log.snapshot.index > 40
-    assert len(world.leader().log.snapshot.data) > 2 * SNAPSHOT_CHUNK_BYTES
-    world.start(away)
-    world.sound(5 * SECOND)
-    assert lines(world.up[away]) == lines(world.leader()) and len(lines(world.up[away])) == 120
-    del world.up[away]
-    world.start(away)  # from its disk alone
-    assert world.up[away].log.snapshot.index > 40
-
-
-def test_a_keeper_is_replaced_by_another_one_at_a_time() -> None:
-    world = ready(3)
-    world.propose(world.leader().name, b"x")
-    world.sound(SECOND)
-    gone = next(name for name in world.names if world.up[name].role != Role.LEADER)
-    del world.up[gone]
-    world.names = (*world.names, "k9")
-    world.disks["k9"] = initial_state(())
-    world.start("k9")
-    leader = world.leader()
-    world.step(leader.name, [ChangeVoters(900, (*leader.voters, "k9", "k8"))])
-    assert world.refused[-1].id == 900 and "one voter more or one fewer" in world.refused[-1].why
-    world.step(leader.name, [ChangeVoters(901, (*leader.voters, "k9"))])
-    world.step(leader.name, [ChangeVoters(902, tuple(n for n in leader.voters if n != gone))])
-    assert "not committed yet" in world.refused[-1].why
-    world.sound(2 * SECOND)
-    world.step(leader.name, [ChangeVoters(903, tuple(n for n in leader.voters if n != gone))])
-    world.sound(2 * SECOND)
-    assert {901, 903} <= set(world.done) and set(leader.voters) == (set(world.names) - {gone})
-    assert lines(world.up["k9"]) == [b"x"]
-    del world.up[leader.name]
-    world.sound(5 * SECOND)
-    assert world.leader().name != leader.name  # two of three, one of them the new one
-
-
-def test_a_keeper_that_lost_what_it_had_confirmed_counts_no_more() -> None:
-    world = ready(3)
-    leader = world.leader()
-    away = next(name for name in world.names if name != leader.name)
-    old = copy.deepcopy(world.disks[away])
+            cluster.run_healthy(SECOND)
+    assert cluster.leader().log.snapshot.index > 40
+    assert len(cluster.leader().log.snapshot.data) > 2 * SNAPSHOT_CHUNK_BYTES
+    cluster.start(away)
+    cluster.run_healthy(5 * SECOND)
+    assert (
+        commands(cluster.running[away]) == commands(cluster.leader())
+        and len(commands(cluster.running[away])) == 120
+    )
+    del cluster.running[away]
+    cluster.start(away)  # from its disk alone
+    assert cluster.running[away].log.snapshot.index > 40
+
+
+def test_a_voter_is_replaced_in_two_changes_of_one_voter_each() -> None:
+    cluster = started_cluster(3)
+    cluster.propose(cluster.leader().name, b"x")
+    cluster.run_healthy(SECOND)
+    gone = next(name for name in cluster.names if cluster.running[name].role != Role.LEADER)
+    del cluster.running[gone]
+    cluster.names = (*cluster.names, "k9")
+    cluster.disks["k9"] = initial_state(())
+    cluster.start("k9")
+    leader = cluster.leader()
+    cluster.step(leader.name, [ChangeVoters(900, (*leader.voters, "k9", "k8"))])
+    assert cluster.refused[-1].id == 900 and "one voter more or one fewer" in cluster.refused[-1].why
+    cluster.step(leader.name, [ChangeVoters(901, (*leader.voters, "k9"))])
+    cluster.step(leader.name, [ChangeVoters(902, tuple(n for n in leader.voters if n != gone))])
+    assert "not committed yet" in cluster.refused[-1].why
+    cluster.run_healthy(2 * SECOND)
+    cluster.step(leader.name, [ChangeVoters(903, tuple(n for n in leader.voters if n != gone))])
+    cluster.run_healthy(2 * SECOND)
+    assert {901, 903} <= set(cluster.done) and set(leader.voters) == (set(cluster.names) - {gone})
+    assert commands(cluster.running["k9"]) == [b"x"]
+    del cluster.running[leader.name]
+    cluster.run_healthy(5 * SECOND)
+    assert cluster.leader().name != leader.name  # two of three, one of them the new one
+
+
+def test_a_voter_that_lost_confirmed_entries_is_excluded() -> None:
+    cluster = started_cluster(3)
+    leader = cluster.leader()
+    away = next(name for name in cluster.names if name != leader.name)
+    old = copy.deepcopy(cluster.disks[away])
     for number in range(5):
-        world.propose(leader.name, b"%d" % number)
-    world.sound(SECOND)
-    del world.up[away]
-    world.disks[away] = old  # a copy of before
+        cluster.propose(leader.name, b"%d" % number)
+    cluster.run_healthy(SECOND)
+    del cluster.running[away]
+    cluster.disks[away] = old  # a backup from before the commands
     old.epoch += 2
-    world.start(away)
-    world.sound(2 * SECOND)
+    cluster.start(away)
+    cluster.run_healthy(2 * SECOND)
     assert away in leader.excluded_voters and any(
-        "its disk was rolled back" in told.text for told in world.told
+        "its disk was rolled back" in notice.text for notice in cluster.notices
     )
-    third = next(name for name in world.names if name not in (leader.name, away))
-    del world.up[third]
-    id = world.propose(leader.name, b"x")
-    world.sound(500 * MS)
-    assert id not in world.done  # the one that forgets makes no majority
-
-
-def test_a_store_copied_from_earlier_is_known_by_its_count_of_starts() -> None:
-    world = ready(3)
-    leader = world.leader()
-    away = next(name for name in world.names if name != leader.name)
-    old = copy.deepcopy(world.disks[away])
+    third = next(name for name in cluster.names if name not in (leader.name, away))
+    del cluster.running[third]
+    id = cluster.propose(leader.name, b"x")
+    cluster.run_healthy(500 * MS)
+    assert id not in cluster.done  # the excluded voter does not count for a majority
+
+
+def test_a_restored_older_store_is_detected_by_its_epoch() -> None:
+    cluster = started_cluster(3)
+    leader = cluster.leader()
+    away = next(name for name in cluster.names if name != leader.name)
+    old = copy.deepcopy(cluster.disks[away])
     for _ in range(3):
-        del world.up[away]
-        world.start(away)
-        world.sound(SECOND)
-    del world.up[away]
-    world.disks[away] = old
-    world.start(away)
-    world.sound(5 * SECOND)
+        del cluster.running[away]
+        cluster.start(away)
+        cluster.run_healthy(SECOND)
+    del cluster.running[away]
+    cluster.disks[away] = old
+    cluster.start(away)
+    cluster.run_healthy(5 * SECOND)
     assert away in leader.excluded_voters
 
 
-def test_others_follow_the_committed_log_from_any_keeper() -> None:
-    world = ready(3, times=replace(TIMES, entries_before_compaction=20))
+def test_a_learner_follows_the_committed_log_from_any_voter() -> None:
+    cluster = started_cluster(3, times=replace(TIMES, entries_before_compaction=20))
     for number in range(30):
-        world.propose(world.leader().name, b"%d" % number)
-        world.sound(100 * MS)
-    world.sound(SECOND)
-    machine = Lines()
-    follower = Learner(machine, world.names)
-    keeper = next(name for name in world.names if world.up[name].role != Role.LEADER)
-
-    def hear() -> None:
-        told, world.followed = world.followed, []
-        for to, message in told:
+        cluster.propose(cluster.leader().name, b"%d" % number)
+        cluster.run_healthy(100 * MS)
+    cluster.run_healthy(SECOND)
+    machine = ListMachine()
+    learner = Learner(machine, cluster.names)
+    voter = next(name for name in cluster.names if cluster.running[name].role != Role.LEADER)
+
+    def receive_all() -> None:
+        messages, cluster.to_learners = cluster.to_learners, []
+        for to, message in messages:
             assert to == "b7" and isinstance(message, LearnerEntries | LearnerSnapshotChunk)
-            follower.receive(world.now, message)
-
-    world.step(keeper, [Received("b7", 0, follower.poll())])
-    hear()
-    world.step(keeper, [Received("b7", 0, follower.poll())])
-    hear()
-    assert machine.lines == [b"%d" % number for number in range(30)]
-    assert follower.leader == world.leader().name
-    world.propose(world.leader().name, b"new")
-    world.sound(300 * MS)  # with the next heartbeat at the latest, unasked
-    hear()
-    assert machine.lines[-1] == b"new"
-    world.sound(TIMES.learner_lease_ns)
-    world.propose(world.leader().name, b"newer")
-    world.sound(SECOND)
-    assert "b7" not in world.up[keeper].learners  # it did not ask again
-
-
-def test_a_command_from_afar_is_answered_with_its_index_or_who_may_lead() -> None:
-    world = ready(3)
-    leader = world.leader().name
-    other = next(name for name in world.names if name != leader)
-    world.step(other, [Received("b7", 0, ProposalRequest(5, b"x"))])
-    assert world.followed.pop() == ("b7", ProposalResponse(5, 0, "not the leader", leader))
-    world.step(leader, [Received("b7", 0, ProposalRequest(6, b"x"))])
-    world.sound(SECOND)
-    to, answer = world.followed.pop()
+            learner.receive(cluster.now, message)
+
+    cluster.step(voter, [Received("b7", 0, learner.poll())])
+    receive_all()
+    cluster.step(voter, [Received("b7", 0, learner.poll())])
+    receive_all()
+    assert machine.commands == [b"%d" % number for number in range(30)]
+    assert learner.leader == cluster.leader().name
+    cluster.propose(cluster.leader().name, b"new")
+    cluster.run_healthy(300 * MS)  # with the next heartbeat at the latest, without a poll
+    receive_all()
+    assert machine.commands[-1] == b"new"
+    cluster.run_healthy(TIMES.learner_lease_ns)
+    cluster.propose(cluster.leader().name, b"newer")
+    cluster.run_healthy(SECOND)
+    assert "b7" not in cluster.running[voter].learners  # its lease has ended: it did not poll again
+
+
+def test_a_remote_command_is_answered_with_its_index_or_the_likely_leader() -> None:
+    cluster = started_cluster(3)
+    leader = cluster.leader().name
+    other = next(name for name in cluster.names if name != leader)
+    cluster.step(other, [Received("b7", 0, ProposalRequest(5, b"x"))])
+    assert cluster.to_learners.pop() == ("b7", ProposalResponse(5, 0, "not the leader", leader))
+    cluster.step(leader, [Received("b7", 0, ProposalRequest(6, b"x"))])
+    cluster.run_healthy(SECOND)
+    to, answer = cluster.to_learners.pop()
     assert to == "b7" and isinstance(answer, ProposalResponse) and answer.id == 6 and answer.index > 0
-    world.propose(leader, b"y" * (MAX_COMMAND_BYTES + 1))
-    assert f"at most {MAX_COMMAND_BYTES}" in world.refused[-1].why
+    cluster.propose(leader, b"y" * (MAX_COMMAND_BYTES + 1))
+    assert f"at most {MAX_COMMAND_BYTES}" in cluster.refused[-1].why
     for _ in range(core.MAX_OPEN_REQUESTS + 1):
-        world.propose(leader, b"z")
-    assert world.refused[-1].why == "too many commands wait"
+        cluster.propose(leader, b"z")
+    assert cluster.refused[-1].why == "too many commands wait"
 
 
-def test_one_keeper_alone_commits_by_itself() -> None:
-    world = World(1)
-    world.sound(3 * SECOND)
-    id = world.propose("k0", b"x")
-    assert id in world.done and lines(world.up["k0"]) == [b"x"]
-    assert world.read("k0") in world.done
+def test_a_single_voter_commits_alone() -> None:
+    cluster = Cluster(1)
+    cluster.run_healthy(3 * SECOND)
+    id = cluster.propose("k0", b"x")
+    assert id in cluster.done and commands(cluster.running["k0"]) == [b"x"]
+    assert cluster.read("k0") in cluster.done
 
 
-# --- any order ---
+# --- random and exhaustive schedules ---
 
-ACTS = st.lists(
+ACTIONS = st.lists(
     st.tuples(
         st.sampled_from(
-            ["deliver", "deliver", "deliver", "drop", "double", "wake", "wake", "crash", "half", "start",
-             "propose", "read", "sound"]
+            ["deliver", "deliver", "deliver", "drop", "duplicate", "wake", "wake", "crash", "crash mid-step",
+             "start", "propose", "read", "run healthy"]
         ),
         st.integers(0, 999),
     ),
@@ -494,76 +504,78 @@
 )  # fmt: skip
 
 
-def act(world: World, kind: str, number: int) -> None:
-    up = sorted(world.up)
-    if kind in ("deliver", "drop", "double"):
-        if world.flight:
-            at = number % len(world.flight)
+def perform(cluster: Cluster, kind: str, number: int) -> None:
+    up = sorted(cluster.running)
+    if kind in ("deliver", "drop", "duplicate"):
+        if cluster.in_flight:
+            at = number % len(cluster.in_flight)
             if kind == "drop":
-                world.flight.pop(at)
+                cluster.in_flight.pop(at)
             else:
-                world.deliver(at, keep=kind == "double")
+                cluster.deliver(at, keep=kind == "duplicate")
     elif kind == "start":
-        down = [name for name in world.names if name not in world.up]
+        down = [name for name in cluster.names if name not in cluster.running]
         if down:
-            world.start(down[number % len(down)])
-    elif kind == "sound":
-        world.sound((number % 40) * 100 * MS)
+            cluster.start(down[number % len(down)])
+    elif kind == "run healthy":
+        cluster.run_healthy((number % 40) * 100 * MS)
     elif not up:
         return
     elif kind == "wake":
-        world.wake(up[number % len(up)], number * 3 * MS)
+        cluster.wake(up[number % len(up)], number * 3 * MS)
     elif kind == "crash":
-        del world.up[up[number % len(up)]]
-    elif kind == "half":  # in the middle of a step, between two of its outputs
+        del cluster.running[up[number % len(up)]]
+    elif kind == "crash mid-step":  # between two outputs of a step
         name = up[number % len(up)]
-        world.now += 3 * SECOND
+        cluster.now += 3 * SECOND
         inputs: list[Input] = [Propose(10_000 + number, b"h%d" % number)]
-        inputs += [Received(s, world.disks[s].epoch, m) for s, to, m in world.flight if to == name][:1]
-        world.step(name, inputs, crash_after=number % 5)
+        inputs += [Received(s, cluster.disks[s].epoch, m) for s, to, m in cluster.in_flight if to == name][:1]
+        cluster.step(name, inputs, crash_after=number % 5)
     elif kind == "propose":
-        world.propose(up[number % len(up)], b"p%d" % number)
+        cluster.propose(up[number % len(up)], b"p%d" % number)
     elif kind == "read":
-        world.read(up[number % len(up)])
+        cluster.read(up[number % len(up)])
 
 
-def survives(acts: list[tuple[str, int]], count: int, seed: int) -> None:
-    world = World(count, seed, replace(TIMES, entries_before_compaction=8))
-    for kind, number in acts:
-        act(world, kind, number)
-    world.settle()
+def run_schedule(actions: list[tuple[str, int]], count: int, seed: int) -> None:
+    cluster = Cluster(count, seed, replace(TIMES, entries_before_compaction=8))
+    for kind, number in actions:
+        perform(cluster, kind, number)
+    cluster.settle()
 
 
-@given(ACTS, st.sampled_from([3, 5]), st.integers(0, 50))
+@given(ACTIONS, st.sampled_from([3, 5]), st.integers(0, 50))
 @settings(max_examples=150, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-def test_nothing_committed_is_lost_in_any_order(acts: list[tuple[str, int]], count: int, seed: int) -> None:
-    survives(acts, count, seed)
+def test_nothing_committed_is_lost_in_any_order(
+    actions: list[tuple[str, int]], count: int, seed: int
+) -> None:
+    run_schedule(actions, count, seed)
 
 
-def moves(world: World, crashed: bool) -> Iterator[tuple[str, int]]:
-    for at in range(min(len(world.flight), 2)):
-        yield from ((kind, at) for kind in ("deliver", "drop", "double"))
-    for at in range(len(world.up)):
-        yield "wake", 666 // 3 * 3 + at  # its name by the rest of the division
+def possible_actions(cluster: Cluster, crashed: bool) -> Iterator[tuple[str, int]]:
+    for at in range(min(len(cluster.in_flight), 2)):
+        yield from ((kind, at) for kind in ("deliver", "drop", "duplicate"))
+    for at in range(len(cluster.running)):
+        yield "wake", 666 // 3 * 3 + at  # the remainder chooses the voter
     if not crashed:
-        for at in range(len(world.up)):
+        for at in range(len(cluster.running)):
             yield "crash", at
-    elif len(world.up) < len(world.names):
+    elif len(cluster.running) < len(cluster.names):
         yield "start", 0
     yield "propose", 0
 
 
 def explore(depth: int) -> int:
-    """All schedules of three keepers from a moment at which an election is on; the number of states."""
-    world = World(3, 2)
-    while not any(keeper.role == Role.CANDIDATE for keeper in world.up.values()):
-        due, name = min((keeper.due, name) for name, keeper in world.up.items())
-        if world.flight:
-            world.deliver(0)
+    """Play all schedules of three voters from a running election on; returns the number of states."""
+    cluster = Cluster(3, 2)
+    while not any(voter.role == Role.CANDIDATE for voter in cluster.running.values()):
+        due, name = min((voter.due, name) for name, voter in cluster.running.items())
+        if cluster.in_flight:
+            cluster.deliver(0)
         else:
-            world.now = max(due, world.now)
-            world.step(name, [])
-    stack: list[tuple[World, int, bool]] = [(world, 0, False)]
+            cluster.now = max(due, cluster.now)
+            cluster.step(name, [])
+    stack: list[tuple[Cluster, int, bool]] = [(cluster, 0, False)]
     seen: set[Any] = set()
     states = 0
     while stack:
@@ -571,13 +583,13 @@
         states += 1
         if level == depth:
             continue
-        for kind, number in moves(before, crashed):
+        for kind, number in possible_actions(before, crashed):
             after = copy.deepcopy(before)
-            act(after, kind, number)
+            perform(after, kind, number)
             mark = (
-                level, after.now, tuple(after.flight),
+                level, after.now, tuple(after.in_flight),
                 tuple((n, k.role, k.stable.term, k.stable.vote, k.commit_index, tuple(k.log.entries))
-                      for n, k in sorted(after.up.items())),
+                      for n, k in sorted(after.running.items())),
             )  # fmt: skip
             if mark not in seen:
                 seen.add(mark)
@@ -585,12 +597,12 @@
     return states
 
 
-def test_three_keepers_explored_exhaustively_to_depth_four() -> None:
+def test_three_voters_explored_exhaustively_to_depth_four() -> None:
     assert explore(4) > 500
 
 
-def plant_forgotten_vote(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A bug: a vote leaves before it is on disk."""
+def plant_unpersisted_vote(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Plants a bug: a vote is sent before it is on disk."""
 
     def wrong(self: Voter, term: int, vote: str = "") -> None:
         self.stable.term, self.stable.vote = term, vote
@@ -598,8 +610,8 @@
     monkeypatch.setattr(Voter, "_set_term", wrong)
 
 
-def plant_vote_for_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A bug: a vote does not look at whose log is newer."""
+def plant_vote_without_log_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Plants a bug: a vote is granted without comparing the logs."""
     ask = Voter._on_vote_request
 
     def wrong(self: Voter, sender: str, message: VoteRequest) -> None:
@@ -608,8 +620,8 @@
     monkeypatch.setattr(Voter, "_on_vote_request", wrong)
 
 
-def plant_answer_before_disk(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A bug: what is sent goes first, what is written after."""
+def plant_send_before_persist(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Plants a bug: messages are sent before the state is persisted."""
     step = Voter.step
 
     def wrong(self: Voter, now: int, inputs: Any) -> list[Output]:
@@ -618,37 +630,40 @@
     monkeypatch.setattr(Voter, "step", wrong)
 
 
-@pytest.mark.parametrize("plant", [plant_forgotten_vote, plant_vote_for_all, plant_answer_before_disk])
+@pytest.mark.parametrize(
+    "plant", [plant_unpersisted_vote, plant_vote_without_log_check, plant_send_before_persist]
+)
 def test_planted_bugs_are_found(plant: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
     source = random.Random(4)
-    kinds = ["deliver"] * 5 + ["drop", "wake", "wake", "crash", "half", "start", "start", "propose", "sound"]
+    kinds = ["deliver"] * 5 + ["drop", "wake", "wake", "crash", "crash mid-step", "start", "start", "propose",
+                               "run healthy"]  # fmt: skip
     with pytest.raises(AssertionError):
         for seed in range(600):
-            survives([(source.choice(kinds), source.randrange(1000)) for _ in range(150)], 3, seed)
+            run_schedule([(source.choice(kinds), source.randrange(1000)) for _ in range(150)], 3, seed)
 
 
-def test_messages_that_come_late_or_twice_shut_nobody_out() -> None:
-    world = ready(3)
-    leader = world.leader()
-    other = next(name for name in world.names if name != leader.name)
+def test_late_or_duplicate_messages_exclude_no_voter() -> None:
+    cluster = started_cluster(3)
+    leader = cluster.leader()
+    other = next(name for name in cluster.names if name != leader.name)
     term, peer = leader.stable.term, leader.peers[other]
-    world.propose(leader.name, b"x")
-    world.sound(SECOND)
-    world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, peer.match_round))])
+    cluster.propose(leader.name, b"x")
+    cluster.run_healthy(SECOND)
+    cluster.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, peer.match_round))])
     assert not leader.excluded_voters and leader.peers[other].match_index == leader.log.last_index
-    world.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, leader.round + 1))])
+    cluster.step(leader.name, [Received(other, 2, AppendResponse(term, False, 0, leader.round + 1))])
     assert other in leader.excluded_voters
 
 
-def test_void_kinds_of_messages_change_nothing() -> None:
-    world = ready(3)
-    leader = world.leader()
+def test_messages_of_an_old_term_change_nothing() -> None:
+    cluster = started_cluster(3)
+    leader = cluster.leader()
     before = (leader.stable.term, leader.commit_index, leader.role)
     for message in (
         VoteResponse(0, True, False, 0),
         AppendRequest(0, 0, 0, (), 0, 0),
         SnapshotChunk(0, 1, 1, (), 0, 0, b"", 0),
     ):
-        world.step(leader.name, [Received("k1", 5, message)])
+        cluster.step(leader.name, [Received("k1", 5, message)])
     assert (leader.stable.term, leader.commit_index, leader.role) == before
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -1,4 +1,4 @@
-"""Sockets of the fleet: what comes in pieces, too large or from nobody, and members that are not there."""
+"""The fleet's sockets: fragmented, oversized and invalid messages, and unreachable members."""
 
 import socket
 from collections.abc import Iterator
@@ -6,14 +6,14 @@
 import pytest
 
 from quincepath.fleet.messages import MAX_FRAME_BYTES, ExchangeRequest, pack
-from quincepath.fleet.transport import LENGTH_PREFIX_BYTES, MAX_WAITING_MESSAGES, Transport
+from quincepath.fleet.transport import LENGTH_PREFIX_BYTES, MAX_QUEUED_MESSAGES, Transport
 from quincepath.fleet.view.core import CloseConnection, View
 from quincepath.fleet.view.facts import Phase, ViewSettings
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Stream
 from tests.test_fleet_processes import free_ports
 
-LONGEST = 20.0  # seconds
+MAX_WAIT_S = 20.0
 
 
 class Pair:
@@ -23,29 +23,29 @@
         self.loop = Loop()
         self.ports = free_ports(2)
         self.places = {f"b{n}": ("127.0.0.1", port) for n, port in enumerate(self.ports)}
-        self.edges: dict[str, Transport] = {}
-        self.agreed: list[bytes] = []
+        self.transports: dict[str, Transport] = {}
+        self.log_messages: list[bytes] = []
 
     def start(self, name: str) -> Transport:
         other = "b1" if name == "b0" else "b0"
         view = View(ViewSettings("lab", name, (other,)), 5 + int(name[1:]), 1, self.loop.clock())
         port = self.places[name][1]
-        edge = self.edges[name] = Transport(
-            self.loop, view, self.places, "127.0.0.1", port, lambda told: None
+        transport = self.transports[name] = Transport(
+            self.loop, view, self.places, "127.0.0.1", port, lambda notice: None
         )
-        edge.on_log_message = self.agreed.append
-        return edge
+        transport.on_log_message = self.log_messages.append
+        return transport
 
     def until(self, true: object) -> None:
-        assert callable(true) and self.loop.run_until(true, LONGEST), "it did not come about in time"
+        assert callable(true) and self.loop.run_until(true, MAX_WAIT_S), "condition not met in time"
 
 
 @pytest.fixture
 def pair() -> Iterator[Pair]:
     world = Pair()
     yield world
-    for edge in world.edges.values():
-        edge.close()
+    for transport in world.transports.values():
+        transport.close()
     world.loop.close()
 
 
@@ -56,7 +56,7 @@
     assert {belief.name for belief in one.view.table.all()} == {"b0", "b1"}
 
 
-def test_what_is_no_message_is_dropped_and_its_connection_closed(pair: Pair) -> None:
+def test_an_invalid_message_is_dropped_and_its_connection_closed(pair: Pair) -> None:
     one = pair.start("b0")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.sendto(b"nonsense", pair.places["b0"])
@@ -80,7 +80,7 @@
             pair.until(closed)
 
 
-def test_a_message_that_comes_byte_by_byte_is_one_message(pair: Pair) -> None:
+def test_a_message_received_byte_by_byte_is_one_message(pair: Pair) -> None:
     pair.start("b0")
     view = View(ViewSettings("lab", "b1", ("b0",)), 9, 1, pair.loop.clock())
     me = view.own.belief(0).to_state(0)
@@ -100,28 +100,28 @@
             return len(answer) > LENGTH_PREFIX_BYTES
 
         pair.until(answered)
-        assert pair.edges["b0"].view.dropped == {}
+        assert pair.transports["b0"].view.dropped == {}
 
 
-def test_messages_of_the_log_wait_for_a_connection_and_are_lost_without_harm(pair: Pair) -> None:
+def test_messages_of_the_log_are_queued_for_a_connection_and_may_be_lost(pair: Pair) -> None:
     one = pair.start("b0")
-    for number in range(MAX_WAITING_MESSAGES + 10):
+    for number in range(MAX_QUEUED_MESSAGES + 10):
         one.send_log_message("b1", b"%d" % number)
-    pair.loop.run_until(lambda: False, 0.6)  # nobody is there; it is dialled, refused, and left for a while
-    assert pair.agreed == []
+    pair.loop.run_until(lambda: False, 0.6)  # nothing listens: dialled, refused, and not redialled at once
+    assert pair.log_messages == []
     pair.start("b1")
     for _ in range(200):
         one.send_log_message("b1", b"now")
-        if pair.loop.run_until(lambda: b"now" in pair.agreed, 0.05):
+        if pair.loop.run_until(lambda: b"now" in pair.log_messages, 0.05):
             break
-    assert b"now" in pair.agreed and len(pair.agreed) <= MAX_WAITING_MESSAGES + 201
+    assert b"now" in pair.log_messages and len(pair.log_messages) <= MAX_QUEUED_MESSAGES + 201
     one.send_log_message("nobody", b"x")
     one.send_log_message("b1", b"x" * (MAX_FRAME_BYTES + 1))
     one.send_log_message("b1", b"last")
-    pair.until(lambda: pair.agreed[-1] == b"last")
+    pair.until(lambda: pair.log_messages[-1] == b"last")
 
 
-def test_a_member_that_cannot_be_reached_or_whose_connection_ends_is_not_told_of(pair: Pair) -> None:
+def test_an_unreachable_member_or_a_lost_connection_is_reported(pair: Pair) -> None:
     one = pair.start("b0")
     lost: list[str] = []
     one.on_connection_lost = lost.append
@@ -131,53 +131,53 @@
 
     def arrived() -> bool:
         one.send_log_message("b1", b"y")
-        return b"y" in pair.agreed
+        return b"y" in pair.log_messages
 
     pair.until(arrived)
     lost.clear()
     two.close()
-    pair.until(lambda: "b1" in lost)  # without a word to it
-    del pair.edges["b1"]
+    pair.until(lambda: "b1" in lost)  # without sending to it
+    del pair.transports["b1"]
 
 
-def test_one_whose_datagrams_are_lost_is_asked_on_a_line_and_suspected_only_once_it_has_ended(
+def test_a_member_whose_datagrams_are_lost_is_probed_over_tcp_and_suspected_only_once_it_has_ended(
     pair: Pair,
 ) -> None:
     one, two = pair.start("b0"), pair.start("b1")
     pair.until(lambda: one.view.own.phase is two.view.own.phase is Phase.ALIVE)
-    two._datagram = lambda to, data, what="": None  # type: ignore[method-assign]
+    two._send_udp = lambda to, data, kind="": None  # type: ignore[method-assign]
     asked = one.view.exchanges.opened_count
     pair.until(
         lambda: one.view.exchanges.opened_count >= asked + 5
-    )  # four probes that no datagram answered, at least
+    )  # at least four probes without an answering datagram
     assert [change.now for change in one.view.table.history if change.name == "b1"][-1] == "alive"
     two.close()
     pair.until(lambda: one.view.table.beliefs["b1"].phase is Phase.DEAD)
-    pair.until(lambda: len(one._lines) == 0)  # refused, and given back
-    del pair.edges["b1"]
+    pair.until(lambda: len(one._connections) == 0)  # refused, and closed
+    del pair.transports["b1"]
 
 
-def test_without_a_line_one_whose_datagrams_are_lost_is_suspected(pair: Pair) -> None:
+def test_a_member_whose_datagrams_are_lost_is_suspected_without_a_tcp_probe(pair: Pair) -> None:
     one, two = pair.start("b0"), pair.start("b1")
     pair.until(lambda: one.view.own.phase is two.view.own.phase is Phase.ALIVE)
-    for edge in (one, two):
-        edge.view._ping_by_connection = lambda probe: None  # type: ignore[method-assign]
-    two._datagram = lambda to, data, what="": None  # type: ignore[method-assign]
+    for transport in (one, two):
+        transport.view._ping_by_connection = lambda probe: None  # type: ignore[method-assign]
+    two._send_udp = lambda to, data, kind="": None  # type: ignore[method-assign]
     pair.until(lambda: one.view.table.beliefs["b1"].phase is Phase.SUSPECT)
 
 
-def test_a_line_for_a_probe_ends_with_it_however_long_its_dial_would_last(pair: Pair) -> None:
+def test_a_probe_connection_closes_with_its_probe_while_still_dialling(pair: Pair) -> None:
     one = pair.start("b0")
-    one._call(7, "b1")  # nobody is there
-    one._frame(7, b"a ping")
+    one._open_connection(7, "b1")  # nothing listens there
+    one._send_frame(7, b"a ping")
     one._carry_out(CloseConnection(7, True))
-    assert 7 not in one._lines
+    assert 7 not in one._connections
 
 
-def test_a_connection_that_is_reset_under_its_first_message_loses_the_rest_and_nothing_more(
+def test_a_connection_reset_at_its_first_message_loses_the_queued_messages_only(
     pair: Pair, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen in a fleet whose member was killed as it accepted: the broker that dialled it crashed."""
+    """Regression: a broker crashed when the member that it dialled was killed while accepting."""
     one = pair.start("b0")
     pair.start("b1")
     lost: list[str] = []
@@ -190,6 +190,6 @@
 
     def arrived() -> bool:
         one.send_log_message("b1", b"again")
-        return b"again" in pair.agreed
+        return b"again" in pair.log_messages
 
     pair.until(arrived)
