--- a/quincepath/cli/configuration.py
+++ b/quincepath/cli/configuration.py
@@ -1,4 +1,4 @@
-"""``quincepath fleet config``: changes of the distributed configuration proposed, rolled back, looked at."""
+"""``quincepath fleet config``: propose, roll back and inspect changes of the distributed configuration."""
 
 import http.client
 import json
@@ -20,7 +20,7 @@
 
 
 class ChangeFile(Model):
-    """A change: ``revision`` as ``show`` printed it, new values by name, names to be removed."""
+    """A file with a change: ``revision`` as ``show`` printed it, new values by name, names to remove."""
 
     revision: int = Field(ge=0)
     set: dict[str, dict[str, Any]] = {}
@@ -44,7 +44,7 @@
     except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(1)
-    _order(at, "propose", by, key, change.model_dump())
+    _submit(at, "propose", by, key, change.model_dump())
 
 
 @configuration.command()
@@ -54,7 +54,7 @@
 @KEY
 def rollback(revision: int, at: str, by: str, key: str) -> None:
     """Commit a new revision with the values from before REVISION, where none was changed since."""
-    _order(at, "rollback", by, key, {"revision": revision})
+    _submit(at, "rollback", by, key, {"revision": revision})
 
 
 @configuration.command()
@@ -72,7 +72,7 @@
     else:
         for line in page["lines"]:
             click.echo(line)
-        click.echo(_own_line(page["member"], page["own"]))
+        click.echo(_own_status_line(page["member"], page["own"]))
     if page["everywhere"] is None:
         click.echo(f"{page['member']} is no keeper; of the fleet know {', '.join(page['keepers'])}", err=True)
         sys.exit(1)
@@ -80,7 +80,7 @@
     sys.exit(0 if done else NOT_EVERYWHERE)
 
 
-def _own_line(member: str, own: dict[str, Any]) -> str:
+def _own_status_line(member: str, own: dict[str, Any]) -> str:
     relay = f"relay {own['relay']}, its news {own['age_ms'] / 1000:.1f} s old" if own["relay"] else "no relay"
     refused = own["refused"]
     why = f"; refuses {refused['revision']}: {refused['resource']}: {refused['reason']}" if refused else ""
@@ -100,21 +100,21 @@
     YAML(typ="safe").dump({"revision": page["revision"], "set": page["resources"]}, sys.stdout)
 
 
-def _order(at: str, what: str, by: str, key: str, order: dict[str, Any]) -> None:
-    """Give an order to a member; says what came of it, and ends with status 1 where it was refused."""
+def _submit(at: str, action: str, by: str, key: str, request: dict[str, Any]) -> None:
+    """Send a change to a member and print its result; exits with status 1 where it was refused."""
     id = key or uuid.uuid4().hex
-    body = json.dumps({"id": id, "by": by, **order}, default=str)
+    body = json.dumps({"id": id, "by": by, **request}, default=str)
     parts = urlsplit(at if "//" in at else f"//{at}")
-    line = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT)
+    connection = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT)
     try:
-        line.request("POST", f"/fleet/config/{what}", body, {"Content-Type": "application/json"})
-        answer = json.loads(line.getresponse().read())
+        connection.request("POST", f"/fleet/config/{action}", body, {"Content-Type": "application/json"})
+        answer = json.loads(connection.getresponse().read())
     except (OSError, ValueError, http.client.HTTPException) as error:
         click.echo(f"{at}: no answer: {error}; ask again with --key {id}: it does nothing twice", err=True)
         sys.exit(1)
     finally:
-        line.close()
+        connection.close()
     if "revision" not in answer:
-        click.echo(f"{what}: {answer.get('error', answer)}", err=True)
+        click.echo(f"{action}: {answer.get('error', answer)}", err=True)
         sys.exit(1)
-    click.echo(f"{what}: committed as revision {answer['revision']}")
+    click.echo(f"{action}: committed as revision {answer['revision']}")
--- a/quincepath/fleet/configuration/applier.py
+++ b/quincepath/fleet/configuration/applier.py
@@ -1,8 +1,8 @@
-"""Deltas and snapshots at a broker: a revision is applied whole or not at all, and never goes back.
+"""Applies deltas and snapshots at a broker: a revision is applied atomically, and revisions never go back.
 
-What has come and cannot be applied is held, in bounded size, since a later delta may mend it: all that is
-held is then applied in one turn. A delta whose old value is not the one found means that this broker
-differs from the log; only a snapshot mends that.
+What was received but cannot be applied is held, in bounded size, since a later delta may correct it: all
+that is held is then applied in one step. A delta whose old value differs from the current one means that
+this broker has diverged from the log; only a snapshot repairs that.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,14 +21,14 @@
 
 MAX_HELD_DELTAS = 1024
 MAX_HELD_BYTES = 2 << 20
-MAX_TRIED_PREFIXES = 8  # of the held deltas, the longest first
+MAX_TRIED_PREFIXES = 8  # of the held deltas, longest first
 
 Check = Callable[[Sequence[Edit]], Sequence[Fault]]
 
 
 @dataclass(slots=True, frozen=True)
 class Applied:
-    """``edits`` lead from the revision before to ``revision``: put them in force in one turn."""
+    """``edits`` lead from the revision applied before to ``revision``; put them in force in one step."""
 
     revision: int
     edits: tuple[Edit, ...]
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RefusedRevision:
-    """``revision`` cannot be in force here, because of ``resource``."""
+    """``revision`` cannot be applied at this broker, because of ``resource``."""
 
     revision: int
     resource: str
@@ -44,23 +44,23 @@
 
 
 def accept_all(edits: Sequence[Edit]) -> Sequence[Fault]:
-    """The default: the schema and the rules are all that counts."""
+    """The default check: only the schema and the rules are validated."""
     return ()
 
 
 @dataclass(slots=True, frozen=True)
 class _Base:
-    """A snapshot that has come and could not be in force; the deltas held lead on from it."""
+    """A snapshot that was received but could not be applied; the held deltas continue from it."""
 
     revision: int
     values: dict[str, bytes]
 
 
 class Applier:
-    """The resources in force at ``revision``, what is held after it, and the revision that was refused."""
+    """The resources in force at ``revision``, the deltas held after it, and the revision that was refused."""
 
     def __init__(self, rules: Rules = NO_RULES, check: Check = accept_all) -> None:
-        """``check``: what the broker has against edits beyond their schema; asked before they are applied."""
+        """``check`` returns the broker's faults beyond the schema; it is called before edits are applied."""
         self.table = ResourceTable()
         self.rules, self.check = rules, check
         self.revision = 0
@@ -72,14 +72,14 @@
 
     @property
     def received(self) -> int:
-        """Up to here everything is applied or held."""
+        """The revision up to which everything is applied or held."""
         base = self.revision if self._base is None else self._base.revision
         return base + len(self._held)
 
     # --- deltas ---
 
     def hold(self, deltas: Sequence[Delta]) -> bool:
-        """Take in deltas. False: one is missing before them, or there is no room; the others are held."""
+        """Hold deltas. False: one before them is missing, or there is no room; the others are held."""
         if self.needs_snapshot:
             return False
         for delta in deltas:
@@ -89,30 +89,30 @@
                 return False
             size = encoded_size(delta)
             if len(self._held) >= MAX_HELD_DELTAS or self._held_bytes + size > MAX_HELD_BYTES:
-                self._start_over()
+                self._discard_held()
                 return False
             self._held.append(delta)
             self._held_bytes += size
         return True
 
-    def _start_over(self) -> None:
-        """What is held is of no use: only a snapshot leads on."""
+    def _discard_held(self) -> None:
+        """Discard what is held and require a snapshot."""
         self._base, self._held, self._held_bytes = None, [], 0
         self.needs_snapshot = True
 
     def apply_held(self) -> Applied | None:
-        """Apply as much of what is held as can be in force; None where nothing can."""
+        """Apply the longest part of what is held that is valid; None where no part is."""
         if self.needs_snapshot:
             return None
         if self._base is not None:
             return self._apply_from_base(self._base)
         if not self._held:
             return None
-        for count in self._counts():
+        for count in self._prefix_lengths():
             edits = merge_deltas(self._held[:count])
             conflicts = self.table.conflicts(edits)
             if conflicts:
-                self._diverged(conflicts[0])
+                self._on_diverged(conflicts[0])
                 return None
             if not self._faults(edits):
                 return self._advance_to(self._held[count - 1].revision, edits)
@@ -120,11 +120,11 @@
         return None
 
     def _apply_from_base(self, base: _Base) -> Applied | None:
-        """The snapshot that is held and all deltas after it, as one."""
+        """Apply the held snapshot and all deltas after it in one step."""
         values = dict(base.values)
         for edit in merge_deltas(self._held):
             if values.get(edit.name) != edit.old:
-                self._diverged(Fault(edit.name, "another value", "the old value of the delta", edit.name))
+                self._on_diverged(Fault(edit.name, "another value", "the old value of the delta", edit.name))
                 return None
             apply_edits(values, (edit,))
         edits = diff_values(self.table.values, values)
@@ -134,18 +134,18 @@
         self._refuse(base.revision, faults)
         return None
 
-    def _counts(self) -> list[int]:
-        """How many of the held deltas are tried at once: all, a few fewer, one."""
-        most = len(self._held)
-        found = list(range(most, max(most - MAX_TRIED_PREFIXES, 0), -1))
-        return found if 1 in found else [*found, 1]
+    def _prefix_lengths(self) -> list[int]:
+        """How many of the held deltas are tried in one step: all, a few fewer, one."""
+        longest = len(self._held)
+        lengths = list(range(longest, max(longest - MAX_TRIED_PREFIXES, 0), -1))
+        return lengths if 1 in lengths else [*lengths, 1]
 
     def _faults(self, edits: Sequence[Edit]) -> Sequence[Fault]:
         return self.table.faults(edits, self.rules) or self.check(edits)
 
-    def _diverged(self, fault: Fault) -> None:
+    def _on_diverged(self, fault: Fault) -> None:
         self.refused = RefusedRevision(self.received, fault.place, f"differs from the log: {fault}")
-        self._start_over()
+        self._discard_held()
 
     def _refuse(self, revision: int, faults: Sequence[Fault]) -> None:
         fault = faults[0]
@@ -160,15 +160,17 @@
         self.revision = revision
         self.refused = None
         if self._held:
-            self._refuse(self._held[0].revision, self._faults(merge_deltas(self._held[:1])) or _LATER)
+            self._refuse(
+                self._held[0].revision, self._faults(merge_deltas(self._held[:1])) or _NOT_APPLIED_FAULTS
+            )
         return Applied(revision, edits)
 
     # --- snapshots ---
 
     def apply_snapshot(self, image: Image) -> Applied | None:
-        """Put a snapshot in force; None where it is not newer, cannot be read, or is refused.
+        """Apply a snapshot; None where it is not newer, cannot be read, or is refused.
 
-        One that is refused is held, since a later delta may mend it: ``received`` then counts from it.
+        A refused snapshot is held, since a later delta may correct it: ``received`` then counts from it.
         """
         if image.revision <= self.revision:
             return None
@@ -184,6 +186,6 @@
         return self.apply_held()
 
 
-_LATER = (
+_NOT_APPLIED_FAULTS = (
     Fault("resources", "applied up to the delta before", "a delta that can be applied with those before"),
 )
--- a/quincepath/fleet/configuration/change_requests.py
+++ b/quincepath/fleet/configuration/change_requests.py
@@ -1,7 +1,8 @@
-"""Changes as people ask for them: new values by name, held against the revision that the author looked at.
+"""Requests of operators for a change: new values by name, based on the revision that the author read.
 
-The author names that revision and no old values; they are filled in from the state machine, once it is known
-that no later revision has touched a resource of the change. So nobody overwrites what he has not seen. Pure.
+The author states that revision and no old values; the old values are filled in from the state machine after
+a check that no later revision has changed a resource of the request. So no author overwrites a value that he
+has not seen. Pure.
 """
 
 from dataclasses import dataclass
@@ -26,7 +27,7 @@
 
 
 class ProposeRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """``revision``: the one that the author looked at. ``set``: new values; ``remove``: names."""
+    """``revision``: the one that the author read. ``set``: new values by name; ``remove``: names."""
 
     id: ChangeId
     by: Author
@@ -36,36 +37,36 @@
 
 
 class RollbackRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """``revision``: whose old values come back."""
+    """``revision``: the one to revert; its old values are restored."""
 
     id: ChangeId
     by: Author
     revision: Annotated[int, Meta(ge=1)]
 
 
-Form = TypeVar("Form", ProposeRequest, RollbackRequest)
+Request = TypeVar("Request", ProposeRequest, RollbackRequest)
 
 
 @dataclass(slots=True, frozen=True)
 class DuplicateRequest:
-    """The order's id was used before, for the same change; this became of it."""
+    """The request's id was used before, for the same change; ``answer`` is its result."""
 
     answer: Answer
 
 
 def parse_propose(body: bytes) -> ProposeRequest:
-    """From JSON. Raises ``ChangeError``."""
+    """Parse JSON. Raises ``ChangeError``."""
     return _read(body, ProposeRequest)
 
 
 def parse_rollback(body: bytes) -> RollbackRequest:
-    """From JSON. Raises ``ChangeError``."""
+    """Parse JSON. Raises ``ChangeError``."""
     return _read(body, RollbackRequest)
 
 
-def _read(body: bytes, form: type[Form]) -> Form:
+def _read(body: bytes, request_type: type[Request]) -> Request:
     try:
-        return msgspec.json.decode(body, type=form)
+        return msgspec.json.decode(body, type=request_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         text, _, path = str(error).partition(" - at ")
         raise ChangeError(
@@ -73,56 +74,58 @@
         ) from None
 
 
-def propose_change(order: ProposeRequest, history: History, now_ms: int) -> Change | DuplicateRequest:
-    """The change that an order comes to now. Raises ``ChangeError`` for what no leader need be asked."""
-    wanted = _wanted(order)
-    known = history.answers.get(order.id)
-    if known is not None and _same(known, wanted, history):
+def propose_change(request: ProposeRequest, history: History, now_ms: int) -> Change | DuplicateRequest:
+    """The change that a request makes now. Raises ``ChangeError`` for what needs no leader to reject."""
+    wanted = _wanted(request)
+    known = history.answers.get(request.id)
+    if known is not None and _is_same_request(known, wanted, history):
         return DuplicateRequest(known)
-    faults = [] if known is not None else _seen_faults(order, wanted, history)
+    faults = [] if known is not None else _stale_read_faults(request, wanted, history)
     if faults:
         raise ChangeError(faults)
     values = history.table.values
     edits = tuple(Edit(name, values.get(name), new) for name, new in wanted.items())
-    return Change(order.id, order.by, now_ms, edits)
+    return Change(request.id, request.by, now_ms, edits)
 
 
-def rollback_change(order: RollbackRequest, now_ms: int) -> Change:
-    """Of a rollback; what it comes to is worked out when it is committed."""
-    return Change(order.id, order.by, now_ms, (), order.revision)
+def rollback_change(request: RollbackRequest, now_ms: int) -> Change:
+    """The change of a rollback; its edits are derived when it is committed."""
+    return Change(request.id, request.by, now_ms, (), request.revision)
 
 
-def _wanted(order: ProposeRequest) -> dict[str, bytes | None]:
-    both = sorted(order.set.keys() & set(order.remove))
+def _wanted(request: ProposeRequest) -> dict[str, bytes | None]:
+    both = sorted(request.set.keys() & set(request.remove))
     if both:
         raise ChangeError([Fault(both[0], "set and removed", "one of them", both[0])])
-    if not order.set and not order.remove:
+    if not request.set and not request.remove:
         raise ChangeError([Fault("set", "nothing", "at least one resource in set or remove")])
     try:
-        found: dict[str, bytes | None] = {name: encode_resource(one) for name, one in order.set.items()}
+        values: dict[str, bytes | None] = {name: encode_resource(one) for name, one in request.set.items()}
     except (OverflowError, TypeError, RecursionError) as error:
         raise ChangeError([Fault("set", str(error), "values as in a configuration file")]) from None
-    return found | dict.fromkeys(order.remove)
+    return values | dict.fromkeys(request.remove)
 
 
-def _same(known: Answer, wanted: dict[str, bytes | None], history: History) -> bool:
-    """Whether an earlier order of this id asked for the same; one that is compacted away counts as such."""
+def _is_same_request(known: Answer, wanted: dict[str, bytes | None], history: History) -> bool:
+    """Whether an earlier request with this id asked for the same; assumed where it was compacted away."""
     if not known.revision:
         return False
     delta = history.log.get(known.revision)
     return delta is None or {edit.name: edit.new for edit in delta.edits} == wanted
 
 
-def _seen_faults(order: ProposeRequest, wanted: dict[str, bytes | None], history: History) -> list[Fault]:
-    """Resources that a later revision touched than the one that the author looked at."""
-    if not history.log.floor <= order.revision <= history.revision:
+def _stale_read_faults(
+    request: ProposeRequest, wanted: dict[str, bytes | None], history: History
+) -> list[Fault]:
+    """Faults for resources that were changed after the revision that the author read."""
+    if not history.log.floor <= request.revision <= history.revision:
         held = f"{history.log.floor} to {history.revision}; look at the newest with show"
-        return [Fault("revision", str(order.revision), held)]
-    found = []
+        return [Fault("revision", str(request.revision), held)]
+    faults = []
     for name in wanted:
-        later = history.log.touched_after(order.revision, name)
+        later = history.log.last_change_after(request.revision, name)
         if later:
             now = format_value(history.table.values.get(name))
-            expected = f"untouched since revision {order.revision}; revision {later} made it {now}"
-            found.append(Fault(name, f"changed after revision {order.revision}", expected, name))
-    return found
+            expected = f"untouched since revision {request.revision}; revision {later} made it {now}"
+            faults.append(Fault(name, f"changed after revision {request.revision}", expected, name))
+    return faults
--- a/quincepath/fleet/configuration/changes.py
+++ b/quincepath/fleet/configuration/changes.py
@@ -1,8 +1,9 @@
-"""Changes of the configuration as data: an edit of one resource, a change of several, a committed delta.
+"""Data types of configuration changes: an edit of one resource, a change of several, a committed delta.
 
 A resource is named ``KIND/NAME``; its value is msgpack (see ``resources``), None where it is absent. An edit
-names the old value, so that a change is a compare-and-swap: it takes effect whole, or not at all where one of
-the old values is not the one found. Every size is bounded; fields are appended only, never removed.
+states the old value, so that a change is a compare-and-swap: it takes effect as a whole, or not at all where
+one of the old values differs from the current one. Every size is bounded; fields are only appended, never
+removed.
 """
 
 import re
@@ -19,8 +20,8 @@
 MAX_VALUE_BYTES = 4096  # of one resource
 MAX_NAME_CHARACTERS = 220
 MAX_EDITS = 512  # of one change
-MAX_CHANGE_BYTES = 96 * 1024  # of one change, encoded: it must fit a command of the log
-MAX_SHOWN_CHARACTERS = 80  # characters of a wrong value that a fault shows
+MAX_CHANGE_BYTES = 96 * 1024  # of one encoded change: it must fit into a command of the log
+MAX_SHOWN_CHARACTERS = 80  # of a wrong value, in the text of a fault
 
 ResourceName = Annotated[str, Meta(pattern=r"^[a-z]{1,20}/[^\x00-\x1f]+$", max_length=MAX_NAME_CHARACTERS)]
 Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
@@ -30,7 +31,7 @@
 
 
 class Edit(msgspec.Struct, array_like=True, frozen=True):
-    """One resource: what it must be before, and what it is afterwards. None: absent."""
+    """One resource: its expected old value and its new value. None: absent."""
 
     name: ResourceName
     old: Value | None
@@ -41,10 +42,10 @@
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """What an author proposes. ``id`` is the author's own: the same change proposed twice takes effect once.
+    """What an author proposes. ``id`` is an idempotency key: a change proposed twice takes effect once.
 
-    ``rolls_back``: the revision whose old values come back; ``edits`` then name only the resources that a
-    later revision has touched and that are to be taken back all the same. 0: an ordinary change.
+    ``rolls_back``: the revision whose old values are restored; ``edits`` then name only the resources that
+    a later revision has changed and that are restored nevertheless. 0: an ordinary change.
     """
 
     id: ChangeId
@@ -55,7 +56,7 @@
 
 
 class Delta(msgspec.Struct, array_like=True, frozen=True):
-    """One committed change: from the revision before it to ``revision``."""
+    """One committed change, from the previous revision to ``revision``."""
 
     revision: Revision
     edits: Edits
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What is wrong with a change: where, what was found there, what was expected, and of which resource."""
+    """What is wrong with a change: the place, the value found, what was expected, and the resource."""
 
     place: str
     found: str
@@ -71,7 +72,7 @@
     resource: str = ""
 
     def __str__(self) -> str:
-        """One line for people."""
+        """One readable line."""
         shown = (
             self.found
             if len(self.found) <= MAX_SHOWN_CHARACTERS
@@ -81,10 +82,10 @@
 
 
 class ChangeError(ValueError):
-    """A change that is not taken; ``faults`` has at least one."""
+    """A change was rejected; ``faults`` has at least one."""
 
     def __init__(self, faults: Sequence[Fault]) -> None:
-        """All faults that were found, not the first alone."""
+        """``faults``: all that were found, not only the first."""
         super().__init__("; ".join(map(str, faults)))
         self.faults = tuple(faults)
 
@@ -94,50 +95,50 @@
 
 
 def encode_change(change: Change) -> bytes:
-    """For the log. Raises ``ChangeError`` where it breaks a bound."""
-    found = structure_faults(change)
-    if found:
-        raise ChangeError(found)
+    """Encode a change for the log. Raises ``ChangeError`` where it exceeds a bound."""
+    faults = structure_faults(change)
+    if faults:
+        raise ChangeError(faults)
     return _encoder.encode(change)
 
 
 def decode_change(data: bytes) -> Change:
-    """From the log or from a command. Raises ``ChangeError`` with what is wrong."""
+    """Decode a change from the log or from a command. Raises ``ChangeError`` with what is wrong."""
     if len(data) > MAX_CHANGE_BYTES:
         raise ChangeError([_too_large(len(data))])
     try:
         change = _changes.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise ChangeError([_unreadable(error, f"{len(data)} bytes")]) from None
-    found = structure_faults(change)
-    if found:
-        raise ChangeError(found)
+    faults = structure_faults(change)
+    if faults:
+        raise ChangeError(faults)
     return change
 
 
 def structure_faults(change: Change) -> list[Fault]:
-    """What is wrong with its form, whatever the values mean. Empty: nothing."""
+    """Structural faults of a change, regardless of what its values mean. Empty: none."""
     try:
         data = _encoder.encode(change)
-        _changes.decode(data)  # the bounds of single fields, which a struct made in memory may break
+        _changes.decode(data)  # checks the bounds of single fields, which a struct made in memory may exceed
     except (msgspec.MsgspecError, UnicodeError, OverflowError, TypeError) as error:
         return [_unreadable(error, repr(change)[:MAX_SHOWN_CHARACTERS])]
-    found = [] if len(data) <= MAX_CHANGE_BYTES else [_too_large(len(data))]
+    faults = [] if len(data) <= MAX_CHANGE_BYTES else [_too_large(len(data))]
     if not change.edits and not change.rolls_back:
-        found.append(Fault("edits", "none", "at least one, or a revision to roll back"))
+        faults.append(Fault("edits", "none", "at least one, or a revision to roll back"))
     for name, count in Occurrences(edit.name for edit in change.edits).items():
         if count > 1:
-            found.append(Fault(name, f"{count} edits", "one edit a resource"))
-    found += [
+            faults.append(Fault(name, f"{count} edits", "one edit a resource"))
+    faults += [
         Fault(edit.name, "old and new value are equal", "an edit that changes something")
         for edit in change.edits
         if edit.old == edit.new and not change.rolls_back
     ]
-    return found
+    return faults
 
 
 def _unreadable(error: Exception, found: str) -> Fault:
-    """A decoder's error, its path by positions turned into field names."""
+    """A decoder's error as a fault; the positions in its path become field names."""
     text, _, path = str(error).partition(" - at ")
     at = [int(position) for position in re.findall(r"\[(\d+)\]", path)]
     place = "change"
@@ -153,5 +154,5 @@
 
 
 def encoded_size(delta: Delta) -> int:
-    """Bytes of a delta in a message."""
+    """Size of a delta in a message."""
     return len(_encoder.encode(delta))
--- a/quincepath/fleet/configuration/commands.py
+++ b/quincepath/fleet/configuration/commands.py
@@ -1,4 +1,4 @@
-"""The configuration's command in the consensus log, and what a relay is told of its state machine."""
+"""The command that commits a change through the consensus log, and the updates that a relay gets."""
 
 from typing import Annotated
 
@@ -12,7 +12,7 @@
 
 
 class ChangeConfiguration(msgspec.Struct, tag="configuration", frozen=True):
-    """Commit a change, as ``changes.encode_change`` wrote it. ``id`` is the change's own."""
+    """Commit a change that ``changes.encode_change`` encoded. ``id`` is the change's id."""
 
     id: Text
     by: Text
@@ -21,13 +21,13 @@
 
 
 def proposal_refusal(history: History, command: ChangeConfiguration) -> str:
-    """Why the leader does not propose it; empty where it does. A repeat is proposed: its answer is known."""
+    """Why the leader does not propose a command; empty where it does, also for a duplicate."""
     try:
         change = decode_change(command.change)
     except ChangeError as error:
         return str(error)
     if change.id != command.id:
-        return _other_id(command.id, change.id)
+        return _id_mismatch(command.id, change.id)
     known = history.recorded_answer(change)
     if known is not None:
         return known.reason
@@ -35,24 +35,24 @@
 
 
 def apply_command(history: History, command: ChangeConfiguration) -> str:
-    """A committed command takes effect; what stands in its way, empty where it is done."""
+    """Apply a committed command; returns why it was refused, empty where it took effect."""
     try:
         change = decode_change(command.change)
     except ChangeError as error:
         return str(error)
     if change.id != command.id:
-        return _other_id(command.id, change.id)
+        return _id_mismatch(command.id, change.id)
     return history.apply(change).reason
 
 
-def _other_id(named: str, found: str) -> str:
+def _id_mismatch(named: str, found: str) -> str:
     return f"id: {found!r} in the change; expected {named!r}, as the command says"
 
 
 def relay_update(history: History, newest: int, age: int = 0) -> Committed | Loaded:
-    """What a relay at revision ``newest`` is missing. ``age``: ns since this was known from the leader."""
+    """What a relay at revision ``newest`` lacks. ``age``: ns since this member learned it from the leader."""
     deltas = history.log.since(newest)
     if deltas is not None:
         return Committed(history.revision, deltas, age)
-    kept = history.log.since(history.log.floor) or ()
-    return Loaded(history.revision, dict(history.table.values), kept)
+    held_deltas = history.log.since(history.log.floor) or ()
+    return Loaded(history.revision, dict(history.table.values), held_deltas)
--- a/quincepath/fleet/configuration/delta_log.py
+++ b/quincepath/fleet/configuration/delta_log.py
@@ -1,4 +1,4 @@
-"""The newest deltas, bounded in number and bytes; what is older is compacted away."""
+"""The newest deltas, bounded in number and bytes; older ones are compacted away."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -10,14 +10,16 @@
 
 
 class DeltaLog:
-    """Deltas in order without a gap. When it is full the oldest go, and ``floor`` rises."""
+    """Deltas in order without a gap. When the log is full, the oldest are dropped and ``floor`` rises."""
 
     def __init__(self, floor: int = 0, deltas: Iterable[Delta] = ()) -> None:
-        """``floor``: the revision that the first delta begins from."""
+        """``floor``: the revision before the first delta."""
         self.floor = self.newest = floor
         self.bytes = 0
-        self._bytes_ever = 0
-        self._deltas: deque[tuple[Delta, int, int]] = deque()  # with its bytes, and those before it
+        self._total_bytes_added = 0
+        self._deltas: deque[tuple[Delta, int, int]] = (
+            deque()
+        )  # with its size in bytes, and the total size of all deltas added before
         for delta in deltas:
             self.add(delta)
 
@@ -26,12 +28,12 @@
         return len(self._deltas)
 
     def add(self, delta: Delta) -> None:
-        """The next delta. Raises ``ValueError`` where it is not the next."""
+        """Append the next delta. Raises ``ValueError`` where its revision is not the next."""
         if delta.revision != self.newest + 1:
             raise ValueError(f"delta of revision {delta.revision}; expected {self.newest + 1}")
         size = encoded_size(delta)
-        self._deltas.append((delta, size, self._bytes_ever))
-        self._bytes_ever += size
+        self._deltas.append((delta, size, self._total_bytes_added))
+        self._total_bytes_added += size
         self.bytes += size
         self.newest = delta.revision
         while len(self._deltas) > MAX_DELTAS or self.bytes > MAX_DELTA_LOG_BYTES:
@@ -47,31 +49,31 @@
             self._drop_oldest()
 
     def get(self, revision: int) -> Delta | None:
-        """One delta, where it is held."""
-        at = revision - self.floor - 1
-        return self._deltas[at][0] if 0 <= at < len(self._deltas) else None
+        """The delta of a revision; None where it is not held."""
+        position = revision - self.floor - 1
+        return self._deltas[position][0] if 0 <= position < len(self._deltas) else None
 
-    def since(self, revision: int, bytes_most: int = MAX_DELTA_LOG_BYTES) -> tuple[Delta, ...] | None:
-        """The deltas after a revision, at least one where there is one. None: they are compacted away."""
+    def since(self, revision: int, max_bytes: int = MAX_DELTA_LOG_BYTES) -> tuple[Delta, ...] | None:
+        """The deltas after a revision, at least one if there is one. None: they were compacted away."""
         if revision < self.floor:
             return None
-        found: list[Delta] = []
+        deltas: list[Delta] = []
         size = 0
-        for at in range(revision - self.floor, len(self._deltas)):
-            delta, more, _ = self._deltas[at]
-            size += more
-            if found and size > bytes_most:
+        for position in range(revision - self.floor, len(self._deltas)):
+            delta, delta_bytes, _ = self._deltas[position]
+            size += delta_bytes
+            if deltas and size > max_bytes:
                 break
-            found.append(delta)
-        return tuple(found)
+            deltas.append(delta)
+        return tuple(deltas)
 
     def bytes_since(self, revision: int) -> int:
-        """Of the deltas after a revision, as far as they are held."""
-        at = max(revision - self.floor, 0)
-        return self._bytes_ever - self._deltas[at][2] if at < len(self._deltas) else 0
+        """Total size of the deltas after a revision, as far as they are held."""
+        position = max(revision - self.floor, 0)
+        return self._total_bytes_added - self._deltas[position][2] if position < len(self._deltas) else 0
 
-    def touched_after(self, revision: int, name: str) -> int:
-        """The newest later revision that touched a resource; 0: none of those held."""
+    def last_change_after(self, revision: int, name: str) -> int:
+        """The newest revision after ``revision`` that changed a resource; 0: none of those held."""
         for delta, _, _ in reversed(self._deltas):
             if delta.revision <= revision:
                 break
--- a/quincepath/fleet/configuration/history.py
+++ b/quincepath/fleet/configuration/history.py
@@ -1,7 +1,8 @@
-"""The state machine of the consensus log for the configuration: the same changes, the same state everywhere.
+"""The replicated state machine of the configuration: the same changes give the same state on every member.
 
-A change is compared with what is committed when its turn comes, not when it was proposed: of two that name
-the same old value the first takes effect and the second is refused. What is refused takes no revision.
+A change is compared with the committed state when it is applied, not when it was proposed: of two changes
+that state the same old value, the first takes effect and the second is refused. A refused change gets no
+revision.
 """
 
 import hashlib
@@ -24,12 +25,12 @@
 from quincepath.fleet.configuration.table import ResourceTable
 
 SCHEMA = 1
-MAX_ANSWERS = 8000  # changes remembered by id, about two days, so that a repeat takes effect once
+MAX_ANSWERS = 8000  # of changes, kept by id for about two days, so that a duplicate takes effect once
 MAX_REASON_CHARACTERS = 400
 
 
 class Answer(msgspec.Struct, array_like=True, frozen=True):
-    """What became of a change: its revision, or 0 and why it was refused. ``digest``: of its content."""
+    """The result of a change: its revision, or 0 and why it was refused. ``digest``: of its content."""
 
     revision: Revision
     reason: str
@@ -37,7 +38,7 @@
 
 
 class HistoryState(msgspec.Struct, array_like=True):
-    """All that a snapshot holds. ``deltas`` lead from ``floor`` up to ``revision``."""
+    """The content of a snapshot of the log. ``deltas`` lead from ``floor`` to ``revision``."""
 
     schema: int = SCHEMA
     revision: int = 0
@@ -52,21 +53,21 @@
 
 
 class History:
-    """Resources at the newest revision, the newest deltas, and the answers to the newest changes."""
+    """The resources at the newest revision, the newest deltas, and the answers to the newest changes."""
 
     def __init__(self) -> None:
-        """Empty, at revision 0."""
+        """Start empty, at revision 0."""
         self.table = ResourceTable()
         self.log = DeltaLog()
         self.answers: dict[str, Answer] = {}
 
     @property
     def revision(self) -> int:
-        """The newest."""
+        """The newest revision."""
         return self.log.newest
 
     def proposal_faults(self, change: Change) -> list[Fault]:
-        """What stands in the way of a change now; asked before it is proposed. Empty: nothing."""
+        """Faults of a change against the current state; checked before it is proposed. Empty: none."""
         faults = structure_faults(change)
         if faults:
             return faults
@@ -79,7 +80,7 @@
         return self.table.conflicts(edits) or self.table.faults(edits)
 
     def apply(self, change: Change) -> Answer:
-        """One committed change. The same id again has the same answer and no effect."""
+        """Apply a committed change. A repeated id gets the same answer and has no effect."""
         known = self.recorded_answer(change)
         if known is not None:
             return known
@@ -94,12 +95,12 @@
         return self._answer(change, Answer(delta.revision, "", digest))
 
     def resolve_edits(self, change: Change) -> Sequence[Edit]:
-        """The edits that a change would make now, those of a rollback worked out; none for a fault."""
+        """The edits that a change would make now, also those of a rollback; none where it has a fault."""
         edits, faults = self._edits(change)
         return () if faults else edits
 
     def recorded_answer(self, change: Change) -> Answer | None:
-        """The answer to a change whose id was used before; None: it was not."""
+        """The answer to a change whose id was used before; None: it was not used."""
         known = self.answers.get(change.id)
         digest = _digest(change)
         if known is None or known.digest == digest:
@@ -116,37 +117,37 @@
     # --- rollback ---
 
     def _edits(self, change: Change) -> tuple[Sequence[Edit], list[Fault]]:
-        """The edits of a change; those of a rollback follow from the revision that it takes back."""
+        """The edits of a change; those of a rollback are derived from the revision that it reverts."""
         if not change.rolls_back:
             return change.edits, []
         delta = self.log.get(change.rolls_back)
         if delta is None:
-            held = f"a revision from {self.log.floor + 1} to {self.revision}"
-            return (), [Fault("rolls_back", str(change.rolls_back), held)]
+            expected = f"a revision from {self.log.floor + 1} to {self.revision}"
+            return (), [Fault("rolls_back", str(change.rolls_back), expected)]
         named = {edit.name: edit for edit in change.edits}
-        faults = self._unknown(named, delta)
+        faults = self._unchanged_resource_faults(named, delta)
         edits = []
         for edit in delta.edits:
-            found, fault = self._taken_back(edit, named.get(edit.name), change.rolls_back)
-            edits += [] if found is None else [found]
+            reverted, fault = self._revert_edit(edit, named.get(edit.name), change.rolls_back)
+            edits += [] if reverted is None else [reverted]
             faults += [] if fault is None else [fault]
         if not edits and not faults:
             faults.append(Fault("rolls_back", str(change.rolls_back), "a revision whose values are in force"))
         return edits, faults
 
-    def _unknown(self, named: dict[str, Edit], delta: Delta) -> list[Fault]:
-        touched = {edit.name for edit in delta.edits}
+    def _unchanged_resource_faults(self, named: dict[str, Edit], delta: Delta) -> list[Fault]:
+        changed = {edit.name for edit in delta.edits}
         expected = f"a resource that revision {delta.revision} touched"
-        return [Fault(name, "named", expected, name) for name in named if name not in touched]
+        return [Fault(name, "named", expected, name) for name in named if name not in changed]
 
-    def _taken_back(self, edit: Edit, named: Edit | None, revision: int) -> tuple[Edit | None, Fault | None]:
-        """One resource with its value before a revision. ``named``: taken back whatever touched it later."""
+    def _revert_edit(self, edit: Edit, named: Edit | None, revision: int) -> tuple[Edit | None, Fault | None]:
+        """Restore one resource's value from before a revision; ``named``: even if it was changed later."""
         if named is not None:
             if named.new != edit.old:
                 expected = f"{format_value(edit.old)}, the value before revision {revision}"
                 return None, Fault(edit.name, format_value(named.new), expected, edit.name)
             return (named if named.old != named.new else None), None
-        later = self.log.touched_after(revision, edit.name)
+        later = self.log.last_change_after(revision, edit.name)
         if later:
             expected = f"none after revision {revision}, or the resource named with the value that it has now"
             return None, Fault(edit.name, f"changed by revision {later}", expected, edit.name)
@@ -155,7 +156,7 @@
     # --- snapshots ---
 
     def dump(self) -> bytes:
-        """All of it, for a snapshot of the log. The same state, the same bytes."""
+        """Encode the state for a snapshot of the log. Equal states give equal bytes."""
         state = HistoryState(
             SCHEMA,
             self.revision,
@@ -167,7 +168,7 @@
         return _encoder.encode(state)
 
     def load(self, data: bytes) -> None:
-        """From a snapshot; nothing is the beginning. Raises ``ValueError`` for one that cannot be read."""
+        """Restore a snapshot; empty data is the initial state. Raises ``ValueError`` where it is corrupt."""
         state = _states.decode(data) if data else HistoryState()
         if not 1 <= state.schema <= SCHEMA:
             raise ValueError(f"configuration of schema {state.schema}; expected 1 to {SCHEMA}")
@@ -180,12 +181,12 @@
 
 
 def _digest(change: Change) -> bytes:
-    """Of its content, without when it was proposed: a repeat may be proposed later."""
-    same = msgspec.structs.replace(change, proposed_at_ms=0)
-    return hashlib.blake2b(_encoder.encode(same), digest_size=8).digest()
+    """Digest of a change's content, without the time of its proposal: a duplicate may be proposed later."""
+    timeless = msgspec.structs.replace(change, proposed_at_ms=0)
+    return hashlib.blake2b(_encoder.encode(timeless), digest_size=8).digest()
 
 
 def summarise_faults(faults: Sequence[Fault]) -> str:
-    """Faults in one bounded line; empty: none."""
+    """Faults as one bounded line; empty: none."""
     more = f"; and {len(faults) - 3} more" if len(faults) > 3 else ""
     return ("; ".join(map(str, faults[:3])) + more)[:MAX_REASON_CHARACTERS]
--- a/quincepath/fleet/configuration/messages.py
+++ b/quincepath/fleet/configuration/messages.py
@@ -1,11 +1,11 @@
 """Messages between relays and subscribers: msgpack arrays, versioned, every size bounded.
 
-The envelope follows ``fleet/messages.py``: fields are appended only, ``least`` says who may read it, bodies
-are read apart. They travel on the framed connections of the fleet, not as datagrams: one delta may be eighty
-times a packet, a connection that breaks is known at once, and a lost packet is sent again below this
-protocol. The protocol relies on neither order nor delivery all the same, since a connection may be replaced
-at any time. ``MARK`` begins each message, so that it can share a connection with others. No wall clock
-travels: times are ages in ms.
+The envelope follows ``fleet/messages.py``: fields are only appended, ``least`` is the oldest schema that can
+read it, and bodies are decoded separately. Messages use the framed connections of the fleet, not datagrams:
+one delta may be eighty times the size of a packet, a broken connection is noticed at once, and TCP resends
+lost packets. The protocol relies on neither order nor delivery nevertheless, since a connection may be
+replaced at any time. Each message begins with ``MARK``, so that it can share a connection with other
+protocols. No wall clock times are sent: times are ages in ms.
 """
 
 from enum import StrEnum
@@ -25,11 +25,11 @@
 SCHEMA = 1
 VERSIONS = Versions(SCHEMA, 1)
 MARK = b"\xc1C"  # 0xc1 begins no msgpack value
-BATCH_BYTES = 64 * 1024  # of deltas in one message, but for a single larger one
+BATCH_BYTES = 64 * 1024  # of deltas in one message, unless a single one is larger
 MAX_BATCH_DELTAS = 256
 MAX_FRAME_BYTES = BATCH_BYTES + MAX_CHANGE_BYTES + 1024
 PIECE_BYTES = 32 * 1024  # of a snapshot in one message
-MAX_SNAPSHOT_BYTES = 16 << 20  # of a snapshot, compressed
+MAX_SNAPSHOT_BYTES = 16 << 20  # of a compressed snapshot
 MAX_LISTED_REVISIONS = 16  # in a summary
 MAX_LISTED_LAGGARDS = 32
 MAX_LISTED_REFUSALS = 16
@@ -43,9 +43,9 @@
 
 
 class Subscribe(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Serve me from here on. ``revision`` is applied; deltas up to ``received`` are held and not applied.
+    """Request updates. ``revision`` is applied; deltas up to ``received`` are held and not applied.
 
-    ``snapshot``: send a snapshot, whatever deltas there are.
+    ``snapshot``: send a snapshot, even where the relay has the deltas.
     """
 
     revision: Revision
@@ -54,18 +54,18 @@
 
 
 class Unsubscribe(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Serve me no more."""
+    """Stop the updates."""
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Cumulative: everything up to ``revision`` is in force here, everything up to ``received`` is here."""
+    """Cumulative: everything up to ``revision`` is in force, everything up to ``received`` has arrived."""
 
     revision: Revision
     received: Revision
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """``refused`` cannot be applied here, because of ``resource``; ``revision`` stays in force."""
+    """``refused`` cannot be applied, because of ``resource``; ``revision`` stays in force."""
 
     revision: Revision
     received: Revision
@@ -85,7 +85,7 @@
 
 
 class Deltas(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """Committed deltas in order, the first from ``from_revision``; ``newest`` that the relay knows."""
+    """Committed deltas in order, from ``from_revision`` on; ``newest`` is the relay's newest revision."""
 
     from_revision: Revision
     newest: Revision
@@ -93,7 +93,7 @@
 
 
 class SnapshotPiece(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """A part of all resources at ``revision``, compressed, from byte ``offset`` of ``total``."""
+    """A piece of the compressed snapshot at ``revision``, from byte ``offset`` of ``total``."""
 
     revision: Revision
     offset: Offset
@@ -102,21 +102,21 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=13):
-    """The relay serves you. ``age``: ms since a voter last confirmed that ``newest`` is the newest."""
+    """The relay serves the subscriber. ``age``: ms since a voter last confirmed ``newest`` as the newest."""
 
     newest: Revision
     age: AgeMs
 
 
 class Busy(msgspec.Struct, array_like=True, frozen=True, tag=14):
-    """Not now. ``full``: no room for one more subscriber; else a snapshot follows when its turn comes."""
+    """``full``: the subscriber table is full; otherwise a snapshot is queued and follows later."""
 
     full: bool
-    waiting: Counter = 0  # subscribers that wait for a snapshot before you
+    waiting: Counter = 0  # subscribers before this one in the queue for snapshots
 
 
 class Redirect(msgspec.Struct, array_like=True, frozen=True, tag=15):
-    """Served no more: ask another. ``relay``: which; empty: the next in your own order."""
+    """Use another relay: ``relay``, or, where it is empty, the next in the subscriber's order."""
 
     relay: Annotated[str, Meta(max_length=32)]
 
@@ -133,7 +133,7 @@
 
 
 class Refusal(msgspec.Struct, array_like=True, frozen=True):
-    """A subscriber that refused a revision and stays on an older one."""
+    """A subscriber that refused a revision and stays at an older one."""
 
     name: Name
     revision: Revision
@@ -150,7 +150,7 @@
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, tag=21):
-    """All acknowledgements of one relay, in bounded size: the newest revisions, those furthest behind."""
+    """Bounded summary of a relay's acknowledgements: the newest revisions and those furthest behind."""
 
     newest: Revision
     age: AgeMs
@@ -158,10 +158,10 @@
     counts: Annotated[tuple[RevisionCount, ...], Meta(max_length=MAX_LISTED_REVISIONS)]
     older: Counter  # subscribers at revisions that are not listed
     laggards: Annotated[tuple[Laggard, ...], Meta(max_length=MAX_LISTED_LAGGARDS)]
-    behind: Counter  # subscribers behind the newest, also those not listed
+    behind: Counter  # all subscribers behind the newest, listed or not
     refusals: Annotated[tuple[Refusal, ...], Meta(max_length=MAX_LISTED_REFUSALS)]
-    refused: Counter  # subscribers that refuse a revision, also those not listed
-    waiting: Counter = 0  # for a snapshot
+    refused: Counter  # all subscribers that refuse a revision, listed or not
+    waiting: Counter = 0  # subscribers in the queue for snapshots
 
 
 Body = (
@@ -171,7 +171,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """Around every message. ``boot`` tells starts of the sender apart."""
+    """Surrounds every message. ``boot`` identifies one start of the sender."""
 
     schema: Annotated[int, Meta(ge=0, le=1 << 16)]
     least: Annotated[int, Meta(ge=0, le=1 << 16)]
@@ -188,36 +188,37 @@
 
 
 def encode_body(body: Body) -> msgspec.Raw:
-    """A body, encoded once for all that it goes to."""
+    """Encode a body, once for all its receivers."""
     return msgspec.Raw(_encoder.encode(body))
 
 
 def pack(fleet: str, sender: str, boot: int, to: str, raw: msgspec.Raw) -> bytes:
-    """One message, ready to go."""
+    """Encode one message with its envelope."""
     return MARK + _encoder.encode(Envelope(SCHEMA, SCHEMA, fleet, sender, to, boot, raw))
 
 
 def open_envelope(data: bytes, fleet: str, to: str, own: bool = False) -> Envelope:
-    """Of a message to this member, its body unread. ``own``: from itself, which no connection may bring.
+    """Decode the envelope of a message to this member, not its body.
 
-    Raises ``Rejected``, with the causes of ``fleet/messages.py``.
+    ``own``: sent by this member to itself, which is not accepted from a connection. Raises ``Rejected``, with
+    the causes of ``fleet/messages.py``.
     """
     if data[: len(MARK)] != MARK:
         raise Rejected("unreadable")
-    found = opened(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, MAX_FRAME_BYTES)
-    if (found.sender == to) is not own:
+    envelope = opened(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, MAX_FRAME_BYTES)
+    if (envelope.sender == to) is not own:
         raise Rejected("wrong name")
-    return found
+    return envelope
 
 
 def unpack(data: bytes, fleet: str, to: str, own: bool = False) -> tuple[Envelope, Body]:
-    """A message to this member, whole. Raises ``Rejected``, as ``open_envelope``."""
-    found = open_envelope(data, fleet, to, own)
-    return found, body_in(found.body, _bodies)
+    """Decode a message to this member. Raises ``Rejected``, as ``open_envelope``."""
+    envelope = open_envelope(data, fleet, to, own)
+    return envelope, body_in(envelope.body, _bodies)
 
 
 class Addressee(StrEnum):
-    """Which part of a member a message is for."""
+    """The component of a member that a message is for."""
 
     RELAY = "relay"
     SUBSCRIBER = "subscriber"
@@ -225,15 +226,15 @@
 
 
 def addressee(body: msgspec.Raw) -> Addressee:
-    """For whom a body is, by its tag alone. Raises ``Rejected`` for one that is no body's beginning."""
-    head = bytes(memoryview(body)[: TAG_AT + 1])
-    found = _ADDRESSEES.get(head[TAG_AT]) if len(head) > TAG_AT else None
-    if found is None:
+    """The addressee of a body, by its tag alone. Raises ``Rejected`` where it does not begin like a body."""
+    head = bytes(memoryview(body)[: TAG_OFFSET + 1])
+    component = _ADDRESSEES.get(head[TAG_OFFSET]) if len(head) > TAG_OFFSET else None
+    if component is None:
         raise Rejected("unknown kind")
-    return found
+    return component
 
 
-TAG_AT = 1  # byte of a body's tag: an array of under sixteen fields has one byte before it
+TAG_OFFSET = 1  # of a body's tag in bytes: an array of under sixteen fields has one byte before it
 _ADDRESSEES = {
     **dict.fromkeys(range(1, 6), Addressee.RELAY),
     **dict.fromkeys(range(11, 16), Addressee.SUBSCRIBER),
--- a/quincepath/fleet/configuration/ports.py
+++ b/quincepath/fleet/configuration/ports.py
@@ -1,4 +1,4 @@
-"""What goes into a step of a relay or a subscriber, and what comes out. Times are ns of the own clock."""
+"""Inputs and outputs of a step of a relay or a subscriber. Times are ns of the own clock."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """A message of a member; ``sender`` is whose connection it came by. ``own``: of this member itself.
+    """A message of a member; ``sender`` is the member at the other end of the connection.
 
-    A relay and a subscriber of one member have no connection between them.
+    ``own``: sent by this member itself; a relay and a subscriber of one member have no connection.
     """
 
     sender: str
@@ -24,16 +24,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """The connection to a member has ended, or could not be had."""
+    """The connection to a member ended, or could not be established."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """For a relay: a voter says that ``newest`` is the newest revision. ``deltas``: new ones, perhaps none.
+    """For a relay: a voter reports ``newest`` as the newest revision. ``deltas``: new ones, perhaps none.
 
-    ``age``: ns since that voter itself knew it from the leader.
+    ``age``: ns since that voter learned it from the leader.
     """
 
     newest: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Loaded:
-    """For a relay: the state machine's snapshot. ``deltas``: those it has, up to ``revision``."""
+    """For a relay: a snapshot of the state machine. ``deltas``: those that it holds, up to ``revision``."""
 
     revision: int
     values: Mapping[str, bytes]
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """For a relay: it goes. Its subscribers are told to choose another."""
+    """For a relay: it shuts down. Its subscribers are redirected to another one."""
 
 
 SubscriberInput = Received | Lost
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """For the broker: put the edits in force in one turn; they lead to ``revision``."""
+    """For the broker: put the edits in force in one step; they lead to ``revision``."""
 
     revision: int
     edits: tuple[Edit, ...]
@@ -80,20 +80,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Resume:
-    """For the follower of the log: deltas are missing after ``revision``; ask a voter for them."""
+    """For the follower of the log: request the missing deltas after ``revision`` from a voter."""
 
     revision: int
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """For the voters: the acknowledgements of a relay's subscribers, summed up."""
+    """For the voters: the aggregated acknowledgements of a relay's subscribers."""
 
     summary: Summary
 
 
 class EventKind(StrEnum):
-    """What an event is about; for logs and counters."""
+    """The kind of an event, for logs and counters."""
 
     RELAY_CHOSEN = "relay chosen"
     RELAY_LEFT = "relay left"
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """For people."""
+    """An event for the log."""
 
     kind: EventKind
     text: str
--- a/quincepath/fleet/configuration/resources.py
+++ b/quincepath/fleet/configuration/resources.py
@@ -1,7 +1,7 @@
-"""Typed resources: which kinds there are, and what their values may be, by the brokers' own schema.
+"""Typed resources: their kinds, and the validation of their values by the brokers' own schema.
 
 A value is a msgpack map with the keys and spellings of a configuration file (``target: 140ms``). The models
-of ``config/schema`` check it, so that a change is held to the bounds and words that a file is held to.
+of ``config/schema`` validate it, so that a change has the same bounds and error texts as a file.
 """
 
 from collections.abc import Mapping
@@ -26,13 +26,13 @@
     "tenant": TenantEntry,
 }
 NODE, CLASS, TENANT = "node", "class", "tenant"
-NODE_LIST = "list/nodes"  # absent: the nodes that are named are all
+NODE_LIST = "list/nodes"  # absent: the list of distributed nodes is complete
 
-MAX_SHOWN_VALUE_CHARACTERS = 160  # characters
+MAX_SHOWN_VALUE_CHARACTERS = 160
 
 
 class _NodeUrl(msgspec.Struct):
-    """The one key of a node that the index of addresses needs."""
+    """The only key of a node that the index by address needs."""
 
     url: str
 
@@ -48,12 +48,12 @@
 
 
 def encode_resource(entry: Mapping[str, Any]) -> bytes:
-    """An entry as it would stand in a configuration file, keys sorted: equal entries have equal bytes."""
+    """Encode an entry of a configuration file with sorted keys: equal entries have equal bytes."""
     return _encoder.encode(entry)
 
 
 def decode_resource(name: str, value: bytes) -> Model:
-    """One checked resource. Raises ``ChangeError`` with every fault: place, value, what was expected."""
+    """Validate and decode one resource. Raises ``ChangeError`` with all faults: place, value, expectation."""
     kind, own_name = split_name(name)
     model = KINDS.get(kind)
     if model is None:
@@ -65,35 +65,35 @@
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise ChangeError([Fault(name, f"{len(value)} bytes", f"a msgpack map: {error}", name)]) from None
     try:
-        found = model.model_validate(entry)
+        resource = model.model_validate(entry)
     except ValidationError as error:
         raise ChangeError(_schema_faults(name, error)) from None
-    said = getattr(found, "name", "")
-    if said != own_name:
+    entry_name = getattr(resource, "name", "")
+    if entry_name != own_name:
         expected = f"the resource's own name, {own_name!r}"
-        raise ChangeError([Fault(f"{name}.name", repr(said), expected, name)])
-    return found
+        raise ChangeError([Fault(f"{name}.name", repr(entry_name), expected, name)])
+    return resource
 
 
 def _schema_faults(name: str, error: ValidationError) -> list[Fault]:
-    found = []
+    faults = []
     for one in error.errors(include_url=False, include_context=False):
         path = "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in one["loc"])
         unknown = one["type"] == "extra_forbidden"
-        said = one["msg"].removeprefix("Value error, ").removeprefix("expected ")
-        words = "a key that the schema knows" if unknown else said
-        found.append(Fault(f"{name}{path}", repr(one["input"])[:MAX_SHOWN_CHARACTERS], words, name))
-    return found
+        message = one["msg"].removeprefix("Value error, ").removeprefix("expected ")
+        expected = "a key that the schema knows" if unknown else message
+        faults.append(Fault(f"{name}{path}", repr(one["input"])[:MAX_SHOWN_CHARACTERS], expected, name))
+    return faults
 
 
 def node_address(holder: Model) -> str:
-    """``ADDRESS:PORT`` of a node: no two nodes may have the same."""
+    """``ADDRESS:PORT`` of a node, which must be unique among the nodes."""
     assert isinstance(holder, Holder)
     return urlsplit(holder.url).netloc
 
 
 def address_of_value(value: bytes) -> str | None:
-    """The address of a node that was checked before. None: it is none that this version can read."""
+    """The address of a node whose value was validated before. None: this version cannot read it."""
     try:
         return urlsplit(_node_urls.decode(value).url).netloc
     except (msgspec.MsgspecError, UnicodeDecodeError, ValueError):
@@ -101,7 +101,7 @@
 
 
 def format_value(value: bytes | None) -> str:
-    """A value for people, bounded."""
+    """A value as readable text of bounded length."""
     if value is None:
         return "absent"
     try:
--- a/quincepath/fleet/configuration/snapshots.py
+++ b/quincepath/fleet/configuration/snapshots.py
@@ -1,4 +1,4 @@
-"""All resources at one revision as bytes: compressed and cut by a relay, put together by a subscriber."""
+"""Snapshots of all resources: compressed and split by a relay, reassembled by a subscriber."""
 
 import zlib
 from collections.abc import Mapping
@@ -13,11 +13,11 @@
 from quincepath.fleet.configuration.table import MAX_RESOURCES, MAX_TABLE_BYTES
 
 MAX_CONTENT_BYTES = MAX_TABLE_BYTES + 16 * MAX_RESOURCES  # decompressed
-COMPRESSION_LEVEL = 1  # 12,000 nodes are compressed in one turn of the relay
+COMPRESSION_LEVEL = 1  # fast: 12,000 nodes are compressed in one step of the relay
 
 
 class Content(msgspec.Struct, array_like=True, frozen=True):
-    """What a snapshot holds."""
+    """The content of a snapshot."""
 
     revision: Revision
     values: Annotated[dict[ResourceName, Value], Meta(max_length=MAX_RESOURCES)]
@@ -25,23 +25,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Image:
-    """A snapshot, ready to be cut."""
+    """A compressed snapshot."""
 
     revision: int
     data: bytes
 
     def piece(self, offset: int) -> SnapshotPiece:
-        """The piece that begins at a byte."""
+        """The piece that begins at byte ``offset``."""
         data = self.data[offset : offset + PIECE_BYTES]
         return SnapshotPiece(self.revision, offset, len(self.data), data)
 
 
 _encoder = msgspec.msgpack.Encoder(order="deterministic")
-_contents = msgspec.msgpack.Decoder(Content)
+_content_decoder = msgspec.msgpack.Decoder(Content)
 
 
 def make_image(revision: int, values: Mapping[str, bytes]) -> Image:
-    """Compress all values. Raises ``ChangeError`` where the result is larger than a snapshot may be."""
+    """Compress all values. Raises ``ChangeError`` where the result is larger than the limit of a snapshot."""
     plain = _encoder.encode(Content(revision, dict(values)))
     data = zlib.compress(plain, COMPRESSION_LEVEL)
     if len(data) > MAX_SNAPSHOT_BYTES:
@@ -50,11 +50,11 @@
 
 
 def read_image(image: Image) -> Content:
-    """What an image holds. Raises ``ChangeError`` where it is not whole or breaks a bound."""
+    """Decode an image. Raises ``ChangeError`` where it is corrupt, truncated or exceeds a bound."""
     reader = zlib.decompressobj()
     try:
         plain = reader.decompress(image.data, MAX_CONTENT_BYTES)
-        content = _contents.decode(plain)
+        content = _content_decoder.decode(plain)
     except (zlib.error, msgspec.MsgspecError) as error:
         found = f"{len(image.data)} bytes"
         raise ChangeError([Fault("snapshot", found, f"a readable snapshot: {error}")]) from None
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class Assembly:
-    """Pieces of one snapshot, put together in order. Bounded by the total that the first piece names."""
+    """Reassembles the pieces of one snapshot in order, bounded by the total that the first piece states."""
 
     revision: int
     total: int
@@ -73,16 +73,16 @@
 
     @property
     def offset(self) -> int:
-        """Where the next piece begins."""
+        """Offset of the next piece."""
         return len(self.data)
 
     @property
-    def whole(self) -> bool:
-        """Whether all pieces are here."""
+    def complete(self) -> bool:
+        """Whether all pieces have arrived."""
         return len(self.data) >= self.total
 
     def add(self, piece: SnapshotPiece) -> bool:
-        """Whether the piece was the next one of this snapshot."""
+        """Append a piece; false where it is not the next one of this snapshot."""
         fits = piece.offset == len(self.data) and piece.total == self.total and piece.data
         if piece.revision != self.revision or not fits or piece.offset + len(piece.data) > self.total:
             return False
@@ -90,5 +90,5 @@
         return True
 
     def image(self) -> Image:
-        """The whole snapshot, not yet read."""
+        """The complete snapshot, not yet decoded."""
         return Image(self.revision, bytes(self.data))
--- a/quincepath/fleet/configuration/status.py
+++ b/quincepath/fleet/configuration/status.py
@@ -1,7 +1,7 @@
-"""The sums of all relays' summaries, for ``quincepath fleet config status``: who is at which revision.
+"""Aggregates the summaries of all relays for ``quincepath fleet config status``: brokers by revision.
 
-A voter hears a summary of each relay every two seconds. A broker that has just gone from one relay to another
-may stand in two of them until the first has heard that it left, or has not heard it for ten seconds.
+A voter receives a summary of each relay every two seconds. A broker that has just switched relays may be
+counted in both summaries until the first relay receives its Unsubscribe, or no message of it for ten seconds.
 """
 
 from collections import Counter
@@ -18,13 +18,13 @@
 )
 from quincepath.fleet.configuration.relay_preference import MS, SECOND
 
-MAX_RELAYS = 100  # of which summaries are kept; one more is not counted
-SUMMARY_TIMEOUT_NS = 10 * SECOND  # a relay's summary that is older is shown as old and not counted
+MAX_RELAYS = 100  # whose summaries are kept; further ones are ignored
+SUMMARY_TIMEOUT_NS = 10 * SECOND  # an older summary is listed, but not counted
 
 
 @dataclass(slots=True, frozen=True)
 class RelayStatus:
-    """One relay. ``age_ms``: of its newest revision; ``heard_ms``: since its summary came."""
+    """One relay. ``age_ms``: of its newest revision; ``heard_ms``: since its last summary arrived."""
 
     name: str
     newest: int
@@ -38,9 +38,9 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetStatus:
-    """``expected`` brokers should be subscribed, ``missing`` of them are at no relay that is heard.
+    """``expected`` brokers should be subscribed; ``missing`` of them are in no current summary.
 
-    ``oldest_behind_ms``: of the broker that is behind the newest revision for longest.
+    ``oldest_behind_ms``: the longest time that a broker has been behind the newest revision.
     """
 
     newest: int
@@ -63,21 +63,21 @@
         return self.in_force >= self.expected and not self.behind
 
     def lines(self) -> list[str]:
-        """For people."""
-        found = [
+        """Readable lines for the command line."""
+        lines = [
             f"revision {self.newest}: in force at {self.in_force} of {self.expected} brokers, "
             f"{self.behind} behind, {self.refused} refuse, {self.missing} at no relay"
         ]
-        found += [f"  at revision {one.revision}: {one.subscribers}" for one in self.counts]
-        found += [f"  at older revisions: {self.older}"] if self.older else []
-        found += [
+        lines += [f"  at revision {one.revision}: {one.subscribers}" for one in self.counts]
+        lines += [f"  at older revisions: {self.older}"] if self.older else []
+        lines += [
             f"  behind: {one.name} at {one.revision} for {one.behind / 1000:.1f} s" for one in self.laggards
         ]
-        found += [
+        lines += [
             f"  refuses {one.refused}: {one.name}, stays at {one.revision}: {one.resource}: {one.reason}"
             for one in self.refusals
         ]
-        return found + [_relay_line(one) for one in self.relays]
+        return lines + [_relay_line(one) for one in self.relays]
 
 
 def _relay_line(relay: RelayStatus) -> str:
@@ -91,24 +91,24 @@
 
 @dataclass(slots=True)
 class RelaySummaries:
-    """The newest summary of each relay, and when it came."""
+    """The newest summary of each relay, and when it arrived."""
 
-    newest_of: dict[str, tuple[int, Summary]] = field(default_factory=dict)
+    latest: dict[str, tuple[int, Summary]] = field(default_factory=dict)
 
     def record(self, relay: str, summary: Summary, now: int) -> bool:
-        """Take one in; False where there is no room for one more relay."""
-        if relay not in self.newest_of and len(self.newest_of) >= MAX_RELAYS:
+        """Store a relay's summary; false where the limit of relays is reached."""
+        if relay not in self.latest and len(self.latest) >= MAX_RELAYS:
             return False
-        self.newest_of[relay] = (now, summary)
+        self.latest[relay] = (now, summary)
         return True
 
     def forget(self, relay: str) -> None:
-        """A relay that is configured no more."""
-        self.newest_of.pop(relay, None)
+        """Drop a relay that is no longer configured."""
+        self.latest.pop(relay, None)
 
     def status(self, newest: int, expected: int, now: int) -> FleetStatus:
-        """All sums. ``newest``: the committed revision; ``expected``: brokers that should be subscribed."""
-        fresh = [one for at, one in self.newest_of.values() if now < at + SUMMARY_TIMEOUT_NS]
+        """Aggregate. ``newest``: the committed revision; ``expected``: brokers that should be subscribed."""
+        fresh = [one for at, one in self.latest.values() if now < at + SUMMARY_TIMEOUT_NS]
         at_revision: Counter[int] = Counter()
         for summary in fresh:
             for count in summary.counts:
@@ -133,11 +133,11 @@
             older=subscribed - sum(at_revision[revision] for revision in listed),
             laggards=tuple(laggards[:MAX_LISTED_LAGGARDS]),
             refusals=tuple(refusals[:MAX_LISTED_REFUSALS]),
-            relays=tuple(self._relay(name, now) for name in sorted(self.newest_of)),
+            relays=tuple(self._relay(name, now) for name in sorted(self.latest)),
         )
 
     def _relay(self, name: str, now: int) -> RelayStatus:
-        at, summary = self.newest_of[name]
+        at, summary = self.latest[name]
         since = (now - at) // MS
         return RelayStatus(
             name,
--- a/quincepath/fleet/configuration/table.py
+++ b/quincepath/fleet/configuration/table.py
@@ -1,6 +1,7 @@
-"""The resources at one revision, and what stands in the way of an edit: old value, schema, other resources.
+"""The resources at one revision, and the validation of edits: old values, schema, other resources.
 
-Costs by what an edit touches, not by the size of the table: 12,000 nodes are held, one is changed.
+The cost grows with the resources that an edit changes, not with the table: it holds 12,000 nodes while a
+change concerns one.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -18,13 +19,13 @@
     split_name,
 )
 
-MAX_RESOURCES = 20_000  # 12,000 nodes, and classes and tenants beside them
+MAX_RESOURCES = 20_000  # 12,000 nodes, and the classes and tenants
 MAX_TABLE_BYTES = 16 << 20  # of all names and values
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """What a broker knows besides the values. ``replica_sets``: its shard map's; None: not looked at."""
+    """What values are validated against. ``replica_sets``: those of the broker's shard map; None: skipped."""
 
     replica_sets: frozenset[frozenset[str]] | None = None
 
@@ -33,7 +34,7 @@
 
 
 def apply_edits(values: dict[str, bytes], edits: Iterable[Edit]) -> None:
-    """Put the new values in place of the old, unchecked."""
+    """Replace the old values by the new ones, without validation."""
     for edit in edits:
         if edit.new is None:
             values.pop(edit.name, None)
@@ -42,7 +43,7 @@
 
 
 def merge_deltas(deltas: Sequence[Delta]) -> tuple[Edit, ...]:
-    """Several deltas in order as one: of each resource the first old and the last new value."""
+    """Combine consecutive deltas: of each resource the first old and the last new value."""
     first: dict[str, bytes | None] = {}
     last: dict[str, bytes | None] = {}
     for delta in deltas:
@@ -53,17 +54,17 @@
 
 
 def diff_values(values: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Edit, ...]:
-    """The edits that lead from one set of values to another."""
+    """The edits that turn ``values`` into ``wanted``."""
     found = [Edit(name, old, None) for name, old in values.items() if name not in wanted]
     found += [Edit(name, values.get(name), new) for name, new in wanted.items() if values.get(name) != new]
     return tuple(found)
 
 
 class ResourceTable:
-    """Checked resources. ``faults`` and ``conflicts`` say what stands in the way; ``apply`` asks no more."""
+    """Validated resources. ``faults`` and ``conflicts`` validate edits; ``apply`` does not."""
 
     def __init__(self, values: Mapping[str, bytes] | None = None) -> None:
-        """Values are taken as they are: they were checked when they were committed."""
+        """Values are not validated here: they were when they were committed."""
         self.values: dict[str, bytes] = {}
         self._address_of: dict[str, str] = {}  # by node resource
         self._node_at: dict[str, str] = {}  # by address
@@ -73,7 +74,7 @@
             self.apply(Edit(name, None, value) for name, value in values.items())
 
     def conflicts(self, edits: Iterable[Edit]) -> list[Fault]:
-        """Compare-and-swap: the resources whose value is not the old one that the edit names."""
+        """Compare-and-swap: the resources whose current value is not the old value that the edit states."""
         return [
             Fault(
                 edit.name,
@@ -86,7 +87,7 @@
         ]
 
     def faults(self, edits: Sequence[Edit], rules: Rules = NO_RULES) -> list[Fault]:
-        """What the new values break: the schema, a bound, or what holds between resources. Empty: nothing."""
+        """Violations of the schema, of a bound, or of constraints between resources. Empty: none."""
         found: list[Fault] = []
         nodes: dict[str, Holder] = {}
         for edit in edits:
@@ -99,44 +100,49 @@
                 continue
             if isinstance(model, Holder):
                 nodes[edit.name] = model
-        return found + self._between(edits) + self._address_faults(edits, nodes) + _set_faults(nodes, rules)
-
-    def _between(self, edits: Sequence[Edit]) -> list[Fault]:
-        """Counts over the table."""
+        return (
+            found
+            + self._limit_faults(edits)
+            + self._address_faults(edits, nodes)
+            + _replica_set_faults(nodes, rules)
+        )
+
+    def _limit_faults(self, edits: Sequence[Edit]) -> list[Fault]:
+        """Violations of the limits of the whole table."""
         found = []
-        total = len(self.values) + sum(_grown(self.values, edit) for edit in edits)
+        total = len(self.values) + sum(_count_change(self.values, edit) for edit in edits)
         if total > MAX_RESOURCES:
             found.append(Fault("resources", str(total), f"at most {MAX_RESOURCES}"))
-        size = self.bytes + sum(_bytes_grown(self.values, edit) for edit in edits)
+        size = self.bytes + sum(_size_change(self.values, edit) for edit in edits)
         if size > MAX_TABLE_BYTES:
             found.append(Fault("resources", f"{size} bytes", f"at most {MAX_TABLE_BYTES}"))
         classes = [edit for edit in edits if split_name(edit.name)[0] == CLASS]
-        if self._classes and self._classes + sum(_grown(self.values, edit) for edit in classes) < 1:
+        if self._classes and self._classes + sum(_count_change(self.values, edit) for edit in classes) < 1:
             found.append(Fault("class/", "the last class is removed", "at least one class"))
         return found
 
     def _address_faults(self, edits: Sequence[Edit], nodes: Mapping[str, Holder]) -> list[Fault]:
-        """Two nodes at one address, among the edits or with one that is held."""
+        """Nodes whose address another node has, among the edits or in the table."""
         edited = {edit.name for edit in edits}
-        taken: dict[str, str] = {}
+        edited_addresses: dict[str, str] = {}
         found = []
         for name, holder in nodes.items():
             address = node_address(holder)
-            other = taken.get(address) or self._node_at.get(address)
-            if other is not None and other != name and (other not in edited or address in taken):
+            other = edited_addresses.get(address) or self._node_at.get(address)
+            if other is not None and other != name and (other not in edited or address in edited_addresses):
                 expected = f"an address of its own; {other} has it"
                 found.append(Fault(f"{name}.url", address, expected, name))
-            taken[address] = name
+            edited_addresses[address] = name
         return found
 
     def apply(self, edits: Iterable[Edit]) -> None:
-        """Put the new values in place. Only after ``faults`` and ``conflicts`` had nothing to say."""
+        """Apply edits. Only valid where ``faults`` and ``conflicts`` were empty."""
         for edit in edits:
-            self._forget(edit.name)
+            self._remove(edit.name)
             if edit.new is not None:
-                self._take(edit.name, edit.new)
+                self._put(edit.name, edit.new)
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         old = self.values.pop(name, None)
         if old is None:
             return
@@ -146,7 +152,7 @@
         if address is not None and self._node_at.get(address) == name:
             del self._node_at[address]
 
-    def _take(self, name: str, value: bytes) -> None:
+    def _put(self, name: str, value: bytes) -> None:
         self.values[name] = value
         self.bytes += len(name) + len(value)
         kind = split_name(name)[0]
@@ -159,21 +165,21 @@
             self._node_at[address] = name
 
 
-def _grown(values: Mapping[str, bytes], edit: Edit) -> int:
-    """By how many resources an edit changes their number."""
+def _count_change(values: Mapping[str, bytes], edit: Edit) -> int:
+    """By how much an edit changes the number of resources."""
     return (edit.new is not None) - (edit.name in values)
 
 
-def _bytes_grown(values: Mapping[str, bytes], edit: Edit) -> int:
-    """By how many bytes an edit changes the table."""
+def _size_change(values: Mapping[str, bytes], edit: Edit) -> int:
+    """By how many bytes an edit changes the size of the table."""
     old = values.get(edit.name)
-    before = 0 if old is None else len(edit.name) + len(old)
-    after = 0 if edit.new is None else len(edit.name) + len(edit.new)
-    return after - before
+    old_size = 0 if old is None else len(edit.name) + len(old)
+    new_size = 0 if edit.new is None else len(edit.name) + len(edit.new)
+    return new_size - old_size
 
 
-def _set_faults(nodes: Mapping[str, Holder], rules: Rules) -> list[Fault]:
-    """Nodes whose shards are not those of one replica set of the broker's shard map."""
+def _replica_set_faults(nodes: Mapping[str, Holder], rules: Rules) -> list[Fault]:
+    """Nodes whose shards are not exactly one replica set of the broker's shard map."""
     if rules.replica_sets is None:
         return []
     return [
--- a/quincepath/fleet/configuration_requests.py
+++ b/quincepath/fleet/configuration_requests.py
@@ -1,4 +1,4 @@
-"""Requests under ``/fleet/config/``: propose and roll back a change, status, committed resources; JSON."""
+"""HTTP requests under ``/fleet/config/``: propose or roll back a change, status, resources; JSON."""
 
 import json
 from typing import Any
@@ -25,79 +25,79 @@
 
 
 class ConfigurationRequests:
-    """``request`` answers those that are of the configuration."""
+    """``request`` answers the requests that concern the configuration."""
 
     def __init__(self, distribution: Distribution, agreed: Agreed) -> None:
         self.distribution, self.agreed = distribution, agreed
 
     def request(self, exchange: Exchange) -> bool:
-        """Answer, now or when it is known; false for any other path."""
-        asked = exchange.request
-        if not asked.path.startswith(PREFIX):
+        """Answer now, or when the result is known; false for any other path."""
+        request = exchange.request
+        if not request.path.startswith(PREFIX):
             return False
-        what = asked.path.removeprefix(PREFIX)
-        if asked.method == "POST":
-            self._order(exchange, what, asked.body)
+        action = request.path.removeprefix(PREFIX)
+        if request.method == "POST":
+            self._handle_post(exchange, action, request.body)
         else:
-            self._page(exchange, what)
+            self._handle_get(exchange, action)
         return True
 
     # --- pages ---
 
-    def _page(self, exchange: Exchange, what: str) -> None:
-        name = unquote(what.removeprefix("show/"))
-        found: dict[str, Any] | None = None
-        if what == "status":
-            found = self.distribution.status_page()
-        elif what == "show":
-            found = self.distribution.show_page()
-        elif what.startswith("show/"):
-            found = self.distribution.show_page(name)
-            if found is None:
+    def _handle_get(self, exchange: Exchange, action: str) -> None:
+        name = unquote(action.removeprefix("show/"))
+        page: dict[str, Any] | None = None
+        if action == "status":
+            page = self.distribution.status_page()
+        elif action == "show":
+            page = self.distribution.show_page()
+        elif action.startswith("show/"):
+            page = self.distribution.show_page(name)
+            if page is None:
                 newest = self.agreed.machine.configuration.revision
-                self._say(exchange, MISSING, {"error": f"{name}: absent at revision {newest}"})
+                self._respond(exchange, MISSING, {"error": f"{name}: absent at revision {newest}"})
                 return
-        if found is None:
-            self._say(exchange, MISSING, {"error": f"{what!r}: expected {PATHS} under {PREFIX}"})
+        if page is None:
+            self._respond(exchange, MISSING, {"error": f"{action!r}: expected {PATHS} under {PREFIX}"})
             return
-        self._say(exchange, OK, found)
+        self._respond(exchange, OK, page)
 
-    # --- orders ---
+    # --- changes ---
 
-    def _order(self, exchange: Exchange, what: str, body: bytes) -> None:
+    def _handle_post(self, exchange: Exchange, action: str, body: bytes) -> None:
         try:
-            change = self._change(what, body)
+            change = self._change(action, body)
             if isinstance(change, DuplicateRequest):
                 self._answer(exchange, change.answer)
                 return
             data = encode_change(change)
         except ChangeError as error:
-            self._say(exchange, BAD, {"error": str(error)})
+            self._respond(exchange, BAD, {"error": str(error)})
             return
         command = ChangeConfiguration(change.id, change.author, change.proposed_at_ms, data)
-        self.agreed.command(command, lambda why: self._done(exchange, change, why))
+        self.agreed.command(command, lambda refusal: self._on_command_done(exchange, change, refusal))
 
-    def _change(self, what: str, body: bytes) -> Change | DuplicateRequest:
+    def _change(self, action: str, body: bytes) -> Change | DuplicateRequest:
         now = self.agreed.loop.system.wall_ms()
-        if what == "propose":
+        if action == "propose":
             return propose_change(parse_propose(body), self.agreed.machine.configuration, now)
-        if what == "rollback":
+        if action == "rollback":
             return rollback_change(parse_rollback(body), now)
-        raise ChangeError([Fault("path", repr(what), f"{PATHS} under {PREFIX}")])
+        raise ChangeError([Fault("path", repr(action), f"{PATHS} under {PREFIX}")])
 
-    def _done(self, exchange: Exchange, change: Change, why: str) -> None:
-        if why:
-            self._say(exchange, REFUSED, {"error": why})
+    def _on_command_done(self, exchange: Exchange, change: Change, refusal: str) -> None:
+        if refusal:
+            self._respond(exchange, REFUSED, {"error": refusal})
             return
         answer = self.agreed.machine.configuration.answers.get(change.id)
         self._answer(exchange, answer or Answer(0, "its revision is not remembered", b""))
 
     def _answer(self, exchange: Exchange, answer: Answer) -> None:
         if answer.revision:
-            self._say(exchange, OK, {"revision": answer.revision})
+            self._respond(exchange, OK, {"revision": answer.revision})
         else:
-            self._say(exchange, REFUSED, {"error": answer.reason})
+            self._respond(exchange, REFUSED, {"error": answer.reason})
 
     @staticmethod
-    def _say(exchange: Exchange, status: int, content: dict[str, Any]) -> None:
+    def _respond(exchange: Exchange, status: int, content: dict[str, Any]) -> None:
         exchange.respond(status, JSON, json.dumps(content).encode())
--- a/quincepath/fleet/distribution.py
+++ b/quincepath/fleet/distribution.py
@@ -1,7 +1,8 @@
-"""The configuration's distribution on one member: its subscriber, its relay and its sums, on the one loop.
+"""Distribution of the configuration on one member: its subscriber, relay and status, on the event loop.
 
-Moves messages, time and the news of the log to the pure parts (``fleet/configuration``) and carries out what
-they say. A member that relays serves itself, too; such messages take a turn of the loop and no connection.
+Passes messages, time and updates of the log to the pure parts (``fleet/configuration``) and executes their
+outputs. A member that runs a relay serves itself, too; such messages pass through the event loop instead of
+a connection.
 """
 
 from collections.abc import Callable, Sequence
@@ -49,17 +50,17 @@
 from quincepath.fleet.messages import Rejected
 from quincepath.net.loop import Loop, Timer
 
-FEED_INTERVAL_NS = 500 * MS  # between words of the log to the relay while nothing is new
-MIN_STEP_NS = MS  # between steps by the clock
-METRICS_INTERVAL_NS = 1000 * MS  # between looks at the figures
-MAX_LOGGED_EDITS = 5  # names of a revision in its log line
-WARNINGS = frozenset({EventKind.RELAY_LEFT, EventKind.SUBSCRIBER_GONE, EventKind.TABLE_FULL})
-ERRORS = frozenset({EventKind.REVISION_REFUSED, EventKind.SNAPSHOT_FAILED})
+FEED_INTERVAL_NS = 500 * MS  # between updates of the log to the relay while there are no new revisions
+MIN_STEP_NS = MS  # between steps that a timer starts
+METRICS_INTERVAL_NS = 1000 * MS  # between updates of the metrics
+MAX_LOGGED_EDITS = 5  # names of resources in the log line of a revision
+WARNING_EVENTS = frozenset({EventKind.RELAY_LEFT, EventKind.SUBSCRIBER_GONE, EventKind.TABLE_FULL})
+ERROR_EVENTS = frozenset({EventKind.REVISION_REFUSED, EventKind.SNAPSHOT_FAILED})
 
 
 @dataclass(slots=True, frozen=True)
 class Ports:
-    """What the member does for it. ``age``: ns since the newest entry here was known to be the newest."""
+    """Functions of the member. ``age``: ns since this member's newest entry was known to be the newest."""
 
     send: Callable[[str, bytes], None]
     history: Callable[[], History]
@@ -70,7 +71,7 @@
 
 
 class Distribution:
-    """``on_apply`` gets the edits of each revision, in one turn; they were checked before."""
+    """``on_apply`` is called with all edits of a revision at once, after their validation."""
 
     def __init__(
         self,
@@ -98,15 +99,15 @@
         self.summaries = RelaySummaries()
         self._timer: Timer | None = None
         self._closed = False
-        self._figures = _Figures(registry)
-        self._look()
-        self._feed_again()
+        self._metrics = _Metrics(registry)
+        self._update_metrics()
+        self._feed_periodically()
         self._arm()
 
     # --- messages ---
 
     def receive(self, data: bytes, own: bool = False) -> None:
-        """A message of another member; ``own``: of this one."""
+        """Handle a message of another member, or with ``own`` of this one."""
         me = self.entry
         try:
             envelope = open_envelope(data, me.name, me.member, own)
@@ -118,21 +119,21 @@
                 case Addressee.RELAY if self.relay is not None:
                     self._step_relay([Received(envelope.sender, data, own)])
                 case Addressee.VOTER:
-                    self._hear(data, own)
+                    self._on_summary(data, own)
                 case _:
                     raise Rejected("unknown kind")
         except Rejected as error:
             self.ports.dropped(error.cause)
 
-    def _hear(self, data: bytes, own: bool) -> None:
-        """A relay's summary."""
+    def _on_summary(self, data: bytes, own: bool) -> None:
+        """Handle a relay's summary."""
         envelope, body = unpack(data, self.entry.name, self.entry.member, own)
         if not isinstance(body, Summary) or envelope.sender not in self._relay_names:
             raise Rejected("unknown kind")
         self.summaries.record(envelope.sender, body, self.loop.clock())
 
     def on_connection_lost(self, name: str) -> None:
-        """The connection to a member ended, or could not be had."""
+        """The connection to a member ended, or could not be established."""
         self._step_subscriber([Lost(name)])
         self._step_relay([Lost(name)])
 
@@ -154,7 +155,7 @@
                 case Apply(revision, edits):
                     self._apply(revision, edits)
                 case Event():
-                    self._tell(out)
+                    self._log_event(out)
         self._arm()
 
     def _apply(self, revision: int, edits: Sequence[Edit]) -> None:
@@ -175,76 +176,76 @@
                 case Resume():
                     self.loop.call_in(0, self.feed)
                 case Event():
-                    self._tell(out)
+                    self._log_event(out)
         self._arm()
 
     def _report(self, summary: Summary) -> None:
         raw, me = encode_body(summary), self.entry
-        for keeper in self.ports.voters():
-            self._send(keeper, pack(me.name, me.member, self.boot, keeper, raw))
-
-    def _tell(self, event: Event) -> None:
-        say = self.log.info
-        if event.kind in WARNINGS:
-            say = self.log.warning
-        elif event.kind in ERRORS:
-            say = self.log.error
-        say(f"configuration: {event.kind}", cause=event.text)
-        self._figures.events.labels(event.kind).inc()
+        for voter in self.ports.voters():
+            self._send(voter, pack(me.name, me.member, self.boot, voter, raw))
+
+    def _log_event(self, event: Event) -> None:
+        write = self.log.info
+        if event.kind in WARNING_EVENTS:
+            write = self.log.warning
+        elif event.kind in ERROR_EVENTS:
+            write = self.log.error
+        write(f"configuration: {event.kind}", cause=event.text)
+        self._metrics.events.labels(event.kind).inc()
 
     def _arm(self) -> None:
-        """One timer for both."""
+        """Set one timer for subscriber and relay."""
         due = self.subscriber.due if self.relay is None else min(self.subscriber.due, self.relay.due)
         due = max(due, self.loop.clock() + MIN_STEP_NS)
         if self._timer is None or self._timer.call is None or self._timer.at != due:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer = self.loop.call_at(due, self._due)
+            self._timer = self.loop.call_at(due, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._step_subscriber([])
         self._step_relay([])
 
     # --- the log ---
 
     def feed(self) -> None:
-        """Tell the relay what this member knows of the log."""
+        """Pass the log's newest revisions to the relay."""
         if self.relay is not None:
-            news = relay_update(self.ports.history(), self.relay.log.newest, self.ports.age())
-            self._step_relay([news])
+            update = relay_update(self.ports.history(), self.relay.log.newest, self.ports.age())
+            self._step_relay([update])
 
-    def _feed_again(self) -> None:
+    def _feed_periodically(self) -> None:
         if not self._closed:
-            self.loop.call_in(FEED_INTERVAL_NS, self._feed_again)
+            self.loop.call_in(FEED_INTERVAL_NS, self._feed_periodically)
             self.feed()
 
     def refusal(self, command: ChangeConfiguration) -> str:
-        """Why this member as leader does not propose a change; empty where it does."""
+        """Why this member, as leader, does not propose a change; empty where it does."""
         history = self.ports.history()
         try:
             change = decode_change(command.change)
         except ChangeError as error:
             return str(error)
         if history.recorded_answer(change) is not None:
-            return ""  # a repeat: its answer stands
+            return ""  # a duplicate: it gets the same answer again
         edits = history.resolve_edits(change)
-        found = history.table.faults(edits, self.validator.rules) or self.validator.faults(edits)
-        return summarise_faults(found or self.validator.leader_faults(history.table.values, edits))
+        faults = history.table.faults(edits, self.validator.rules) or self.validator.faults(edits)
+        return summarise_faults(faults or self.validator.leader_faults(history.table.values, edits))
 
-    # --- for people ---
+    # --- status ---
 
     def fleet_status(self) -> FleetStatus:
-        """The sums of all relays' summaries; of use on a keeper only."""
+        """The aggregated summaries of all relays, which only voters receive."""
         now = self.loop.clock()
         subscriber = self.subscriber
-        told = [summary.newest for _, summary in self.summaries.newest_of.values()]
-        # This keeper's log may be behind what its own broker already has in force.
-        here = (self.ports.history().revision, subscriber.applier.revision, subscriber.chooser.newest)
-        newest = max([*here, *told])
+        reported = [summary.newest for _, summary in self.summaries.latest.values()]
+        # This voter's log may be behind the revision that its own broker already has in force.
+        known_here = (self.ports.history().revision, subscriber.applier.revision, subscriber.chooser.newest)
+        newest = max([*known_here, *reported])
         return self.summaries.status(newest, self.ports.expected_brokers(), now)
 
     def status_page(self) -> dict[str, Any]:
-        """``fleet``: of all brokers, on a keeper; null elsewhere. ``own``: of this broker."""
+        """``fleet``: status of all brokers, on a voter only, else null. ``own``: of this broker."""
         own = msgspec.to_builtins(self.subscriber.status(self.loop.clock()))
         page: dict[str, Any] = {
             "member": self.entry.member,
@@ -269,7 +270,7 @@
         return page
 
     def show_page(self, name: str = "") -> dict[str, Any] | None:
-        """Committed resources as this member knows them; one where it is named, None where it is absent."""
+        """All committed resources that this member knows, or the named one; None where that is absent."""
         history = self.ports.history()
         values = history.table.values
         if name and name not in values:
@@ -278,35 +279,35 @@
         resources = {one: msgspec.msgpack.decode(values[one]) for one in names}
         return {"revision": history.revision, "resources": resources}
 
-    def _look(self) -> None:
+    def _update_metrics(self) -> None:
         if self._closed:
             return
-        self.loop.call_in(METRICS_INTERVAL_NS, self._look)
+        self.loop.call_in(METRICS_INTERVAL_NS, self._update_metrics)
         status = self.subscriber.status(self.loop.clock())
-        figures = self._figures
-        figures.revision.set(status.revision)
-        figures.age.set(status.age_ms / 1000 if status.age_ms >= 0 else -1)
-        figures.refused.set(status.refused is not None)
+        metrics = self._metrics
+        metrics.revision.set(status.revision)
+        metrics.age.set(status.age_ms / 1000 if status.age_ms >= 0 else -1)
+        metrics.refused.set(status.refused is not None)
         if self.relay is not None:
-            figures.subscribers.set(len(self.relay.records))
+            metrics.subscribers.set(len(self.relay.records))
 
     def close(self) -> None:
-        """Subscribers are told to choose another relay."""
+        """Redirect the subscribers to another relay, and stop."""
         self._step_relay([Close()])
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
 
 
-class _Figures:
-    """The metrics."""
+class _Metrics:
+    """The Prometheus metrics."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         def gauge(name: str, about: str) -> Gauge:
             return Gauge(f"quincepath_configuration_{name}", about, registry=registry)
 
         self.revision = gauge("revision", "Revision of the distributed configuration in force here")
-        self.age = gauge("age_seconds", "Since a keeper confirmed the relay's newest revision; -1: no relay")
+        self.age = gauge("age_seconds", "Since a voter confirmed the relay's newest revision; -1: no relay")
         self.refused = gauge("refused", "1 while this broker refuses a revision (NACK)")
         self.subscribers = gauge("subscribers", "Brokers that this member's relay serves")
         self.events = Counter(
@@ -328,7 +329,7 @@
     log: Any,
     registry: CollectorRegistry,
 ) -> Distribution:
-    """Put together from a member's parts."""
+    """Build the distribution from the components of a member."""
     rules = Rules(frozenset(frozenset(names) for names in config.shards.sets().values()))
     members = frozenset({entry.member, *(peer.name for peer in entry.peers)})
     ports = Ports(
@@ -346,7 +347,7 @@
 def route_messages(
     log: Callable[[bytes], None], distribution: Callable[[bytes], None]
 ) -> Callable[[bytes], None]:
-    """One connection carries both: messages of the distribution begin with their mark."""
+    """Split the messages of one connection: those of the distribution begin with ``MARK``."""
 
     def receive(data: bytes) -> None:
         if data.startswith(MARK):
--- a/tests/fleet/configuration/test_history.py
+++ b/tests/fleet/configuration/test_history.py
@@ -173,7 +173,7 @@
     assert [delta.revision for delta in log.since(2, 1) or ()] == [3]
     assert log.since(5) == ()
     assert log.get(2) is None and log.get(6) is None
-    assert log.touched_after(4, "tenant/a") == 5 and log.touched_after(5, "tenant/a") == 0
+    assert log.last_change_after(4, "tenant/a") == 5 and log.last_change_after(5, "tenant/a") == 0
     with pytest.raises(ValueError, match="expected 6"):
         log.add(weights("a", 1.0)[0])
 
--- a/tests/fleet/configuration/test_relay.py
+++ b/tests/fleet/configuration/test_relay.py
@@ -213,7 +213,7 @@
     total = pieces[0].total
     assert total > 2 * PIECE_BYTES and len(pieces) <= 8
     assembly = Assembly(5, total)
-    while not assembly.whole:
+    while not assembly.complete:
         asked = FetchPieces(5, assembly.offset)
         found = [body for body in told(end.hear("b1", asked), "b1") if isinstance(body, SnapshotPiece)]
         assert found[0].offset == asked.offset and assembly.add(found[0])  # all but the first are lost
