--- a/tests/fleet/configuration/harness.py
+++ b/tests/fleet/configuration/harness.py
@@ -1,4 +1,4 @@
-"""One end of the distribution with the test as the other: messages packed and read as the peer would."""
+"""Test harnesses for a subscriber or a relay: the test plays the peers and encodes their messages."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -21,11 +21,11 @@
 from quincepath.fleet.configuration.table import NO_RULES, Rules
 
 FLEET = "test"
-PLACES = [RelayLocation("r1", "east"), RelayLocation("r2", "east"), RelayLocation("r3", "west")]
+RELAYS = [RelayLocation("r1", "east"), RelayLocation("r2", "east"), RelayLocation("r3", "west")]
 
 
 def sent(outputs: Sequence[SubscriberOutput | RelayOutput]) -> list[tuple[str, Body]]:
-    """Messages that went out: to whom, and what."""
+    """The messages among the outputs, each with its receiver."""
     return [(out.to, unpack(out.data, FLEET, out.to)[1]) for out in outputs if isinstance(out, Send)]
 
 
@@ -34,57 +34,57 @@
 
 
 @dataclass
-class SubscriberEnd:
-    """A subscriber; the test speaks as its relays. ``sent``: what it said since last read."""
+class SubscriberHarness:
+    """A subscriber; the test plays its relays. ``outputs``: all since the start."""
 
     rules: Rules = NO_RULES
-    places: list[RelayLocation] = field(default_factory=lambda: list(PLACES))
+    relays: list[RelayLocation] = field(default_factory=lambda: list(RELAYS))
     now: int = 0
     outputs: list[SubscriberOutput] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         me = SubscriberIdentity(FLEET, "b1", "east", 7)
-        self.subscriber = Subscriber(me, self.places, 1, self.now, self.rules)
+        self.subscriber = Subscriber(me, self.relays, 1, self.now, self.rules)
 
     def step(self, *inputs: SubscriberInput) -> list[tuple[str, Body]]:
-        found = self.subscriber.step(self.now, inputs)
-        self.outputs += found
-        return sent(found)
+        step_outputs = self.subscriber.step(self.now, inputs)
+        self.outputs += step_outputs
+        return sent(step_outputs)
 
-    def wait(self, milliseconds: int) -> list[tuple[str, Body]]:
-        """Let the time pass, with every step that is due."""
-        found = []
+    def advance(self, milliseconds: int) -> list[tuple[str, Body]]:
+        """Advance the clock and run every step that is due."""
+        messages = []
         until = self.now + milliseconds * MS
         while self.subscriber.due <= until:
             self.now = max(self.subscriber.due, self.now)
-            found += self.step()
+            messages += self.step()
         self.now = until
-        return found
+        return messages
 
-    def hear(self, relay: str, *bodies: Body) -> list[tuple[str, Body]]:
-        found = []
+    def receive(self, relay: str, *bodies: Body) -> list[tuple[str, Body]]:
+        messages = []
         for body in bodies:
-            found += self.step(Received(relay, pack(FLEET, relay, 1, "b1", encode_body(body))))
-        return found
+            messages += self.step(Received(relay, pack(FLEET, relay, 1, "b1", encode_body(body))))
+        return messages
 
-    def lose(self, relay: str) -> list[tuple[str, Body]]:
+    def lose_connection(self, relay: str) -> list[tuple[str, Body]]:
         return self.step(Lost(relay))
 
-    def served(self, newest: int = 0, age: int = 0) -> str:
-        """Begin, and let the relay that it asks serve it."""
-        self.wait(300)
+    def connect(self, newest: int = 0, age: int = 0) -> str:
+        """Let the relay that the subscriber tries serve it; returns that relay."""
+        self.advance(300)
         relay = self.subscriber.chooser.candidate
-        self.hear(relay, Heartbeat(newest, age))
+        self.receive(relay, Heartbeat(newest, age))
         assert self.subscriber.chooser.current == relay
         return relay
 
-    def applied(self) -> list[int]:
+    def applied_revisions(self) -> list[int]:
         return [out.revision for out in self.outputs if isinstance(out, Apply)]
 
 
 @dataclass
-class RelayEnd:
-    """A relay; the test speaks as its subscribers and its voter."""
+class RelayHarness:
+    """A relay; the test plays its subscribers and its voter."""
 
     max_subscribers: int = 10
     now: int = 0
@@ -94,21 +94,21 @@
         self.outputs: list[RelayOutput] = []
 
     def step(self, *inputs: RelayInput) -> list[tuple[str, Body]]:
-        found = self.relay.step(self.now, inputs)
-        self.outputs += found
-        return sent(found)
+        step_outputs = self.relay.step(self.now, inputs)
+        self.outputs += step_outputs
+        return sent(step_outputs)
 
-    def hear(self, name: str, *bodies: Body, boot: int = 7) -> list[tuple[str, Body]]:
-        found = []
+    def receive(self, name: str, *bodies: Body, boot: int = 7) -> list[tuple[str, Body]]:
+        messages = []
         for body in bodies:
-            found += self.step(Received(name, pack(FLEET, name, boot, "r1", encode_body(body))))
-        return found
+            messages += self.step(Received(name, pack(FLEET, name, boot, "r1", encode_body(body))))
+        return messages
 
-    def wait(self, milliseconds: int) -> list[tuple[str, Body]]:
-        found = []
+    def advance(self, milliseconds: int) -> list[tuple[str, Body]]:
+        messages = []
         until = self.now + milliseconds * MS
         while self.relay.due <= until:
             self.now = max(self.relay.due, self.now)
-            found += self.step()
+            messages += self.step()
         self.now = until
-        return found
+        return messages
--- a/tests/fleet/configuration/test_determinism.py
+++ b/tests/fleet/configuration/test_determinism.py
@@ -1,4 +1,4 @@
-"""The same world and seed again, also in processes that hash strings otherwise: the same bytes."""
+"""The same world and seed give the same bytes, also in processes with another string hash seed."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 """
 
 
-def test_a_play_depends_on_more_than_its_seed() -> None:
+def test_a_run_depends_only_on_its_seed() -> None:
     wanted = f"{cases.loss(30, 6, seed=5).digest} {cases.relay_silent(30, 2, seed=5).digest}"
     for hash_seed in ("1", "2"):
         environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
--- a/tests/fleet/configuration/test_hard_cases.py
+++ b/tests/fleet/configuration/test_hard_cases.py
@@ -1,4 +1,7 @@
-"""Hard cases in virtual time, small sizes: in force everywhere within 7 s, no revision back, none by half."""
+"""Hard cases in virtual time, at small sizes.
+
+Changes are in force everywhere within 7 s; no revision goes back or is applied partly.
+"""
 
 from collections.abc import Callable
 from functools import partial
@@ -27,7 +30,7 @@
 
 @pytest.mark.parametrize("name", SMALL)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_hard_case_takes_longer_or_ends_unequal(name: str, seed: int) -> None:
+def test_a_hard_case_ends_in_time_with_equal_brokers(name: str, seed: int) -> None:
     row = SMALL[name](seed=seed, check=True)
     assert row.changes and row.violations == [] and row.unequal == 0
     assert row.most_ms <= LIMIT_MS, row
--- a/tests/fleet/configuration/test_history.py
+++ b/tests/fleet/configuration/test_history.py
@@ -1,4 +1,4 @@
-"""Changes that overwrite each other, take effect twice, or come back wrong; snapshots that lose something."""
+"""The state machine: conflicting and repeated changes, rollbacks, snapshots, and the delta log."""
 
 import pytest
 
@@ -20,7 +20,7 @@
     return found.table.values.get(f"tenant/{name}")
 
 
-def test_two_operators_overwrite_each_other_unseen() -> None:
+def test_of_two_conflicting_changes_the_second_is_refused() -> None:
     found = history(1.0)
     first = change("mine", Edit("tenant/a", tenant("a", 1.0), tenant("a", 2.0)))
     second = change("yours", Edit("tenant/a", tenant("a", 1.0), tenant("a", 5.0)))
@@ -34,7 +34,7 @@
     assert weight(found) == tenant("a", 2.0)
 
 
-def test_the_same_change_takes_effect_twice() -> None:
+def test_a_repeated_change_takes_effect_once() -> None:
     found = history(1.0)
     there = change("there", Edit("tenant/a", tenant("a", 1.0), tenant("a", 2.0)))
     back = change("back", Edit("tenant/a", tenant("a", 2.0), tenant("a", 1.0)))
@@ -45,7 +45,7 @@
     assert found.apply(later).revision == 2
 
 
-def test_a_refused_change_is_accepted_when_it_comes_again() -> None:
+def test_a_refused_change_stays_refused_when_repeated() -> None:
     found = history(1.0)
     wrong = change("late", Edit("tenant/a", tenant("a", 9.0), tenant("a", 2.0)))
     reason = found.apply(wrong).reason
@@ -54,7 +54,7 @@
     assert (again.revision, again.reason) == (0, reason)
 
 
-def test_another_change_under_a_used_id() -> None:
+def test_another_change_with_a_used_id_is_refused() -> None:
     found = history(1.0)
     assert (
         "used for another change"
@@ -63,7 +63,7 @@
     assert weight(found, "b") is None
 
 
-def test_a_value_that_the_schema_refuses_is_committed() -> None:
+def test_a_value_that_violates_the_schema_is_refused() -> None:
     found = history(1.0)
     wrong = change("wrong", Edit("tenant/b", None, tenant("b", 1000.0)))
     assert found.proposal_faults(wrong)
@@ -71,7 +71,7 @@
     assert found.revision == 1
 
 
-def test_one_wrong_edit_of_two_takes_effect_by_half() -> None:
+def test_a_change_with_one_wrong_edit_has_no_effect() -> None:
     found = history(1.0)
     half = change("half", Edit("tenant/b", None, tenant("b", 2.0)), Edit("tenant/a", None, tenant("a", 3.0)))
     assert found.apply(half).revision == 0
@@ -81,7 +81,7 @@
 # --- rollback ---
 
 
-def test_a_rollback_goes_back_a_revision_instead_of_making_one() -> None:
+def test_a_rollback_creates_a_new_revision() -> None:
     found = history(1.0, 2.0)
     answer = found.apply(change("undo", rolls_back=2))
     assert answer.revision == 3 and weight(found) == tenant("a", 1.0)
@@ -89,13 +89,13 @@
     assert again.revision == 4 and weight(found) == tenant("a", 2.0)
 
 
-def test_a_rollback_of_the_first_change_leaves_the_resource() -> None:
+def test_a_rollback_of_the_first_change_removes_the_resource() -> None:
     found = history(1.0)
     assert found.apply(change("undo", rolls_back=1)).revision == 2
     assert weight(found) is None
 
 
-def test_a_rollback_takes_back_a_later_change_unseen() -> None:
+def test_a_rollback_reverts_a_later_change_only_if_it_names_it() -> None:
     found = history(1.0, 2.0, 3.0)
     refused = found.apply(change("undo", rolls_back=2))
     assert refused.reason.startswith("tenant/a: changed by revision 3; expected none after revision 2")
@@ -104,12 +104,12 @@
     assert weight(found) == tenant("a", 1.0)
 
 
-def test_a_rollback_sees_no_change_that_came_back_to_the_same_value() -> None:
+def test_a_rollback_notices_changes_that_restored_the_same_value() -> None:
     found = history(1.0, 2.0, 3.0, 2.0)
     assert "changed by revision 4" in found.apply(change("undo", rolls_back=2)).reason
 
 
-def test_a_named_resource_of_a_rollback_gets_another_value() -> None:
+def test_a_rollback_accepts_only_the_old_value_of_a_named_resource() -> None:
     found = history(1.0, 2.0, 3.0)
     other = Edit("tenant/a", tenant("a", 3.0), tenant("a", 7.0))
     assert "the value before revision 2" in found.apply(change("x", other, rolls_back=2)).reason
@@ -120,7 +120,7 @@
     assert found.revision == 3
 
 
-def test_a_rollback_of_a_revision_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rollback_of_a_compacted_revision_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTAS", 2)
     found = history(1.0, 2.0, 3.0)
     told = found.apply(change("undo", rolls_back=1)).reason
@@ -131,7 +131,7 @@
 # --- bounds and snapshots ---
 
 
-def test_a_snapshot_loses_or_changes_something() -> None:
+def test_a_loaded_snapshot_behaves_like_the_original() -> None:
     found = history(1.0, 2.0)
     found.apply(change("n", Edit("node/n", None, node("n", 1))))
     found.apply(change("bad", Edit("node/m", None, node("m", 1))))
@@ -146,7 +146,7 @@
     assert other.dump() == found.dump()
 
 
-def test_a_snapshot_of_a_later_program_or_with_a_gap() -> None:
+def test_a_snapshot_of_a_later_version_or_with_a_gap_is_refused() -> None:
     found = history(1.0)
     with pytest.raises(ValueError, match="expected 1 to 1"):
         History().load(found.dump().replace(b"\x96\x01", b"\x96\x02", 1))
@@ -157,14 +157,14 @@
     assert empty.revision == 0
 
 
-def test_answers_are_kept_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_answers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     assert MAX_ANSWERS >= 2 * 4000 - 1
     monkeypatch.setattr("quincepath.fleet.configuration.history.MAX_ANSWERS", 3)
     found = history(1.0, 2.0, 3.0, 4.0, 5.0)
     assert list(found.answers) == ["c3", "c4", "c5"]
 
 
-def test_the_delta_log_grows_without_end_or_tears(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_delta_log_is_bounded_and_gapless(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTAS", 3)
     log = DeltaLog(0, weights("a", 1.0, 2.0, 3.0, 4.0, 5.0))
     assert (len(log), log.floor, log.newest) == (3, 2, 5)
@@ -178,7 +178,7 @@
         log.add(weights("a", 1.0)[0])
 
 
-def test_the_delta_log_outgrows_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_delta_log_is_bounded_in_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTA_LOG_BYTES", 100)
     log = DeltaLog(0, weights("a", *map(float, range(1, 30))))
     assert log.bytes <= 100 and log.newest == 29 and log.floor == 29 - len(log)
--- a/tests/fleet/configuration/test_log_commands.py
+++ b/tests/fleet/configuration/test_log_commands.py
@@ -1,4 +1,4 @@
-"""The configuration in the consensus log: lost in a snapshot, misread by or from an older program, undone."""
+"""The configuration in the consensus log: commands, snapshots, followers, and older versions."""
 
 from typing import Any
 
@@ -18,8 +18,8 @@
 from tests.fleet.configuration.builders import change, tenant
 
 
-def command(told: Change) -> ChangeConfiguration:
-    return ChangeConfiguration(told.id, told.author, told.proposed_at_ms, encode_change(told))
+def command(content: Change) -> ChangeConfiguration:
+    return ChangeConfiguration(content.id, content.author, content.proposed_at_ms, encode_change(content))
 
 
 def weight(id: str, old: float | None, new: float, at: int = 1) -> ChangeConfiguration:
@@ -42,7 +42,7 @@
     return found.configuration.table.values
 
 
-def test_a_change_in_the_log_is_not_in_force_or_not_in_the_snapshot() -> None:
+def test_a_change_in_the_log_takes_effect_and_survives_a_snapshot() -> None:
     found = machine(weight("one", None, 1.0), weight("two", 1.0, 2.0))
     assert found.configuration.revision == 2 and values(found) == {"tenant/a": tenant("a", 2.0)}
     assert found.state.results == {"one": "", "two": ""}
@@ -58,7 +58,7 @@
     assert again.dump() == found.dump()
 
 
-def test_a_snapshot_of_an_older_program_is_refused_or_brings_a_configuration() -> None:
+def test_a_snapshot_of_an_older_version_loads_without_a_configuration() -> None:
     old = msgspec.msgpack.encode({"schema": 2, "halted": "by hand", "results": {"x": ""}})
     found = machine(weight("one", None, 1.0))
     found.load(old)
@@ -68,29 +68,29 @@
     assert found.configuration.revision == 0
 
 
-def test_a_log_without_the_configuration_writes_of_it() -> None:
+def test_a_log_without_configuration_changes_stores_none() -> None:
     found = machine(Halt("h", "ann", 1, "so"))
     assert msgspec.msgpack.decode(found.dump())["configuration"] == b""
 
 
-def test_an_older_program_stumbles_over_the_command() -> None:
+def test_an_older_version_cannot_decode_the_command() -> None:
     old: Any = Grant | Begun | Back | Close | Halt | Resume | MapCommand
     with pytest.raises(msgspec.ValidationError):  # Permits notes it as unreadable and goes on
         msgspec.msgpack.decode(encode(weight("one", None, 1.0)), type=old)
 
 
-def test_the_largest_change_does_not_fit_a_command() -> None:
+def test_the_largest_change_fits_into_a_command() -> None:
     edits: list[Edit] = []
     while len(encode_change(change("big", *edits, Edit("tenant/x", None, b"")))) < MAX_CHANGE_BYTES - 4200:
         edits.append(Edit(f"tenant/{len(edits)}", None, b"x" * 4096))
     assert len(encode(command(change("big", *edits)))) <= COMMAND_MOST
 
 
-def test_what_is_wrong_with_a_command_is_proposed() -> None:
+def test_a_faulty_command_is_refused_before_its_proposal() -> None:
     found = machine(weight("one", None, 1.0), weight("two", 1.0, 2.0))
     history = found.configuration
     assert proposal_refusal(history, weight("new", 2.0, 3.0)) == ""
-    assert proposal_refusal(history, weight("one", None, 1.0, at=5)) == ""  # a repeat: its answer is known
+    assert proposal_refusal(history, weight("one", None, 1.0, at=5)) == ""  # a duplicate: its answer is known
     assert "used for another change" in proposal_refusal(history, weight("one", 2.0, 9.0))
     assert "the old value that the change names" in proposal_refusal(history, weight("new", 1.0, 3.0))
     assert "less than or equal to 100" in proposal_refusal(history, weight("new", 2.0, 300.0))
@@ -110,7 +110,7 @@
     assert history.revision == 2
 
 
-def test_the_leader_proposes_what_it_should_refuse() -> None:
+def test_the_leader_refuses_a_faulty_command() -> None:
     leader = Agreed.__new__(Agreed)
     leader.machine = machine(weight("one", None, 1.0))
     good, bad = encode(weight("two", 1.0, 2.0)), encode(weight("three", 7.0, 2.0))
@@ -119,7 +119,7 @@
     assert data == bad and why.startswith(f"{FINAL}tenant/a: ")
 
 
-def test_one_that_follows_the_log_has_another_configuration() -> None:
+def test_a_follower_of_the_log_has_the_same_configuration() -> None:
     log: list[Command] = [weight("one", None, 1.0), Halt("h", "ann", 1, "so"), weight("two", 1.0, 2.0)]
     follower = Follower(Permits(), ("v1",))
     follower.hear(0, Followed(tuple(entries(*log)), 3, "v1"))
@@ -130,22 +130,22 @@
     assert isinstance(late.machine, Permits) and late.machine.configuration.revision == 2
 
 
-def test_a_relay_beside_the_log_misses_a_change() -> None:
+def test_a_relay_that_follows_the_log_gets_every_change() -> None:
     found = machine(weight("one", None, 1.0))
     relay = Relay(RelayIdentity("test", "r1", 1), 0)
 
-    def told() -> Committed | Loaded:
-        news = relay_update(found.configuration, relay.log.newest)
-        relay.step(0, [news])
+    def updated() -> Committed | Loaded:
+        update = relay_update(found.configuration, relay.log.newest)
+        relay.step(0, [update])
         assert (relay.log.newest, relay.values) == (found.configuration.revision, values(found))
-        return news
+        return update
 
-    assert isinstance(told(), Committed)
+    assert isinstance(updated(), Committed)
     found.apply(Entry(2, 1, encode(weight("two", 1.0, 2.0))))
-    assert isinstance(told(), Committed)
+    assert isinstance(updated(), Committed)
     for number in range(3, 6):
         found.apply(Entry(number, 1, encode(weight(str(number), float(number - 1), float(number)))))
     found.configuration.log.compact(4)
-    news = told()
-    assert isinstance(news, Loaded) and [delta.revision for delta in news.deltas] == [5]
-    assert told() == Committed(5, ())
+    update = updated()
+    assert isinstance(update, Loaded) and [delta.revision for delta in update.deltas] == [5]
+    assert updated() == Committed(5, ())
--- a/tests/fleet/configuration/test_properties.py
+++ b/tests/fleet/configuration/test_properties.py
@@ -1,7 +1,7 @@
-"""Random networks and restarts: no broker goes back a revision or has one by half, and all end equal.
+"""Random networks and restarts: no broker's revision goes back or is applied partly, and all end equal.
 
 The world checks at every step that revisions only grow and that the values are those committed with the
-revision; here the schedules are random, and mutants show that the checks would find it.
+revision; here the schedules are random, and mutants show that the checks find such errors.
 """
 
 from collections.abc import Sequence
@@ -23,12 +23,12 @@
 from tests.fleet.configuration.builders import tenant
 
 BROKERS, RELAYS = 6, 3
-SOUND = Network()
+GOOD_NETWORK = Network()
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One thing that happens, ``after`` ms from the one before."""
+    """One fault or event, ``after`` ms from the previous one."""
 
     what: str
     which: int
@@ -40,7 +40,7 @@
     "stick relay", "wake relays", "close relay", "cut region", "mend", "kill leader", "revive voters",
     "compact", "compact", "poison", "cure",
 )  # fmt: skip
-POISON = "tenant/poison"  # half of the brokers cannot have it in force
+POISON = "tenant/poison"  # half of the brokers refuse it
 SCHEDULES = st.lists(
     st.builds(Fault, st.sampled_from(FAULTS), st.integers(0, 5), st.sampled_from((0, 3, 40, 700, 3500))),
     max_size=30,
@@ -53,7 +53,7 @@
 )
 
 
-def refuses_poison(edits: Sequence[Edit]) -> Sequence[ChangeFault]:
+def poison_faults(edits: Sequence[Edit]) -> Sequence[ChangeFault]:
     return [
         ChangeFault(POISON, "there", "absent", POISON)
         for edit in edits
@@ -61,25 +61,25 @@
     ]
 
 
-class Picky(Subscriber):
-    """Every second broker refuses the poison."""
+class PoisonRefuser(Subscriber):
+    """Every second broker refuses the poison resource."""
 
     def __init__(self, me: SubscriberIdentity, *args: Any) -> None:
         super().__init__(me, *args)
         if int(me.name[1:]) % 2:
-            self.applier.check = refuses_poison
+            self.applier.check = poison_faults
 
 
-def poison(world: ConfigurationWorld, new: bytes | None) -> None:
-    """Put it in, or take it away; no broker but the half refuses it."""
+def set_poison(world: ConfigurationWorld, new: bytes | None) -> None:
+    """Set or remove the poison resource, which half of the brokers refuse."""
     world.scenery.count += 1
     old = world.voters.history.table.values.get(POISON)
     if old != new:
         world.commit(Change(f"poison {world.scenery.count}", "test", 0, (Edit(POISON, old, new),)))
 
 
-def happen(world: ConfigurationWorld, fault: Fault) -> None:
-    """Let it happen now."""
+def inject(world: ConfigurationWorld, fault: Fault) -> None:
+    """Inject a fault or event after its delay."""
     world.run(world.now + fault.after * MS)
     relay = f"r{fault.which % RELAYS:02}"
     match fault.what:
@@ -103,18 +103,18 @@
         case "cut region":
             world.net.isolate([fault.which % 3])
         case "poison":
-            poison(world, tenant("poison", 1.0 + fault.which))
+            set_poison(world, tenant("poison", 1.0 + fault.which))
         case "cure":
-            poison(world, None)
+            set_poison(world, None)
         case "kill leader":
             if world.voters.leader and len(world.voters.dead) < 2:
                 world.voters.kill(world.voters.leader)
         case _:
-            mend(world, fault.what)
+            repair(world, fault.what)
 
 
-def mend(world: ConfigurationWorld, what: str) -> None:
-    """What ends a fault, or compacts the log."""
+def repair(world: ConfigurationWorld, what: str) -> None:
+    """End a fault, or compact the log."""
     match what:
         case "wake relays":
             for name in world.relays:
@@ -131,29 +131,29 @@
                 process.relay.log.compact(log.newest)
 
 
-def play(
-    schedule: Sequence[Fault], network: Network, seed: int, make: type[Subscriber] = Picky
+def run_schedule(
+    schedule: Sequence[Fault], network: Network, seed: int, make: type[Subscriber] = PoisonRefuser
 ) -> ConfigurationWorld:
-    """A schedule in a bad network, then a sound one with every relay alive, and one more change."""
+    """Run a schedule in a bad network, then repair everything and commit one more change."""
     shape = Shape(BROKERS, relays=RELAYS, nodes=12, zones=3, check_values=True)
     world = ConfigurationWorld(shape, seed, network, make_subscriber=make)
     for fault in schedule:
-        happen(world, fault)
-    world.net.network = SOUND
+        inject(world, fault)
+    world.net.network = GOOD_NETWORK
     for what in ("wake relays", "mend", "revive voters"):
-        mend(world, what)
+        repair(world, what)
     for process in list(world.relays.values()):
         process.stuck = False
         if process.dead:
             world.start_relay(process.name)
     world.run(world.now + 5 * SECOND)
-    poison(world, None)
+    set_poison(world, None)
     world.commit()
     world.run(world.now + 7 * SECOND)
     return world
 
 
-def assert_sound(world: ConfigurationWorld) -> None:
+def assert_consistent(world: ConfigurationWorld) -> None:
     assert world.measures.violations == []
     assert world.unequal() == []
     for process in world.relays.values():
@@ -162,17 +162,17 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(SCHEDULES, NETWORKS, st.integers(0, 3))
-def test_any_schedule_ends_unequal_or_takes_something_back(
+def test_any_schedule_ends_with_equal_brokers_and_no_revision_goes_back(
     schedule: list[Fault], network: Network, seed: int
 ) -> None:
-    assert_sound(play(schedule, network, seed))
+    assert_consistent(run_schedule(schedule, network, seed))
 
 
 # --- planted bugs ---
 
 
-class _BackByLateDeltas(Applier):
-    """Forgets that deltas may come late: it takes the revision that is told."""
+class _GoesBackOnLateDeltas(Applier):
+    """Ignores that deltas may arrive late: it adopts their revision."""
 
     def hold(self, deltas: Sequence[Delta]) -> bool:
         if deltas and deltas[0].revision <= self.revision:
@@ -181,8 +181,8 @@
         return super().hold(deltas)
 
 
-class _ByHalf(Applier):
-    """Applies the edits that it can of a snapshot, and leaves what is gone."""
+class _PartialSnapshots(Applier):
+    """Applies the additions of a snapshot, and keeps removed resources."""
 
     def apply_snapshot(self, image: Image) -> Applied | None:
         if image.revision <= self.revision:
@@ -192,8 +192,8 @@
         return self._advance_to(image.revision, tuple(edit for edit in edits if edit.new is not None))
 
 
-class _JumpsGaps(Applier):
-    """Takes deltas as they come, also beyond a gap."""
+class _SkipsGaps(Applier):
+    """Accepts deltas after a gap."""
 
     def hold(self, deltas: Sequence[Delta]) -> bool:
         for delta in deltas:
@@ -214,8 +214,8 @@
     return Mutant
 
 
-@pytest.mark.parametrize("applier", [_BackByLateDeltas, _ByHalf, _JumpsGaps])
-def test_a_planted_bug_passes(applier: type[Applier]) -> None:
+@pytest.mark.parametrize("applier", [_GoesBackOnLateDeltas, _PartialSnapshots, _SkipsGaps])
+def test_a_planted_bug_is_found(applier: type[Applier]) -> None:
     make = mutant(applier)
     found: list[str] = []
 
@@ -230,7 +230,7 @@
     def explored(schedule: list[Fault], network: Network, seed: int) -> None:
         if found:
             return
-        world = play(schedule, network, seed, make)
+        world = run_schedule(schedule, network, seed, make)
         found.extend(world.measures.violations or world.unequal())
 
     explored()
--- a/tests/fleet/configuration/test_results_page.py
+++ b/tests/fleet/configuration/test_results_page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/design/configuration.md say something else than the results that they are made from."""
+"""The tables of docs/design/configuration.md match the results that they are made from."""
 
 import copy
 import json
@@ -9,13 +9,13 @@
 from benchmarks.fleet_configuration import FILE, PAGE, PLAYS, baseline_table, times_table, with_tables
 
 
-def test_the_page_says_something_else_than_the_results() -> None:
+def test_the_page_matches_the_results() -> None:
     rows = json.loads(FILE.read_text())["rows"]
     page = PAGE.read_text()
     assert with_tables(page, rows) == page
 
 
-def test_a_changed_or_missing_row_is_not_seen() -> None:
+def test_a_changed_or_missing_row_is_noticed() -> None:
     rows = json.loads(FILE.read_text())["rows"]
     assert list(rows) == list(PLAYS)
     page = PAGE.read_text()
@@ -29,7 +29,7 @@
         with_tables("", rows)
 
 
-def test_a_case_is_out_of_time_and_nobody_says_so() -> None:
+def test_every_stored_case_is_good() -> None:
     rows = json.loads(FILE.read_text())["rows"]
     for name, row in rows.items():
         if "good" in row:
--- a/tests/fleet/distribution/processes.py
+++ b/tests/fleet/distribution/processes.py
@@ -1,4 +1,4 @@
-"""A fleet of broker processes with real holders: three keepers, two relays, three brokers more."""
+"""A fleet of broker processes with real holders: three voters, two relays, three more brokers."""
 
 import json
 import sys
@@ -19,14 +19,14 @@
 from tests.test_fleet_processes import free_ports, until
 
 MEMBERS = [f"m{number}" for number in range(8)]
-KEEPERS = MEMBERS[:3]
+VOTERS = MEMBERS[:3]
 EAST, WEST = "m3", "m4"  # the relays
 QUERY_TIME = 10.0  # seconds
 Injected = dict[str, tuple[str, Path]]
 
 
 def region_of(name: str) -> str:
-    """Of a member: the relays' own, and the others by turns."""
+    """The region of a member: a relay has its own, the others alternate."""
     return {EAST: "east", WEST: "west"}.get(name, "west" if int(name[1:]) % 2 else "east")
 
 
@@ -51,7 +51,7 @@
                 fault, file = injected[name]
                 words = [sys.executable, "-m", "quincepath.lab.fleet.injected", fault, str(file)]
                 self.children[name].program = words
-        # The relays first: who does not find its own at once goes back to it after a minute only.
+        # The relays first: a broker that does not find its preferred relay returns to it only after a minute.
         for group in ([EAST, WEST], [name for name in MEMBERS if name not in (EAST, WEST)]):
             for name in group:
                 self.start(name)
@@ -64,10 +64,10 @@
         region = region_of(name)
         relays = [{"name": EAST, "region": "east"}, {"name": WEST, "region": "west"}]
         values["fleet"] = {
-            "name": "orchard", "member": name, "port": port, "peers": peers, "keepers": KEEPERS,
+            "name": "orchard", "member": name, "port": port, "peers": peers, "keepers": VOTERS,
             "configuration": {"region": region, "relays": relays},
         }  # fmt: skip
-        if name in KEEPERS:
+        if name in VOTERS:
             values["fleet"]["store"] = f"store-{name}"
         with (self.folder / f"{name}.yaml").open("w") as file:
             YAML(typ="safe").dump(values, file)
@@ -81,16 +81,16 @@
         self.urls[name] = said["remote_read"]
 
     def start_again(self, name: str) -> None:
-        """After it has ended, without a fault."""
+        """Restart a member that has ended, without its fault."""
         self.children[name].kill()
         self.children[name].program = PROGRAM
         self.start(name)
         self.up(name)
 
-    # --- what is asked ---
+    # --- commands and pages ---
 
     def config(self, *words: str) -> tuple[int, str]:
-        """``quincepath fleet config``: exit status and output."""
+        """Run ``quincepath fleet config``; returns exit status and output."""
         result = CliRunner().invoke(main, ["fleet", "config", *words])
         return result.exit_code, result.output
 
@@ -107,7 +107,7 @@
         return found
 
     def own(self, name: str) -> dict[str, Any]:
-        """What a broker says of itself."""
+        """The status that a broker reports of itself."""
         found: dict[str, Any] = self.status(name)["own"]
         return found
 
@@ -116,18 +116,18 @@
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def revisions(self, name: str) -> list[int]:
-        """As a broker's log tells them, in order."""
+        """The revisions that a broker applied, in order, by its log."""
         return [line["revision"] for line in self.log(name) if line["event"] == "configuration: in force"]
 
     def got(self, holder: str) -> int:
-        """Parts that came in at a holder."""
+        """The number of parts that a holder received."""
         path = self.folder / f"holder-{holder}.jsonl"
         return sum(isinstance(line, Got) for _, line in read(path))
 
     # --- queries ---
 
     def query(self, name: str) -> None:
-        """One over all shards; its answer is counted."""
+        """Send a query over all shards and count its answer."""
         request = ReadRequest()
         one = request.queries.add(start_timestamp_ms=0, end_timestamp_ms=2_000_000_000_000)
         one.matchers.add(type=LabelMatcher.EQ, name="__name__", value="engine_hours")
@@ -135,13 +135,13 @@
         status, headers, _ = fetch(self.urls[name], request, QUERY_TIME)
         self.answers[headers.get("quincepath-answer", "none") if status == 200 else f"status {status}"] += 1
 
-    def until(self, true: Callable[[], bool], *serving: str) -> None:
-        """Until it is so; meanwhile queries are sent to ``serving``."""
+    def until(self, condition: Callable[[], bool], *serving: str) -> None:
+        """Wait until the condition is true; meanwhile send queries to ``serving``."""
 
         def looked() -> bool:
             for name in serving:
                 self.query(name)
-            return true()
+            return condition()
 
         until(looked)
 
@@ -152,14 +152,14 @@
 
 
 def nodes(world: ProcessFleet) -> dict[str, Any]:
-    """All holders of the file, by resource name."""
+    """All holders of the configuration file, by resource name."""
     return {f"node/{entry['name']}": entry for entry in world.cluster.entries(set())}
 
 
 def spread(world: ProcessFleet) -> bool:
     """Whether every broker has a relay, and each of the two serves several others.
 
-    Nearly all follow the relay of their region; one that was slow to start may have asked the other one.
+    Nearly all use the relay of their region; one that was slow to start may have tried the other one.
     """
     serving = {name: world.own(name)["relay"] for name in MEMBERS}
     return all(serving.values()) and all(
@@ -169,7 +169,7 @@
 
 @contextmanager
 def running(folder: Path, injected: Injected) -> Iterator[ProcessFleet]:
-    """A fleet where every broker has a relay, and the file's nodes are revision 1."""
+    """A fleet where every broker has a relay, and the nodes of the file are committed as revision 1."""
     world = ProcessFleet.__new__(ProcessFleet)
     try:
         world.__init__(folder, injected)  # type: ignore[misc]
@@ -178,4 +178,4 @@
         until(lambda: world.config("status", "--at", world.metrics["m0"])[0] == 0)
         yield world
     finally:
-        world.stop()  # no child is left where one does not come up
+        world.stop()  # no child process is left where one does not start
--- a/tests/fleet/distribution/test_nodes.py
+++ b/tests/fleet/distribution/test_nodes.py
@@ -1,4 +1,4 @@
-"""Distributed nodes in a broker's list: a delta that costs by the whole, is halved, or undone by the file."""
+"""Distributed nodes in a broker's list: the cost of a delta, its atomicity, and the nodes of the file."""
 
 from pathlib import Path
 
@@ -21,7 +21,7 @@
 
 
 class Counting(MembershipState):
-    """Counts the facts that are compared."""
+    """Counts the nodes that are compared."""
 
     compared = 0
 
@@ -30,37 +30,37 @@
         super()._differ(*words)  # type: ignore[arg-type]
 
 
-def test_one_change_of_twelve_thousand_nodes_touches_one() -> None:
+def test_a_change_of_one_node_compares_one_of_twelve_thousand() -> None:
     state = Counting()
     state.apply_list([fact(number) for number in range(ALL)])
     state.compared = 0
-    news, changes = state.apply_delta([fact(7, Phase.DRAINING)], [])
-    assert state.compared == 1 and len(changes) == 1 and news is not None
-    assert news.scope is Scope.DELTA and [entry.phase for entry in news.entries] == [Phase.DRAINING]
-    news, changes = state.apply_delta([], [fact(8).node])
-    assert state.compared == 1 and news is not None
-    assert [(entry.node, entry.phase) for entry in news.entries] == [(fact(8).node, Phase.GONE)]
+    update, changes = state.apply_delta([fact(7, Phase.DRAINING)], [])
+    assert state.compared == 1 and len(changes) == 1 and update is not None
+    assert update.scope is Scope.DELTA and [entry.phase for entry in update.entries] == [Phase.DRAINING]
+    update, changes = state.apply_delta([], [fact(8).node])
+    assert state.compared == 1 and update is not None
+    assert [(entry.node, entry.phase) for entry in update.entries] == [(fact(8).node, Phase.GONE)]
     assert len(state.facts) == ALL - 1
 
 
-def test_a_delta_leads_to_another_list_than_the_whole() -> None:
+def test_a_delta_leads_to_the_same_list_as_a_complete_one() -> None:
     before = [fact(number) for number in range(20)]
     after = [*before[2:15], fact(15, Phase.DRAINING), fact(1, name="new"), fact(30)]
     whole, parts = MembershipState(), MembershipState()
     for state in (whole, parts):
         state.apply_list(before)
-    told, _ = whole.apply_list(after)
+    announced, _ = whole.apply_list(after)
     gone = [one.node for one in (*before[:2], *before[16:])]
-    told_by_parts, _ = parts.apply_delta([fact(15, Phase.DRAINING), fact(1, name="new"), fact(30)], gone)
+    announced_by_parts, _ = parts.apply_delta([fact(15, Phase.DRAINING), fact(1, name="new"), fact(30)], gone)
 
-    def by_node(news: Members | None) -> dict[NodeId, Entry]:
-        assert news is not None
-        return {entry.node: entry for entry in news.entries}
+    def by_node(update: Members | None) -> dict[NodeId, Entry]:
+        assert update is not None
+        return {entry.node: entry for entry in update.entries}
 
-    assert parts.facts == whole.facts and by_node(told_by_parts) == by_node(told)
+    assert parts.facts == whole.facts and by_node(announced_by_parts) == by_node(announced)
 
 
-def test_a_delta_that_changes_nothing_is_told() -> None:
+def test_a_delta_without_effect_is_not_announced() -> None:
     state = MembershipState()
     state.apply_list([fact(1), fact(2)])
     assert state.apply_delta([fact(1)], []) == (None, [])
@@ -68,7 +68,7 @@
     assert state.version == 1
 
 
-def test_a_delta_before_a_whole_list_is_taken() -> None:
+def test_a_delta_before_a_complete_list_is_refused() -> None:
     with pytest.raises(AssertionError, match="before a whole one"):
         MembershipState().apply_delta([fact(1)], [])
 
@@ -85,7 +85,7 @@
 
 
 def holders(*names: str) -> dict[str, Holder | None]:
-    """By name; the first letter is the replica set, what follows the port's last digits."""
+    """By name; the first letter is the replica set, the rest the last digits of the port."""
     found: dict[str, Holder | None] = {}
     for name in names:
         found[name] = Holder.model_validate(node(name, name[0], 9000 + int(name[1:])))
@@ -96,13 +96,13 @@
     return {one.name for one in found.state.facts.values()}
 
 
-def test_the_file_s_nodes_stay_beside_the_distributed_ones(tmp_path: Path) -> None:
+def test_distributed_nodes_replace_the_nodes_of_the_file(tmp_path: Path) -> None:
     found = source(tmp_path)
     found.poll(force=True)
     assert found.distribute({"nobody": None}) == (None, [], "") and names(found) == {"f0", "f1", "f2"}
-    news, _, _ = found.distribute(holders("a1", "b2", "c3"))
-    assert names(found) == {"a1", "b2", "c3"} and news is not None
-    assert {entry.node for entry in news.entries if entry.phase is Phase.GONE} == {
+    update, _, _ = found.distribute(holders("a1", "b2", "c3"))
+    assert names(found) == {"a1", "b2", "c3"} and update is not None
+    assert {entry.node for entry in update.entries if entry.phase is Phase.GONE} == {
         node_id(f"http://127.0.0.1:{port}/") for port in (8000, 8001, 8002)
     }
     assert found.poll() == found.poll(force=True) == (None, [], "")
@@ -110,21 +110,21 @@
     assert names(found) == {"a4", "b2", "c3"}
 
 
-def test_a_list_that_is_not_whole_yet_takes_the_file_s_place(tmp_path: Path) -> None:
+def test_an_incomplete_list_does_not_replace_the_nodes_of_the_file(tmp_path: Path) -> None:
     found = source(tmp_path)
     found.poll(force=True)
     assert found.distribute(holders("a1"), complete=False) == (None, [], "")
     assert found.distribute(holders("b2", "c3")) == (None, [], "") and names(found) == {"f0", "f1", "f2"}
-    news, _, _ = found.distribute({}, complete=True)
-    assert names(found) == {"a1", "b2", "c3"} and news is not None and len(news.entries) == 6
+    update, _, _ = found.distribute({}, complete=True)
+    assert names(found) == {"a1", "b2", "c3"} and update is not None and len(update.entries) == 6
     found.distribute(holders("a4"))
-    news, _, _ = found.distribute({}, complete=False)
-    assert names(found) == {"f0", "f1", "f2"} and news is not None and len(news.entries) == 7
+    update, _, _ = found.distribute({}, complete=False)
+    assert names(found) == {"f0", "f1", "f2"} and update is not None and len(update.entries) == 7
     found.distribute({}, complete=True)
     assert names(found) == {"a1", "a4", "b2", "c3"}
 
 
-def test_with_the_last_distributed_node_the_file_s_list_does_not_come_back(tmp_path: Path) -> None:
+def test_without_distributed_nodes_the_nodes_of_the_file_are_used_again(tmp_path: Path) -> None:
     found = source(tmp_path)
     found.poll(force=True)
     found.distribute(holders("a1", "b2", "c3"))
@@ -132,23 +132,23 @@
     assert names(found) == {"f0", "f1", "f2"}
 
 
-def test_a_node_that_takes_the_address_of_another_is_lost(tmp_path: Path) -> None:
+def test_a_node_that_takes_the_address_of_another_replaces_it(tmp_path: Path) -> None:
     found = source(tmp_path)
     found.poll(force=True)
     found.distribute(holders("a1", "b2", "c3"))
     moved = Holder.model_validate(node("a9", "a", 9001))
-    news, _, _ = found.distribute({"a1": None, "a9": moved})
-    assert names(found) == {"a9", "b2", "c3"} and news is not None
-    assert [entry.phase for entry in news.entries] == [Phase.READY]
+    update, _, _ = found.distribute({"a1": None, "a9": moved})
+    assert names(found) == {"a9", "b2", "c3"} and update is not None
+    assert [entry.phase for entry in update.entries] == [Phase.READY]
 
 
-def test_a_drain_that_the_fleet_agreed_on_is_undone_by_a_distributed_change(tmp_path: Path) -> None:
+def test_a_distributed_change_keeps_an_agreed_drain(tmp_path: Path) -> None:
     found = source(tmp_path)
     found.poll(force=True)
     found.distribute(holders("a1", "b2", "c3"))
     found.drained = frozenset({"a1"})
-    news, _, _ = found.poll(force=True)
-    assert news is not None and [entry.phase for entry in news.entries] == [Phase.DRAINING]
+    update, _, _ = found.poll(force=True)
+    assert update is not None and [entry.phase for entry in update.entries] == [Phase.DRAINING]
     found.distribute(holders("a1", "a5"))
     phases = {one.name: one.phase for one in found.state.facts.values()}
     assert phases == {"a1": Phase.DRAINING, "a5": Phase.READY, "b2": Phase.READY, "c3": Phase.READY}
--- a/tests/fleet/distribution/test_schema.py
+++ b/tests/fleet/distribution/test_schema.py
@@ -1,4 +1,4 @@
-"""The section that names relays: wrong values are told by place, and without it nothing is loaded."""
+"""The section that lists relays: wrong values are reported by place, and without it nothing is loaded."""
 
 import subprocess
 import sys
@@ -40,7 +40,7 @@
         (KEEPERS, "", "configuration: expected keepers beside it"),
     ],
 )
-def test_a_wrong_section_is_refused_by_place_and_value(old: str, new: str, said: str) -> None:
+def test_a_wrong_section_is_refused_with_place_and_value(old: str, new: str, said: str) -> None:
     text = SOUND + FLEET + KEEPERS + SECTION
     assert old in text
     with pytest.raises(ConfigError) as error:
@@ -84,7 +84,7 @@
     assert len(_loaded(SECTION, str(on))) == 4
 
 
-def test_the_platform_loads_something_of_the_distribution() -> None:
+def test_the_platform_loads_nothing_of_the_distribution() -> None:
     script = (
         "import sys\n"
         "import quincepath.platform.__main__\n"
--- a/tests/fleet/distribution/test_virtual_fleet.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Configuration distribution by whole brokers in virtual time: what would be lost, halved or done twice."""
+"""Configuration distribution by complete brokers in virtual time: atomicity, conflicts, status and faults."""
 
 from pathlib import Path
 from typing import Any
@@ -7,51 +7,51 @@
 
 from quincepath.fleet.configuration.messages import Deltas, Heartbeat, Subscribe, encode_body, pack, unpack
 from tests.fleet.distribution.virtual_fleet import (
-    KEEPERS,
     RELAYS,
+    VOTERS,
     VirtualFleet,
+    complete_list,
     node,
     region_of,
     running,
-    whole_list,
 )
 
-ALL_NODES = {name.removeprefix("node/") for name in whole_list()}
-IN_FORCE = 7.0  # seconds of virtual time, until a change is in force everywhere
+ALL_NODES = {name.removeprefix("node/") for name in complete_list()}
+IN_FORCE_S = 7.0  # seconds of virtual time, until a change is in force everywhere
 
 
-def begun(world: VirtualFleet) -> None:
-    """All have the whole list of nodes, at revision 1."""
-    answer = world.propose("m7", "first", 0, set=whole_list())
+def commit_all_nodes(world: VirtualFleet) -> None:
+    """Commit the complete list of nodes as revision 1 and wait until all brokers have it."""
+    answer = world.propose("m7", "first", 0, set=complete_list())
     assert (answer.status, answer.content) == (200, {"revision": 1})
-    world.until_all_at(1, IN_FORCE)
+    world.until_all_at(1, IN_FORCE_S)
 
 
-def never_back(world: VirtualFleet) -> None:
-    """No broker was ever at a revision twice, or at an older one than before."""
+def assert_revisions_only_grow(world: VirtualFleet) -> None:
+    """Check that no broker applied a revision twice, or an older one than before."""
     assert all(seen == sorted(set(seen)) for seen in world.revisions.values()), world.revisions
 
 
 # --- in force ---
 
 
-def test_a_change_is_not_in_force_everywhere_or_the_file_s_list_stays_beside_it(tmp_path: Path) -> None:
+def test_a_change_replaces_the_nodes_of_the_file_at_every_broker(tmp_path: Path) -> None:
     with running(tmp_path) as world:
         assert world.nodes("m7") == {"f0", "f1", "f2"}
-        begun(world)
+        commit_all_nodes(world)
         assert all(world.nodes(name) == ALL_NODES for name in world.names)
         answer = world.propose("m5", "second", 1, remove=["node/a1"])
         assert answer.content == {"revision": 2}
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         assert all(world.nodes(name) == ALL_NODES - {"a1"} for name in world.names)
         back = world.ask("m6", "POST", "rollback", {"id": "third", "by": "ann", "revision": 2})
         assert back.content == {"revision": 3}
-        world.until_all_at(3, IN_FORCE)
+        world.until_all_at(3, IN_FORCE_S)
         assert all(world.nodes(name) == ALL_NODES for name in world.names)
-        never_back(world)
+        assert_revisions_only_grow(world)
 
 
-def test_a_change_of_several_nodes_is_in_force_in_parts(tmp_path: Path) -> None:
+def test_a_change_of_several_nodes_is_applied_at_once(tmp_path: Path) -> None:
     with running(tmp_path) as world:
         seen: dict[str, list[frozenset[str]]] = {name: [] for name in world.names}
         for name, broker in world.brokers.items():
@@ -62,66 +62,66 @@
                 seen[name].append(frozenset(world.nodes(name)))
 
             broker.holders.told = noted
-        begun(world)
+        commit_all_nodes(world)
         new = {"node/a1": node("a1", "a", 9001, phase="draining"), "node/b5": node("b5", "b", 9015)}
         world.propose("m6", "second", 1, set=new, remove=["node/c1"])
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         after = frozenset(ALL_NODES - {"a1", "c1"} | {"b5"})
         assert all(lists == [frozenset(ALL_NODES), after] for lists in seen.values())
 
 
-def test_a_list_that_takes_several_changes_is_in_force_before_the_last_one(tmp_path: Path) -> None:
+def test_a_list_of_several_changes_is_in_force_only_after_the_last_one(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        parts = list(whole_list().items())
+        parts = list(complete_list().items())
         first = dict(parts[:2]) | {"list/nodes": {"name": "nodes", "whole": False}}
         assert world.propose("m7", "one", 0, set=first).content == {"revision": 1}
         assert world.propose("m6", "two", 1, set=dict(parts[2:4])).content == {"revision": 2}
         early = world.propose("m6", "early", 2, remove=["list/nodes"])
         assert early.status == 409 and "none in service with the shards s4+s5" in early.content["error"]
         assert world.propose("m6", "three", 2, set=dict(parts[4:])).content == {"revision": 3}
-        world.until_all_at(3, IN_FORCE)
+        world.until_all_at(3, IN_FORCE_S)
         assert all(world.nodes(name) == {"f0", "f1", "f2"} for name in world.names)
         assert world.propose("m5", "now", 3, remove=["list/nodes"]).content == {"revision": 4}
-        world.until_all_at(4, IN_FORCE)
+        world.until_all_at(4, IN_FORCE_S)
         assert all(world.nodes(name) == ALL_NODES for name in world.names)
         back = world.ask("m6", "POST", "rollback", {"id": "back", "by": "ann", "revision": 4})
         assert back.content == {"revision": 5}
-        world.until_all_at(5, IN_FORCE)
+        world.until_all_at(5, IN_FORCE_S)
         assert all(world.nodes(name) == {"f0", "f1", "f2"} for name in world.names)
 
 
-def test_a_tenant_s_weight_is_not_in_force_or_the_file_s_is_lost(tmp_path: Path) -> None:
+def test_a_distributed_weight_overrides_the_file_until_it_is_removed(tmp_path: Path) -> None:
     with running(tmp_path) as world:
         assert world.weights("m7") == {"desk": 5.0}
         new = {"tenant/desk": {"name": "desk", "weight": 2}, "tenant/bulk": {"name": "bulk", "weight": 0.5}}
         assert world.propose("m5", "first", 0, set=new).status == 200
-        world.until_all_at(1, IN_FORCE)
+        world.until_all_at(1, IN_FORCE_S)
         assert all(world.weights(name) == {"desk": 2.0, "bulk": 0.5} for name in world.names)
-        assert world.nodes("m7") == {"f0", "f1", "f2"}  # no revision names a node yet
+        assert world.nodes("m7") == {"f0", "f1", "f2"}  # no revision sets a node yet
         assert world.propose("m6", "second", 1, remove=["tenant/desk", "tenant/bulk"]).status == 200
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         assert all(world.weights(name) == {"desk": 5.0} for name in world.names)
 
 
-def test_a_broker_that_starts_later_is_without_the_distributed_nodes(tmp_path: Path) -> None:
+def test_a_broker_that_starts_later_gets_the_distributed_nodes(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         world.kill("m6")
         world.propose("m5", "second", 1, remove=["node/a1"])
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         world.revisions["m6"].clear()
         world.start("m6")
-        assert world.nodes("m6") == {"f0", "f1", "f2"}  # the file's, until a relay has answered
-        world.until_all_at(2, IN_FORCE)
+        assert world.nodes("m6") == {"f0", "f1", "f2"}  # those of the file, until a relay has answered
+        world.until_all_at(2, IN_FORCE_S)
         assert world.nodes("m6") == ALL_NODES - {"a1"}
 
 
-def test_a_day_is_not_the_same_for_the_same_seed(tmp_path: Path) -> None:
+def test_the_same_seed_gives_the_same_run(tmp_path: Path) -> None:
     found = []
     for place in ("one", "two"):
         (tmp_path / place).mkdir()
         with running(tmp_path / place, seed=5) as world:
-            begun(world)
+            commit_all_nodes(world)
             world.propose("m5", "second", 1, remove=["node/a1"])
             world.until_all_at(2)
             sent = {name: dict(world.fleet(name).edge.sent) for name in world.names}
@@ -129,16 +129,16 @@
     assert found[0] == found[1]
 
 
-# --- orders ---
+# --- requests ---
 
 
-def test_the_same_key_does_something_twice_or_two_things(tmp_path: Path) -> None:
+def test_a_repeated_key_takes_effect_once(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         for at in ("m7", "m0", "m5"):
-            assert world.propose(at, "first", 0, set=whole_list()).content == {"revision": 1}
+            assert world.propose(at, "first", 0, set=complete_list()).content == {"revision": 1}
         assert world.propose("m5", "second", 1, remove=["node/a1"]).content == {"revision": 2}
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         assert world.propose("m6", "second", 1, remove=["node/a1"]).content == {"revision": 2}
         other = world.propose("m6", "second", 2, remove=["node/b1"])
         assert other.status == 409 and "used for another change" in other.content["error"]
@@ -146,14 +146,14 @@
         assert {world.revision(name) for name in world.names} == {2}
 
 
-def test_two_operators_overwrite_each_other_unseen(tmp_path: Path) -> None:
+def test_of_two_conflicting_changes_the_second_is_refused(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         looked = world.show("m6", "node/a1").content
         assert looked["revision"] == 1 and looked["resources"]["node/a1"]["name"] == "a1"
         moved = {"node/a1": node("a1", "a", 9500)}
         assert world.propose("m5", "mine", 1, set=moved).status == 200
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         late = world.propose("m6", "yours", 1, remove=["node/a1"])
         assert late.status == 400 and "node/a1: changed after revision 1; expected untouched" in str(
             late.content
@@ -162,9 +162,9 @@
         assert world.propose("m6", "yours", 2, remove=["node/a1"]).status == 200
 
 
-def test_two_conflicting_changes_at_once_both_take_effect(tmp_path: Path) -> None:
+def test_of_two_concurrent_conflicting_changes_one_takes_effect(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         found = [
             world.begin("m5", "propose", {"id": "mine", "by": "ann", "revision": 1, "remove": ["node/a1"]}),
             world.begin("m6", "propose", {
@@ -175,7 +175,7 @@
         assert sorted(one.status for one in found) == [200, 409]
         refused = next(one for one in found if one.status == 409)
         assert "the old value that the change names" in refused.content["error"]
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
 
 
 @pytest.mark.parametrize(
@@ -208,7 +208,7 @@
         ({"remove": ["node/a0"], "id": ""}, "length >= 1"),
     ],
 )  # fmt: skip
-def test_a_bad_change_is_committed_or_not_explained(
+def test_an_invalid_change_is_refused_with_an_explanation(
     order: dict[str, Any], said: str, fleet: VirtualFleet
 ) -> None:
     whole = {"id": f"bad {said}"[:60], "by": "ann", "revision": 3, **order}
@@ -220,16 +220,16 @@
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Any:
     with running(tmp_path_factory.mktemp("fleet")) as world:
-        begun(world)
+        commit_all_nodes(world)
         many = {f"tenant/b{n}": {"name": f"b{n}", "weight": 2} for n in range(502)}
         assert world.propose("m6", "many", 1, set=dict(list(many.items())[:500])).status == 200
         assert world.propose("m6", "more", 1, set=dict(list(many.items())[500:])).status == 200
-        world.until_all_at(3, IN_FORCE)
+        world.until_all_at(3, IN_FORCE_S)
         yield world
 
 
 def with_name(value: bytes) -> bytes:
-    """An order that sets one node, with this JSON as its name."""
+    """A request that sets one node, with this JSON as its name."""
     return b'{"id": "x", "by": "ann", "revision": 3, "set": {"node/x": {"name": ' + value + b"}}}"
 
 
@@ -246,13 +246,13 @@
         with_name(b'"\xff"'),
     ],
 )
-def test_a_body_that_is_no_order_ends_the_broker(body: bytes, fleet: VirtualFleet) -> None:
+def test_an_invalid_body_is_refused_without_a_crash(body: bytes, fleet: VirtualFleet) -> None:
     for what in ("propose", "rollback"):
         answer = fleet.raw("m7", what, body)
         assert answer.status in (400, 409) and "expected" in answer.content["error"], answer.content
 
 
-def test_wrong_paths_and_rollbacks_are_not_explained(fleet: VirtualFleet) -> None:
+def test_wrong_paths_and_rollbacks_are_explained(fleet: VirtualFleet) -> None:
     lost = fleet.ask("m7", "GET", "history")
     assert lost.status == 404 and "'history': expected GET status, show" in lost.content["error"]
     assert (
@@ -264,15 +264,15 @@
     )
     assert fleet.show("m7", "node/none").status == 404
     page = fleet.ask("m7", "GET", "show").content
-    assert page["revision"] == 3 and set(page["resources"]) > set(whole_list())
+    assert page["revision"] == 3 and set(page["resources"]) > set(complete_list())
 
 
 # --- status ---
 
 
-def test_the_status_calls_a_change_in_force_that_is_not(tmp_path: Path) -> None:
+def test_the_status_is_everywhere_only_when_all_brokers_have_the_change(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         world.until(lambda: world.ask("m0", "GET", "status").content["everywhere"])
         silent = "m7"
         world.cut |= {(relay, silent) for relay in RELAYS}
@@ -282,33 +282,33 @@
         page = world.ask("m0", "GET", "status").content
         assert not page["everywhere"] and page["fleet"]["expected"] == 8
         world.cut.clear()
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         world.until(lambda: world.ask("m1", "GET", "status").content["everywhere"])
         assert (
             "revision 2: in force at 8 of 8 brokers" in world.ask("m1", "GET", "status").content["lines"][0]
         )
         elsewhere = world.ask("m7", "GET", "status").content
-        assert elsewhere["fleet"] is None and elsewhere["keepers"] == KEEPERS
+        assert elsewhere["fleet"] is None and elsewhere["keepers"] == VOTERS
         assert elsewhere["own"]["revision"] == 2
 
 
-def test_a_keeper_whose_log_is_behind_calls_an_old_revision_the_newest(tmp_path: Path) -> None:
+def test_a_voter_whose_log_is_behind_knows_the_newest_revision(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
-        behind = next(name for name in KEEPERS if name != world.leader)
+        commit_all_nodes(world)
+        behind = next(name for name in VOTERS if name != world.leader)
         world.until(lambda: world.ask(behind, "GET", "status").content["everywhere"])
-        world.log_cut |= {(keeper, behind) for keeper in KEEPERS}
+        world.log_cut |= {(voter, behind) for voter in VOTERS}
         world.propose("m5", "second", 1, remove=["node/a1"])
-        world.until(lambda: world.revision(behind) == 2, IN_FORCE)
+        world.until(lambda: world.revision(behind) == 2, IN_FORCE_S)
         assert world.agreed(behind).machine.configuration.revision == 1
         page = world.ask(behind, "GET", "status").content
         assert not page["everywhere"] and page["fleet"]["newest"] == 2
 
 
-def test_a_revision_that_one_broker_cannot_apply_is_half_applied_or_not_told(tmp_path: Path) -> None:
+def test_a_revision_that_no_broker_can_apply_is_refused_and_reported(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
-        for name in KEEPERS:  # as if a leader of another version let it through
+        commit_all_nodes(world)
+        for name in VOTERS:  # as if a leader of another version proposed it
             world.agreed(name).refuses_change = lambda command: ""
         bad = {"node/m1": node("m1", "a", 9500)}
         assert world.propose("m5", "second", 1, set=bad, remove=["node/a1"]).content == {"revision": 2}
@@ -320,69 +320,70 @@
         assert not page["everywhere"] and all(world.nodes(name) == ALL_NODES for name in world.names)
         back = world.ask("m6", "POST", "rollback", {"id": "third", "by": "ann", "revision": 2})
         assert back.content == {"revision": 3}
-        world.until_all_at(3, IN_FORCE)  # both together change nothing, and can be in force
+        # The two revisions together change nothing, and can be applied.
+        world.until_all_at(3, IN_FORCE_S)
         world.until(lambda: world.ask("m0", "GET", "status").content["everywhere"])
         assert all(world.nodes(name) == ALL_NODES for name in world.names)
-        never_back(world)
+        assert_revisions_only_grow(world)
 
 
 # --- faults ---
 
 
-def test_a_relay_that_is_killed_amid_a_delta_keeps_the_change_from_its_brokers(tmp_path: Path) -> None:
+def test_a_relay_killed_amid_a_delta_does_not_delay_the_change(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         relay = max(RELAYS, key=lambda one: len(world.served_by(one)))
         assert len(world.served_by(relay)) >= 3
         distribution = world.distribution(relay)
         send = distribution._send
-        told: list[str] = []
+        receivers: list[str] = []
 
         def dying(to: str, data: bytes) -> None:
-            if told and told[0] != to:
+            if receivers and receivers[0] != to:
                 return
             send(to, data)
             if isinstance(unpack(data, "orchard", to, to == relay)[1], Deltas) and to != relay:
-                told.append(to)
+                receivers.append(to)
                 world.loop.call_in(0, lambda: world.kill(relay))
 
         distribution._send = dying  # type: ignore[method-assign]
         world.propose("m5" if relay != "m5" else "m6", "second", 1, remove=["node/a1"])
         world.until(lambda: relay not in world.brokers)
-        assert len(told) == 1
-        world.until_all_at(2, IN_FORCE)
-        never_back(world)
+        assert len(receivers) == 1
+        world.until_all_at(2, IN_FORCE_S)
+        assert_revisions_only_grow(world)
 
 
-def test_the_end_of_a_relay_s_connection_is_known_only_by_its_silence(tmp_path: Path) -> None:
+def test_the_end_of_a_relay_s_connection_is_noticed_before_its_timeout(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         served = [name for name in world.served_by("m3") if name != "m3"]
         assert served
         world.kill("m3")
         world.until(lambda: all(world.subscriber(name).chooser.current == "m4" for name in served), 2.5)
 
 
-def test_a_relay_that_is_silent_but_connected_keeps_its_brokers(tmp_path: Path) -> None:
+def test_a_relay_that_is_silent_but_connected_is_left(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         served = [name for name in world.served_by("m3") if name != "m3"]
         assert served
         world.cut |= {("m3", name) for name in world.names if name != "m3"}
         world.propose("m5", "second", 1, remove=["node/a1"])
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         assert {world.subscriber(name).chooser.current for name in served} == {"m4"}
-        never_back(world)
+        assert_revisions_only_grow(world)
 
 
-def test_a_broker_goes_back_a_revision_with_a_relay_that_lags(tmp_path: Path) -> None:
+def test_a_broker_keeps_its_revision_at_a_relay_that_lags(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
-        world.log_cut |= {(keeper, "m3") for keeper in KEEPERS}
+        commit_all_nodes(world)
+        world.log_cut |= {(voter, "m3") for voter in VOTERS}
         world.propose("m5", "second", 1, remove=["node/a1"])
         others = [name for name in world.names if name not in world.served_by("m3")]
-        world.until(lambda: all(world.revision(name) == 2 for name in others), IN_FORCE)
-        world.until(lambda: world.served_by("m3") == [], IN_FORCE)  # its news are old
+        world.until(lambda: all(world.revision(name) == 2 for name in others), IN_FORCE_S)
+        world.until(lambda: world.served_by("m3") == [], IN_FORCE_S)  # its data are stale
         world.kill("m4")
         others = [name for name in world.brokers if name != "m3"]
         world.until(lambda: set(others) <= set(world.served_by("m3")), 30)
@@ -392,13 +393,13 @@
         assert relay is not None and relay.log.newest == 1
         world.log_cut.clear()
         world.propose("m5", "third", 2, set={"node/a1": node("a1", "a", 9001)})
-        world.until_all_at(3, IN_FORCE)
-        never_back(world)
+        world.until_all_at(3, IN_FORCE_S)
+        assert_revisions_only_grow(world)
 
 
-def test_a_leader_killed_between_commit_and_telling_loses_the_change_or_makes_two(tmp_path: Path) -> None:
+def test_a_leader_killed_after_a_commit_neither_loses_nor_repeats_the_change(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         leader = world.leader
         agreed = world.agreed(leader)
         post = agreed.hooks.post
@@ -414,21 +415,21 @@
         agreed.hooks.post = dying
         answer = world.propose("m7", "second", 1, remove=["node/a1"])
         assert leader not in world.brokers and answer.content == {"revision": 2}
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         assert world.propose("m6", "second", 1, remove=["node/a1"]).content == {"revision": 2}
         world.rest(3)
         assert {world.revision(name) for name in world.brokers} == {2}
 
 
-def test_a_region_that_is_cut_off_changes_something_or_stays_behind(tmp_path: Path) -> None:
+def test_a_region_that_was_cut_off_keeps_its_state_and_catches_up(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
-        inside = [name for name in world.names if name not in KEEPERS and region_of(name) == "west"]
+        commit_all_nodes(world)
+        inside = [name for name in world.names if name not in VOTERS and region_of(name) == "west"]
         outside = [name for name in world.names if name not in inside]
         assert inside == ["m4", "m5", "m7"]
         world.cut_off(inside, outside)
         world.propose("m6", "second", 1, remove=["node/a1"])
-        world.until(lambda: all(world.revision(name) == 2 for name in outside), IN_FORCE)
+        world.until(lambda: all(world.revision(name) == 2 for name in outside), IN_FORCE_S)
         alone = world.propose("m7", "alone", 1, remove=["node/b1"])
         assert alone.status == 409 and "not known to be done" in alone.content["error"]
         world.rest(10)
@@ -436,15 +437,16 @@
         assert world.subscriber("m7").status(world.loop.clock()).age_ms > 10_000
         world.kill("m7")
         world.start("m7")
-        world.until(lambda: world.nodes("m7") == ALL_NODES, IN_FORCE)  # from the relay inside
+        # From the relay inside the region.
+        world.until(lambda: world.nodes("m7") == ALL_NODES, IN_FORCE_S)
         world.cut.clear()
-        world.until_all_at(2, IN_FORCE)
+        world.until_all_at(2, IN_FORCE_S)
         assert all(world.nodes(name) == ALL_NODES - {"a1"} for name in world.names)
 
 
-def test_a_member_that_is_none_or_a_message_of_this_one_from_outside_is_heard(tmp_path: Path) -> None:
+def test_messages_of_unknown_members_or_of_itself_from_outside_are_dropped(tmp_path: Path) -> None:
     with running(tmp_path) as world:
-        begun(world)
+        commit_all_nodes(world)
         distribution = world.distribution("m7")
         dropped = world.fleet("m7").view.dropped
         before = dict(dropped)
--- a/tests/fleet/distribution/virtual_fleet.py
+++ b/tests/fleet/distribution/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Whole brokers on one virtual loop and an in-memory network: three keepers, two relays, and others."""
+"""Complete brokers on one virtual loop and an in-memory network: three voters, two relays, and others."""
 
 import json
 from collections.abc import Callable, Iterable, Iterator
@@ -23,23 +23,23 @@
 
 SHARDS = {"a": ["s0", "s1"], "b": ["s2", "s3"], "c": ["s4", "s5"]}
 REGIONS = ("east", "west")
-KEEPERS = ["m0", "m1", "m2"]
+VOTERS = ["m0", "m1", "m2"]
 RELAYS = ["m3", "m4"]
-LONGEST = 60.0  # seconds of virtual time
+MAX_WAIT_S = 60.0  # seconds of virtual time
 
 
 def node(name: str, replica_set: str, port: int, **more: Any) -> dict[str, Any]:
-    """A node as a configuration file names it."""
+    """A node as a configuration file lists it."""
     url = f"http://127.0.0.1:{port}/read"
     return {"name": name, "url": url, "shards": SHARDS[replica_set], **more}
 
 
 def region_of(name: str) -> str:
-    """Of a member: the relays' own, and the others by turns."""
+    """The region of a member: a relay has its own, the others alternate."""
     return dict(zip(RELAYS, REGIONS, strict=True)).get(name, REGIONS[int(name[1:]) % 2])
 
 
-def whole_list() -> dict[str, Any]:
+def complete_list() -> dict[str, Any]:
     """Two nodes of each replica set, by resource name."""
     found = {}
     for at, replica_set in enumerate(SHARDS):
@@ -49,8 +49,8 @@
     return found
 
 
-class Answered:
-    """In place of a request over HTTP: what it asks, and what it is answered."""
+class FakeExchange:
+    """Replaces an HTTP exchange: the request, and the response that it got."""
 
     def __init__(self, method: str, path: str, body: bytes = b"") -> None:
         self.request = Request(method, path, {}, body)
@@ -63,13 +63,13 @@
 
 
 def sender_of(data: bytes) -> str:
-    """Of a message of the log or of the distribution; both envelopes have it at one place."""
+    """The sender of a message of the log or of the distribution, at the same position in both envelopes."""
     envelope: list[Any] = msgspec.msgpack.decode(data.removeprefix(MARK))
     return str(envelope[3])
 
 
 class VirtualFleet:
-    """``members`` brokers m0, m1, ...; the first three keep the log, m3 and m4 relay."""
+    """``members`` brokers m0, m1, ...; the first three are voters, m3 and m4 relays."""
 
     def __init__(self, folder: Path, members: int = 8, seed: int = 1) -> None:
         self.loop = ExactLoop(seed)
@@ -92,10 +92,10 @@
         values["limits"]["fair"] = {"slots": 12, "quick_slots": 3}
         values["tenants"] = [{"name": "desk", "weight": 5}]
         values["fleet"] = {
-            "name": "orchard", "member": name, "port": 7000 + number, "peers": peers, "keepers": KEEPERS,
+            "name": "orchard", "member": name, "port": 7000 + number, "peers": peers, "keepers": VOTERS,
             "configuration": {"region": region_of(name), "relays": relays},
         }  # fmt: skip
-        if name in KEEPERS:
+        if name in VOTERS:
             values["fleet"]["store"] = f"store-{name}"
         return Config.model_validate(values)
 
@@ -122,17 +122,17 @@
         edge.on_agreed = gate
 
     def kill(self, name: str) -> None:
-        """At once: nothing of it is said any more."""
+        """Stop at once: it sends nothing any more."""
         fleet = self.fleet(name)
         fleet.edge.close()
         self.brokers.pop(name).close()
 
     def cut_off(self, one: Iterable[str], others: Iterable[str]) -> None:
-        """Nothing passes between them, in both directions."""
+        """Drop all messages between two groups, in both directions."""
         self.cut |= {pair for a in one for b in others for pair in ((a, b), (b, a))}
 
     def served_by(self, relay: str) -> list[str]:
-        """Brokers whose relay it is."""
+        """The brokers that this relay serves."""
         return [name for name in self.brokers if self.subscriber(name).chooser.current == relay]
 
     def subscriber(self, name: str) -> Subscriber:
@@ -154,12 +154,12 @@
         return found
 
     def nodes(self, name: str) -> set[str]:
-        """Of a broker's list: those that are in service."""
+        """The nodes of a broker's list that are in service."""
         facts = self.brokers[name].holders.source.state.facts.values()
         return {fact.name for fact in facts if fact.phase.name == "READY"}
 
     def weights(self, name: str) -> dict[str, float]:
-        """Of tenants, in a broker's fair turns."""
+        """The weights of tenants in a broker's fair scheduler."""
         room = self.brokers[name].waiting_room
         assert room is not None
         return room.scheduler.queues.weights
@@ -169,8 +169,8 @@
 
     @property
     def leader(self) -> str:
-        """The keeper that leads; empty: none does."""
-        leading = [name for name in KEEPERS if name in self.brokers and self._leads(name)]
+        """The voter that is leader; empty: none."""
+        leading = [name for name in VOTERS if name in self.brokers and self._leads(name)]
         return leading[0] if len(leading) == 1 else ""
 
     def _leads(self, name: str) -> bool:
@@ -178,43 +178,43 @@
 
     # --- requests ---
 
-    def ask(self, name: str, method: str, path: str, order: dict[str, Any] | None = None) -> Answered:
-        """A request under /fleet/config/, until it is answered."""
-        asked = self._begin(name, method, path, order)
-        self.until(lambda: bool(asked.status))
-        return asked
+    def ask(self, name: str, method: str, path: str, order: dict[str, Any] | None = None) -> FakeExchange:
+        """Send a request under /fleet/config/ and wait for the response."""
+        exchange = self._begin(name, method, path, order)
+        self.until(lambda: bool(exchange.status))
+        return exchange
 
-    def begin(self, name: str, what: str, order: dict[str, Any]) -> Answered:
-        """An order; it is answered later."""
+    def begin(self, name: str, what: str, order: dict[str, Any]) -> FakeExchange:
+        """Send a change without waiting for the response."""
         return self._begin(name, "POST", what, order)
 
-    def raw(self, name: str, what: str, body: bytes) -> Answered:
-        """An order as it may come from anybody."""
-        asked = self._send(name, "POST", what, body)
-        self.until(lambda: bool(asked.status))
-        return asked
+    def raw(self, name: str, what: str, body: bytes) -> FakeExchange:
+        """Send an arbitrary body and wait for the response."""
+        exchange = self._send(name, "POST", what, body)
+        self.until(lambda: bool(exchange.status))
+        return exchange
 
-    def _begin(self, name: str, method: str, path: str, order: dict[str, Any] | None) -> Answered:
+    def _begin(self, name: str, method: str, path: str, order: dict[str, Any] | None) -> FakeExchange:
         return self._send(name, method, path, b"" if order is None else json.dumps(order).encode())
 
-    def _send(self, name: str, method: str, path: str, body: bytes) -> Answered:
-        asked = Answered(method, f"/fleet/config/{path}", body)
-        assert self.fleet(name).request(cast(Exchange, asked))
-        return asked
+    def _send(self, name: str, method: str, path: str, body: bytes) -> FakeExchange:
+        exchange = FakeExchange(method, f"/fleet/config/{path}", body)
+        assert self.fleet(name).request(cast(Exchange, exchange))
+        return exchange
 
-    def propose(self, at: str, id: str, revision: int, **order: Any) -> Answered:
+    def propose(self, at: str, id: str, revision: int, **order: Any) -> FakeExchange:
         return self.ask(at, "POST", "propose", {"id": id, "by": "ann", "revision": revision, **order})
 
-    def show(self, at: str, name: str) -> Answered:
+    def show(self, at: str, name: str) -> FakeExchange:
         return self.ask(at, "GET", f"show/{quote(name, safe='')}")
 
     # --- time ---
 
-    def until(self, true: Callable[[], bool], longest: float = LONGEST) -> None:
-        assert self.loop.run_until(true, longest), "it did not come about in time"
+    def until(self, condition: Callable[[], bool], timeout: float = MAX_WAIT_S) -> None:
+        assert self.loop.run_until(condition, timeout), "the condition did not become true in time"
 
-    def until_all_at(self, revision: int, longest: float = LONGEST) -> None:
-        self.until(lambda: all(self.revision(name) == revision for name in self.brokers), longest)
+    def until_all_at(self, revision: int, timeout: float = MAX_WAIT_S) -> None:
+        self.until(lambda: all(self.revision(name) == revision for name in self.brokers), timeout)
 
     def rest(self, seconds: float) -> None:
         self.loop.run_until(lambda: False, seconds)
@@ -227,7 +227,7 @@
 
 @contextmanager
 def running(folder: Path, members: int = 8, seed: int = 1) -> Iterator[VirtualFleet]:
-    """A fleet that has a leader, where every broker has a relay."""
+    """A fleet that has a leader, and where every broker has a relay."""
     world = VirtualFleet(folder, members, seed)
     try:
         world.until(lambda: bool(world.leader))
