--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -94,7 +94,7 @@
             config.limits.max_memory, loop, self.metrics, self.log, desk.set_pressure,
             lambda: not self.server.listener.closed,
         )  # fmt: skip
-        self.door = desk.door
+        self.door = desk.gate
         self.driver = Driver(module, settings, config.rules.drain_grace)
         front = RemoteReadFront(config, self.map)
         self.waiting_room = waiting_room(config, seed)
@@ -205,7 +205,7 @@
         metrics.connections.labels("clients").set(len(self.server.connections))
         metrics.connections.labels("holders").set(self.upstream.counts.open)
         for phase in ("READY", "DRAINING", "GONE"):
-            count = sum(fact.phase.name == phase for fact in self.holders.source.state.facts.values())
+            count = sum(fact.phase.name == phase for fact in self.holders.source.state.holders.values())
             metrics.holders.labels(phase.lower()).set(count)
         exchange.respond(200, PAGE_TYPE, metrics.render())
 
--- a/tests/fleet/distribution/test_nodes.py
+++ b/tests/fleet/distribution/test_nodes.py
@@ -25,9 +25,9 @@
 
     compared = 0
 
-    def _differ(self, *words: object) -> None:
+    def _add_change(self, *words: object) -> None:
         self.compared += 1
-        super()._differ(*words)  # type: ignore[arg-type]
+        super()._add_change(*words)  # type: ignore[arg-type]
 
 
 def test_a_change_of_one_node_compares_one_of_twelve_thousand() -> None:
@@ -40,7 +40,7 @@
     update, changes = state.apply_delta([], [fact(8).node])
     assert state.compared == 1 and update is not None
     assert [(entry.node, entry.phase) for entry in update.entries] == [(fact(8).node, Phase.GONE)]
-    assert len(state.facts) == ALL - 1
+    assert len(state.holders) == ALL - 1
 
 
 def test_a_delta_leads_to_the_same_list_as_a_complete_one() -> None:
@@ -57,7 +57,7 @@
         assert update is not None
         return {entry.node: entry for entry in update.entries}
 
-    assert parts.facts == whole.facts and by_node(announced_by_parts) == by_node(announced)
+    assert parts.holders == whole.holders and by_node(announced_by_parts) == by_node(announced)
 
 
 def test_a_delta_without_effect_is_not_announced() -> None:
@@ -69,7 +69,7 @@
 
 
 def test_a_delta_before_a_complete_list_is_refused() -> None:
-    with pytest.raises(AssertionError, match="before a whole one"):
+    with pytest.raises(AssertionError, match="before the first complete list"):
         MembershipState().apply_delta([fact(1)], [])
 
 
@@ -93,7 +93,7 @@
 
 
 def names(found: MembershipSource) -> set[str]:
-    return {one.name for one in found.state.facts.values()}
+    return {one.name for one in found.state.holders.values()}
 
 
 def test_distributed_nodes_replace_the_nodes_of_the_file(tmp_path: Path) -> None:
@@ -150,5 +150,5 @@
     update, _, _ = found.poll(force=True)
     assert update is not None and [entry.phase for entry in update.entries] == [Phase.DRAINING]
     found.distribute(holders("a1", "a5"))
-    phases = {one.name: one.phase for one in found.state.facts.values()}
+    phases = {one.name: one.phase for one in found.state.holders.values()}
     assert phases == {"a1": Phase.DRAINING, "a5": Phase.READY, "b2": Phase.READY, "c3": Phase.READY}
--- a/tests/fleet/distribution/virtual_fleet.py
+++ b/tests/fleet/distribution/virtual_fleet.py
@@ -155,7 +155,7 @@
 
     def nodes(self, name: str) -> set[str]:
         """The nodes of a broker's list that are in service."""
-        facts = self.brokers[name].holders.source.state.facts.values()
+        facts = self.brokers[name].holders.source.state.holders.values()
         return {fact.name for fact in facts if fact.phase.name == "READY"}
 
     def weights(self, name: str) -> dict[str, float]:
