--- a/quincepath/fleet/configuration/table.py
+++ b/quincepath/fleet/configuration/table.py
@@ -55,9 +55,9 @@
 
 def diff_values(values: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Edit, ...]:
     """The edits that turn ``values`` into ``wanted``."""
-    found = [Edit(name, old, None) for name, old in values.items() if name not in wanted]
-    found += [Edit(name, values.get(name), new) for name, new in wanted.items() if values.get(name) != new]
-    return tuple(found)
+    edits = [Edit(name, old, None) for name, old in values.items() if name not in wanted]
+    edits += [Edit(name, values.get(name), new) for name, new in wanted.items() if values.get(name) != new]
+    return tuple(edits)
 
 
 class ResourceTable:
@@ -78,17 +78,17 @@
         return [
             Fault(
                 edit.name,
-                format_value(found),
+                format_value(current),
                 f"{format_value(edit.old)}, the old value that the change names",
                 edit.name,
             )
             for edit in edits
-            if (found := self.values.get(edit.name)) != edit.old
+            if (current := self.values.get(edit.name)) != edit.old
         ]
 
     def faults(self, edits: Sequence[Edit], rules: Rules = NO_RULES) -> list[Fault]:
         """Violations of the schema, of a bound, or of constraints between resources. Empty: none."""
-        found: list[Fault] = []
+        faults: list[Fault] = []
         nodes: dict[str, Holder] = {}
         for edit in edits:
             if edit.new is None:
@@ -96,12 +96,12 @@
             try:
                 model = decode_resource(edit.name, edit.new)
             except ChangeError as error:
-                found += error.faults
+                faults += error.faults
                 continue
             if isinstance(model, Holder):
                 nodes[edit.name] = model
         return (
-            found
+            faults
             + self._limit_faults(edits)
             + self._address_faults(edits, nodes)
             + _replica_set_faults(nodes, rules)
@@ -109,31 +109,31 @@
 
     def _limit_faults(self, edits: Sequence[Edit]) -> list[Fault]:
         """Violations of the limits of the whole table."""
-        found = []
+        faults = []
         total = len(self.values) + sum(_count_change(self.values, edit) for edit in edits)
         if total > MAX_RESOURCES:
-            found.append(Fault("resources", str(total), f"at most {MAX_RESOURCES}"))
+            faults.append(Fault("resources", str(total), f"at most {MAX_RESOURCES}"))
         size = self.bytes + sum(_size_change(self.values, edit) for edit in edits)
         if size > MAX_TABLE_BYTES:
-            found.append(Fault("resources", f"{size} bytes", f"at most {MAX_TABLE_BYTES}"))
+            faults.append(Fault("resources", f"{size} bytes", f"at most {MAX_TABLE_BYTES}"))
         classes = [edit for edit in edits if split_name(edit.name)[0] == CLASS]
         if self._classes and self._classes + sum(_count_change(self.values, edit) for edit in classes) < 1:
-            found.append(Fault("class/", "the last class is removed", "at least one class"))
-        return found
+            faults.append(Fault("class/", "the last class is removed", "at least one class"))
+        return faults
 
     def _address_faults(self, edits: Sequence[Edit], nodes: Mapping[str, Holder]) -> list[Fault]:
         """Nodes whose address another node has, among the edits or in the table."""
         edited = {edit.name for edit in edits}
         edited_addresses: dict[str, str] = {}
-        found = []
+        faults = []
         for name, holder in nodes.items():
             address = node_address(holder)
             other = edited_addresses.get(address) or self._node_at.get(address)
             if other is not None and other != name and (other not in edited or address in edited_addresses):
                 expected = f"an address of its own; {other} has it"
-                found.append(Fault(f"{name}.url", address, expected, name))
+                faults.append(Fault(f"{name}.url", address, expected, name))
             edited_addresses[address] = name
-        return found
+        return faults
 
     def apply(self, edits: Iterable[Edit]) -> None:
         """Apply edits. Only valid where ``faults`` and ``conflicts`` were empty."""
--- a/tests/fleet/configuration/test_history.py
+++ b/tests/fleet/configuration/test_history.py
@@ -115,16 +115,16 @@
     assert "the value before revision 2" in found.apply(change("x", other, rolls_back=2)).reason
     stale = Edit("tenant/a", tenant("a", 2.0), tenant("a", 1.0))
     assert "the old value that the change names" in found.apply(change("y", stale, rolls_back=2)).reason
-    strange = Edit("tenant/z", None, tenant("z", 7.0))
-    assert "a resource that revision 2 touched" in found.apply(change("z", strange, rolls_back=2)).reason
+    untouched = Edit("tenant/z", None, tenant("z", 7.0))
+    assert "a resource that revision 2 touched" in found.apply(change("z", untouched, rolls_back=2)).reason
     assert found.revision == 3
 
 
 def test_a_rollback_of_a_compacted_revision_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quincepath.fleet.configuration.delta_log.MAX_DELTAS", 2)
     found = history(1.0, 2.0, 3.0)
-    told = found.apply(change("undo", rolls_back=1)).reason
-    assert told == "rolls_back: 1; expected a revision from 2 to 3"
+    reason = found.apply(change("undo", rolls_back=1)).reason
+    assert reason == "rolls_back: 1; expected a revision from 2 to 3"
     assert "expected a revision from 2 to 3" in found.apply(change("new", rolls_back=9)).reason
 
 
--- a/tests/fleet/configuration/test_log_commands.py
+++ b/tests/fleet/configuration/test_log_commands.py
@@ -75,7 +75,7 @@
 
 def test_an_older_version_cannot_decode_the_command() -> None:
     old: Any = Grant | Begun | Back | Close | Halt | Resume | MapCommand
-    with pytest.raises(msgspec.ValidationError):  # Permits notes it as unreadable and goes on
+    with pytest.raises(msgspec.ValidationError):  # Permits notes it as unreadable and continues
         msgspec.msgpack.decode(encode(weight("one", None, 1.0)), type=old)
 
 
