--- a/quincepath/fleet/configuration/validator.py
+++ b/quincepath/fleet/configuration/validator.py
@@ -16,7 +16,7 @@
 from quincepath.fleet.configuration.table import Rules
 
 READY = "ready"
-FIXED = {CLASS: "no change: a running broker takes its classes from its file, and a restart"}
+FIXED_KINDS = {CLASS: "no change: a running broker takes its classes from its file, and a restart"}
 MAX_TENANTS = 1000  # that have their own weight, as in a file: each may have a queue at every broker
 
 
@@ -49,8 +49,8 @@
         faults = []
         for edit in edits:
             kind, name = split_name(edit.name)
-            if kind in FIXED and edit.new is not None:
-                faults.append(Fault(edit.name, format_value(edit.new), FIXED[kind], edit.name))
+            if kind in FIXED_KINDS and edit.new is not None:
+                faults.append(Fault(edit.name, format_value(edit.new), FIXED_KINDS[kind], edit.name))
             if kind == NODE and name in self.members and edit.new is not None:
                 faults.append(
                     Fault(edit.name, repr(name), "a name that no broker of the fleet has", edit.name)
