--- a/quincepath/fleet/configuration/messages.py
+++ b/quincepath/fleet/configuration/messages.py
@@ -20,7 +20,16 @@
     Delta,
     Revision,
 )
-from quincepath.fleet.messages import Counter, Name, Rejected, Text, Versions, Word64, body_in, opened
+from quincepath.fleet.messages import (
+    Counter,
+    Name,
+    Rejected,
+    Text,
+    Versions,
+    Word64,
+    decode_body,
+    decode_envelope,
+)
 
 SCHEMA = 1
 VERSIONS = Versions(SCHEMA, 1)
@@ -205,7 +214,7 @@
     """
     if data[: len(MARK)] != MARK:
         raise Rejected("unreadable")
-    envelope = opened(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, MAX_FRAME_BYTES)
+    envelope = decode_envelope(data[len(MARK) :], _envelopes, VERSIONS, fleet, to, MAX_FRAME_BYTES)
     if (envelope.sender == to) is not own:
         raise Rejected("wrong name")
     return envelope
@@ -214,7 +223,7 @@
 def unpack(data: bytes, fleet: str, to: str, own: bool = False) -> tuple[Envelope, Body]:
     """Decode a message to this member. Raises ``Rejected``, as ``open_envelope``."""
     envelope = open_envelope(data, fleet, to, own)
-    return envelope, body_in(envelope.body, _bodies)
+    return envelope, decode_body(envelope.body, _bodies)
 
 
 class Addressee(StrEnum):
--- a/quincepath/fleet/configuration/relay.py
+++ b/quincepath/fleet/configuration/relay.py
@@ -51,7 +51,7 @@
 from quincepath.fleet.configuration.slots import SLOT_IDLE_TIMEOUT_NS, Slot, SnapshotSlots
 from quincepath.fleet.configuration.subscriber import WINDOW_PIECES
 from quincepath.fleet.configuration.table import apply_edits
-from quincepath.fleet.messages import COUNTER_MOST, Rejected
+from quincepath.fleet.messages import MAX_COUNTER, Rejected
 
 MAX_SUBSCRIBERS = 1000  # a further one gets Busy and tries another relay
 TICK_NS = 100 * MS  # between checks of the subscriber table
@@ -99,8 +99,8 @@
     def age_ms(self) -> int:
         """ms since a voter last confirmed our newest revision as the newest."""
         if self._confirmed_at is None:
-            return COUNTER_MOST
-        return min((self._now - self._confirmed_at) // MS, COUNTER_MOST)
+            return MAX_COUNTER
+        return min((self._now - self._confirmed_at) // MS, MAX_COUNTER)
 
     def step(self, now: int, inputs: Sequence[RelayInput]) -> list[RelayOutput]:
         """Apply the inputs and handle the timers that are due."""
--- a/quincepath/fleet/load_service.py
+++ b/quincepath/fleet/load_service.py
@@ -12,12 +12,12 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from quincepath.config.schema import Config, FleetEntry, LedgerEntry
-from quincepath.fleet.edge import Edge
 from quincepath.fleet.load_control import LoadControl
 from quincepath.fleet.load_reports.events import LiveMembers
 from quincepath.fleet.load_reports.types import Count, LoadReportSettings, Totals
 from quincepath.fleet.overload import Arrival, OverloadSettings, Shed
 from quincepath.fleet.overload.types import Decision
+from quincepath.fleet.transport import Transport
 from quincepath.fleet.view.core import View
 from quincepath.net.loop import Loop, Timer
 
@@ -53,7 +53,7 @@
     """One broker's. ``on_out`` gets what is decided, ``on_totals`` what is known of the fleet."""
 
     def __init__(
-        self, config: Config, entry: FleetEntry, loop: Loop, view: View, edge: Edge, seed: int,
+        self, config: Config, entry: FleetEntry, loop: Loop, view: View, edge: Transport, seed: int,
         log: Any, registry: CollectorRegistry,
     ) -> None:  # fmt: skip
         if entry.ledger is None:
@@ -96,7 +96,7 @@
         self.spending = Gauge(
             "quincepath_overload_spending", "What this broker may spend a second", ["what"], registry=registry
         )
-        edge.on_other = self._on_datagram
+        edge.on_other_datagram = self._on_datagram
         self._step()
 
     # --- queries ---
@@ -117,7 +117,7 @@
 
     def _live_members(self) -> LiveMembers | None:
         """Who lives, where it changed."""
-        boots = {member.name: member.boot for member in self.view.table.all() if member.living}
+        boots = {member.name: member.boot for member in self.view.table.all() if member.live}
         boots[self.view.settings.name] = self.view.own.boot
         if boots == self._live_boots:
             return None
@@ -132,7 +132,7 @@
         # The order among equals changes with the hour of the wall clock; a clock that is off changes no more.
         result = self.control.step(now, data, self._live_members(), self.loop.system.wall_ns())
         for packet in result.packets:
-            self.edge.post(packet.to, packet.data)
+            self.edge.send_datagram(packet.to, packet.data)
         if result.totals is not None:
             self.on_totals(result.totals)
         if result.decision is not None:
--- a/tests/fleet/configuration/test_relay.py
+++ b/tests/fleet/configuration/test_relay.py
@@ -28,7 +28,7 @@
 from quincepath.fleet.configuration.ports import Close, Committed, Loaded, Lost, Received, Report, Resume
 from quincepath.fleet.configuration.slots import SLOTS
 from quincepath.fleet.configuration.snapshots import Assembly, read_image
-from quincepath.fleet.messages import COUNTER_MOST, Rejected
+from quincepath.fleet.messages import MAX_COUNTER, Rejected
 from tests.fleet.configuration.builders import tenant, weights
 from tests.fleet.configuration.harness import FLEET, RelayHarness, events
 
@@ -135,7 +135,7 @@
 
 def test_the_age_grows_while_no_voter_is_heard() -> None:
     harness = RelayHarness()
-    assert harness.receive("b1", Subscribe(0, 0))[0][1] == Heartbeat(0, COUNTER_MOST)
+    assert harness.receive("b1", Subscribe(0, 0))[0][1] == Heartbeat(0, MAX_COUNTER)
     harness.step(Committed(0, (), age=50_000_000))
     assert harness.relay.age_ms == 50
     ages = [body.age for _, body in harness.advance(4000) if isinstance(body, Heartbeat)]
--- a/tests/fleet/distribution/test_virtual_fleet.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -309,7 +309,7 @@
     with running(tmp_path) as world:
         commit_all_nodes(world)
         for name in VOTERS:  # as if a leader of another version proposed it
-            world.agreed(name).refuses_change = lambda command: ""
+            world.agreed(name).change_refusal = lambda command: ""
         bad = {"node/m1": node("m1", "a", 9500)}
         assert world.propose("m5", "second", 1, set=bad, remove=["node/a1"]).content == {"revision": 2}
         world.until(lambda: world.ask("m0", "GET", "status").content["fleet"]["refused"] == 8)
@@ -402,7 +402,7 @@
         commit_all_nodes(world)
         leader = world.leader
         agreed = world.agreed(leader)
-        post = agreed.hooks.post
+        post = agreed.hooks.send
         dead: list[str] = []
 
         def dying(to: str, data: bytes) -> None:
@@ -412,7 +412,7 @@
                 dead.append(leader)
                 world.loop.call_in(0, lambda: world.kill(leader))
 
-        agreed.hooks.post = dying
+        agreed.hooks.send = dying
         answer = world.propose("m7", "second", 1, remove=["node/a1"])
         assert leader not in world.brokers and answer.content == {"revision": 2}
         world.until_all_at(2, IN_FORCE_S)
