--- a/quincepath/fleet/configuration_requests.py
+++ b/quincepath/fleet/configuration_requests.py
@@ -27,8 +27,8 @@
 class ConfigurationRequests:
     """``request`` answers the requests that concern the configuration."""
 
-    def __init__(self, distribution: Distribution, agreed: ReplicatedLog) -> None:
-        self.distribution, self.agreed = distribution, agreed
+    def __init__(self, distribution: Distribution, replicated_log: ReplicatedLog) -> None:
+        self.distribution, self.replicated_log = distribution, replicated_log
 
     def request(self, exchange: Exchange) -> bool:
         """Answer now, or when the result is known; false for any other path."""
@@ -54,7 +54,7 @@
         elif action.startswith("show/"):
             page = self.distribution.show_page(name)
             if page is None:
-                newest = self.agreed.machine.configuration.revision
+                newest = self.replicated_log.machine.configuration.revision
                 self._respond(exchange, MISSING, {"error": f"{name}: absent at revision {newest}"})
                 return
         if page is None:
@@ -75,12 +75,12 @@
             self._respond(exchange, BAD, {"error": str(error)})
             return
         command = ChangeConfiguration(change.id, change.author, change.proposed_at_ms, data)
-        self.agreed.submit(command, lambda refusal: self._on_command_done(exchange, change, refusal))
+        self.replicated_log.submit(command, lambda refusal: self._on_command_done(exchange, change, refusal))
 
     def _change(self, action: str, body: bytes) -> Change | DuplicateRequest:
-        now = self.agreed.loop.system.wall_ms()
+        now = self.replicated_log.loop.system.wall_ms()
         if action == "propose":
-            return propose_change(parse_propose(body), self.agreed.machine.configuration, now)
+            return propose_change(parse_propose(body), self.replicated_log.machine.configuration, now)
         if action == "rollback":
             return rollback_change(parse_rollback(body), now)
         raise ChangeError([Fault("path", repr(action), f"{PATHS} under {PREFIX}")])
@@ -89,7 +89,7 @@
         if refusal:
             self._respond(exchange, REFUSED, {"error": refusal})
             return
-        answer = self.agreed.machine.configuration.answers.get(change.id)
+        answer = self.replicated_log.machine.configuration.answers.get(change.id)
         self._answer(exchange, answer or Answer(0, "its revision is not remembered", b""))
 
     def _answer(self, exchange: Exchange, answer: Answer) -> None:
--- a/quincepath/fleet/distribution.py
+++ b/quincepath/fleet/distribution.py
@@ -320,7 +320,7 @@
     config: Config,
     entry: FleetEntry,
     section: DistributionEntry,
-    agreed: ReplicatedLog,
+    replicated_log: ReplicatedLog,
     edge: Transport,
     boot: int,
     seed: int,
@@ -334,14 +334,14 @@
     members = frozenset({entry.member, *(peer.name for peer in entry.peers)})
     ports = Ports(
         send=edge.send_log_message,
-        history=lambda: agreed.machine.configuration,
-        age=agreed.staleness_ns,
-        voters=lambda: agreed.voters,
+        history=lambda: replicated_log.machine.configuration,
+        age=replicated_log.staleness_ns,
+        voters=lambda: replicated_log.voters,
         expected_brokers=expected_brokers,
         dropped=dropped,
     )
     validator = ChangeValidator(rules, members)
-    return Distribution(entry, section, validator, agreed.loop, boot, seed, ports, log, registry)
+    return Distribution(entry, section, validator, replicated_log.loop, boot, seed, ports, log, registry)
 
 
 def route_messages(
--- a/tests/fleet/distribution/test_virtual_fleet.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -214,7 +214,7 @@
     whole = {"id": f"bad {said}"[:60], "by": "ann", "revision": 3, **order}
     answer = fleet.ask("m7", "POST", "propose", whole)
     assert answer.status in (400, 409) and said in answer.content["error"], answer.content
-    assert fleet.agreed(fleet.leader).machine.configuration.revision == 3
+    assert fleet.replicated_log(fleet.leader).machine.configuration.revision == 3
 
 
 @pytest.fixture(scope="module")
@@ -300,7 +300,7 @@
         world.log_cut |= {(voter, behind) for voter in VOTERS}
         world.propose("m5", "second", 1, remove=["node/a1"])
         world.until(lambda: world.revision(behind) == 2, IN_FORCE_S)
-        assert world.agreed(behind).machine.configuration.revision == 1
+        assert world.replicated_log(behind).machine.configuration.revision == 1
         page = world.ask(behind, "GET", "status").content
         assert not page["everywhere"] and page["fleet"]["newest"] == 2
 
@@ -309,7 +309,7 @@
     with running(tmp_path) as world:
         commit_all_nodes(world)
         for name in VOTERS:  # as if a leader of another version proposed it
-            world.agreed(name).change_refusal = lambda command: ""
+            world.replicated_log(name).change_refusal = lambda command: ""
         bad = {"node/m1": node("m1", "a", 9500)}
         assert world.propose("m5", "second", 1, set=bad, remove=["node/a1"]).content == {"revision": 2}
         world.until(lambda: world.ask("m0", "GET", "status").content["fleet"]["refused"] == 8)
@@ -401,18 +401,18 @@
     with running(tmp_path) as world:
         commit_all_nodes(world)
         leader = world.leader
-        agreed = world.agreed(leader)
-        post = agreed.hooks.send
+        replicated_log = world.replicated_log(leader)
+        send = replicated_log.hooks.send
         dead: list[str] = []
 
         def dying(to: str, data: bytes) -> None:
-            if agreed.machine.configuration.revision < 2:
-                post(to, data)
+            if replicated_log.machine.configuration.revision < 2:
+                send(to, data)
             elif not dead:
                 dead.append(leader)
                 world.loop.call_in(0, lambda: world.kill(leader))
 
-        agreed.hooks.send = dying
+        replicated_log.hooks.send = dying
         answer = world.propose("m7", "second", 1, remove=["node/a1"])
         assert leader not in world.brokers and answer.content == {"revision": 2}
         world.until_all_at(2, IN_FORCE_S)
--- a/tests/fleet/distribution/virtual_fleet.py
+++ b/tests/fleet/distribution/virtual_fleet.py
@@ -138,7 +138,7 @@
     def subscriber(self, name: str) -> Subscriber:
         return self.distribution(name).subscriber
 
-    def agreed(self, name: str) -> ReplicatedLog:
+    def replicated_log(self, name: str) -> ReplicatedLog:
         found = self.fleet(name).agreed
         assert found is not None
         return found
@@ -174,7 +174,7 @@
         return leading[0] if len(leading) == 1 else ""
 
     def _leads(self, name: str) -> bool:
-        return self.agreed(name).is_leader
+        return self.replicated_log(name).is_leader
 
     # --- requests ---
 
