--- a/quincepath/fleet/proposals.py
+++ b/quincepath/fleet/proposals.py
@@ -22,7 +22,7 @@
     number: int
     command: Command
     done: Callable[[str], None]
-    until: int
+    deadline: int
     index: int = 0
 
 
@@ -72,6 +72,6 @@
     def expire(self, now: int) -> list[Proposal]:
         """End the proposals that have timed out; returns those of the others that have no log index yet."""
         for proposal in list(self._open.values()):
-            if now >= proposal.until:
+            if now >= proposal.deadline:
                 self.end(proposal, OUTCOME_UNKNOWN)
         return [proposal for proposal in self._open.values() if not proposal.index]
--- a/quincepath/fleet/replicated_log.py
+++ b/quincepath/fleet/replicated_log.py
@@ -358,12 +358,12 @@
         elif at or self.leader:
             self._send_body(at or self.leader, ProposalRequest(proposal.number, encode(proposal.command)))
 
-    def _on_proposal_response(self, answer: ProposalResponse) -> None:
-        if answer.index:
-            self.proposals.set_index(answer.id, answer.index)
+    def _on_proposal_response(self, response: ProposalResponse) -> None:
+        if response.index:
+            self.proposals.set_index(response.id, response.index)
             self.proposals.complete_applied(self.applied_index, self.machine.state.results)
         else:
-            self._on_refused(answer.id, answer.why, answer.leader)
+            self._on_refused(response.id, response.why, response.leader)
 
     def _on_refused(self, number: int, why: str, leader: str) -> None:
         proposal = self.proposals.get(number)
