--- a/quincepath/cli/topology.py
+++ b/quincepath/cli/topology.py
@@ -1,4 +1,4 @@
-"""``quincepath fleet topology``: a new shard map proposed, adopted, looked at, and taken back."""
+"""``quincepath fleet topology``: propose, adopt, inspect and roll back a shard map."""
 
 import json
 import sys
@@ -13,32 +13,32 @@
 
 
 class MapFile(Model):
-    """A file with the section ``shards:`` as in a broker's configuration."""
+    """A file with a ``shards:`` section as in a broker's configuration."""
 
     shards: Shards
 
 
 @click.group()
 def topology() -> None:
-    """The shard map of the fleet: one change at a time, through the keepers' log."""
+    """Change the shard map of the fleet: one change at a time, through the consensus log."""
 
 
 @topology.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--may-lose", multiple=True, help="A value that the new map may leave out; may be repeated.")
+@click.option("--may-lose", multiple=True, help="A value that the new map may omit; may be repeated.")
 @AT
 @BY
 @KEY
 def propose(file: Path, may_lose: tuple[str, ...], at: str, by: str, key: str) -> None:
-    """Put the shard map of FILE (a section shards:, as in the configuration) before the fleet."""
+    """Propose the shard map in FILE (a section shards:, as in the configuration) to the fleet."""
     try:
         shards = parse(file.read_text(), MapFile, str(file)).shards
     except (ConfigError, OSError) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
-    entries = [[one.name, one.set or one.name, one.values] for one in shards.map]
-    found = [shards.label, entries, shards.unlabelled == "everywhere"]
-    tell(at, "propose", (), by, "", key, {"map": found, "may_lose": list(may_lose)})
+    entries = [[entry.name, entry.set or entry.name, entry.values] for entry in shards.map]
+    proposed = [shards.label, entries, shards.unlabelled == "everywhere"]
+    tell(at, "propose", (), by, "", key, {"map": proposed, "may_lose": list(may_lose)})
 
 
 @topology.command()
@@ -47,7 +47,7 @@
 @BY
 @KEY
 def adopt(without: tuple[str, ...], at: str, by: str, key: str) -> None:
-    """Use the proposed map, as far as the forecast accepts it; --without: name who is gone, later on."""
+    """Adopt the proposed map if the forecast accepts it; later, --without names brokers that are gone."""
     tell(at, "adopt", without, by, "", key)
 
 
@@ -56,7 +56,7 @@
 @BY
 @KEY
 def back(at: str, by: str, key: str) -> None:
-    """Give up a proposal that nobody uses yet; else stage the version before again and use it."""
+    """Withdraw a proposal that is not in use yet; otherwise stage the previous version again and use it."""
     tell(at, "back", (), by, "", key)
 
 
@@ -64,22 +64,22 @@
 @AT
 @JSON
 def status(at: str, as_json: bool) -> None:
-    """Versions, the verdict, whom a step waits for. Exit status 3 while a step is open, 4 where it halted."""
+    """Show versions, the verdict, whom a step waits for. Exit status: 3 while a step is open, 4 if halted."""
     page = ask(at, "/fleet/topology")
     if as_json:
         click.echo(json.dumps(page))
     else:
-        said = f"version {page['in_use']} in use"
+        summary = f"version {page['in_use']} in use"
         if page["proposed"]:
             what = "the way back" if page["going_back"] else "proposed"
-            said += f", version {page['proposed']} {what} by {page['by']}"
-        click.echo(f"{said}; step: {page['step']}; {page['adoptions']} adoptions measured")
+            summary += f", version {page['proposed']} {what} by {page['by']}"
+        click.echo(f"{summary}; step: {page['step']}; {page['adoptions']} adoptions measured")
         if page["halted"]:
             click.echo(f"halted: {page['halted']}")
         judged = page["verdict"]
         if judged is not None:
-            heard = f"{judged['queries']} footprints, {judged['heard']} of {judged['of']} brokers heard"
-            click.echo(f"verdict: {judged['answer']} ({heard}) {'; '.join(judged['why'])}".rstrip())
+            sample = f"{judged['queries']} footprints, {judged['heard']} of {judged['of']} brokers heard"
+            click.echo(f"verdict: {judged['answer']} ({sample}) {'; '.join(judged['why'])}".rstrip())
             if judged["bars"]:
                 rows = [
                     [kind, where or "all", *(f"{x:.4g}" for x in bar)] for kind, where, *bar in judged["bars"]
--- a/quincepath/fleet/__init__.py
+++ b/quincepath/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What brokers know of each other and agree among themselves. Off, and not imported, without ``fleet:``."""
+"""Shared state of a fleet of brokers: membership, load, agreement. Not imported without ``fleet:``."""
--- a/quincepath/fleet/adoption/__init__.py
+++ b/quincepath/fleet/adoption/__init__.py
@@ -1,9 +1,8 @@
-"""A new shard map through the keepers' log: proposed, adopted, staged, used, measured, and back.
+"""Adoption of a new shard map through the consensus log: propose, adopt, stage, use, measure, roll back.
 
-``apply_map_command`` is the machine (a part of ``permits``), ``Topology`` its state, the commands its
-entries. ``MapReports``: what a keeper hears of brokers and what its leader proposes of it; ``MapFollower`` a
-broker's own part. Pure.
-Design: docs/design/adoption.md.
+The commands are entries of the log; ``apply_map_command`` is the state machine (a part of ``permits``) and
+``Topology`` its state. ``MapReports``: what a voter has received from brokers, and what its leader proposes
+on that basis. ``MapFollower``: a broker's own part. Pure. Design: docs/design/adoption.md.
 """
 
 from quincepath.fleet.adoption.commands import (
--- a/quincepath/fleet/adoption/state.py
+++ b/quincepath/fleet/adoption/state.py
@@ -1,4 +1,4 @@
-"""What the entries come to: maps that are known, the one in use, one proposal, one measurement."""
+"""State that results from the entries: known maps, the one in use, one proposal, one measurement."""
 
 from enum import StrEnum
 
@@ -7,22 +7,23 @@
 from quincepath.fleet.adoption.commands import Map, MapVerdict
 from quincepath.shards.versions import MapVersion
 
-EMPTY_RECORD = msgspec.msgpack.encode(({},))  # a record of forecasts without any
+EMPTY_RECORD = msgspec.msgpack.encode(({},))  # an encoded AccuracyRecord without ratios
 
 
 class Step(StrEnum):
-    """Where a change of the map is."""
+    """Stage of a map change."""
 
-    NONE = "none"  # nothing is proposed, what is in use was measured or never changed
+    NONE = "none"  # nothing is proposed; the map in use was measured or never changed
     PROPOSED = "proposed"
     STAGING = "staging"
     MEASURING = "measuring"
-    HALTED = "halted"  # what was measured differs
+    HALTED = "halted"  # the measured figures differ from the forecast
 
 
 class Proposal(msgspec.Struct):
-    """The map that may come next. ``number`` names it alone for ever. ``going_back``: it says what the
-    version before says."""
+    """The map that may come next. ``number`` is never used for another map. ``going_back``: it has the
+    content of the previous version.
+    """
 
     number: int
     by: str
@@ -39,7 +40,7 @@
 
 
 class Measuring(msgspec.Struct):
-    """The version in use, until it was held against its forecast."""
+    """The version in use, until it was compared with its forecast."""
 
     number: int
     since: int
@@ -50,13 +51,13 @@
 
     @property
     def until(self) -> int:
-        """End of the time, in the unit of ``since``."""
+        """End of the measured time, in the unit of ``since``."""
         return self.since + self.span
 
 
 class Topology(msgspec.Struct):
-    """All that a snapshot holds of maps. ``used`` 0: the configured map, none is in the log yet; ``before``
-    0: there is none to go back to. ``record``: how far forecasts were off, as the forecast's room encodes it.
+    """All that a snapshot contains about maps. ``used`` 0: the configured map, the log has none yet;
+    ``before`` 0: there is no version to roll back to. ``record``: the encoded ``AccuracyRecord``.
     """
 
     maps: dict[int, Map] = {}
@@ -70,7 +71,7 @@
 
     @property
     def step(self) -> Step:
-        """How far the adoption of a map is."""
+        """Stage of the current map change."""
         if self.proposal is not None:
             return Step.STAGING if self.proposal.staging else Step.PROPOSED
         if self.halted:
@@ -79,10 +80,10 @@
 
     @property
     def staging(self) -> int:
-        """The number of the version that is being staged; 0: none."""
+        """The number of the version being staged; 0: none."""
         return self.proposal.number if self.proposal is not None and self.proposal.staging else 0
 
     def version(self, number: int) -> MapVersion | None:
-        """One of those that are kept: in use, before, proposed."""
+        """One of the kept versions: in use, previous, proposed."""
         found = self.maps.get(number)
         return None if found is None else found.version(number)
--- a/quincepath/fleet/forecast/__init__.py
+++ b/quincepath/fleet/forecast/__init__.py
@@ -1,9 +1,9 @@
-"""What a new shard map would cost, told before it is used, and held against what it did cost.
+"""Estimates the cost of a new shard map before it is used, and compares the estimate with what was measured.
 
-``Sampler`` keeps a broker's footprints, ``Sample.merged`` joins them, ``encode``, ``decode`` and
-``SampleAssembler`` carry them; ``forecast`` replays a sample through a map, ``verdict`` judges by ``Rules``,
-``compare_with_measured`` compares afterwards and ``AccuracyRecord`` is what the store keeps of it. Design:
-docs/design/forecast.md.
+``Sampler`` keeps a broker's footprints, ``Sample.merged`` merges samples, ``encode``, ``decode`` and
+``SampleAssembler`` transfer them. ``forecast`` replays a sample through a map and ``verdict`` judges the
+result by ``Rules``. After adoption ``compare_with_measured`` compares, and ``AccuracyRecord`` is what is
+stored of it. Design: docs/design/forecast.md.
 """
 
 from quincepath.fleet.forecast.accuracy import (
--- a/quincepath/fleet/forecast/messages.py
+++ b/quincepath/fleet/forecast/messages.py
@@ -1,25 +1,29 @@
-"""A sample in messages of bounded size, and their gathering; msgpack. Pure.
+"""Encodes a sample as msgpack messages of bounded size, and assembles samples from messages. Pure.
 
-Each message has a table of the lists of values that its footprints name, since queries of a kind name the
-same. A sample counts only whole: with some messages missing it would no longer be the queries of least place.
+Each message has a table of the value lists that its footprints refer to, since queries of a class share
+lists. A sample is used only when complete: with messages missing, it would no longer hold the queries with
+the smallest hashes.
 """
 
 from dataclasses import dataclass, field
 
 import msgspec
 
-from quincepath.fleet.forecast.footprints import Footprint, Key, Part, Sample, Source, bounded
+from quincepath.fleet.forecast.footprints import Footprint, Part, Sample, Source, SourceKey, bounded
 
-MAX_MESSAGE_BYTES = 32_768  # of one message
-MAX_MESSAGES = 256  # of one sample
-MAX_SENDERS = 1024  # being gathered at once; the one that began first gives way
+MAX_MESSAGE_BYTES = 32_768
+MAX_MESSAGES = 256  # per sample
+MAX_SENDERS = 1024  # assembled at once; the one that started first is dropped
 
-Line = tuple[int, int, str, str, int, int, bool, bool, tuple[tuple[int, int, int, int, int, int], ...]]
+FootprintRow = tuple[
+    int, int, str, str, int, int, bool, bool, tuple[tuple[int, int, int, int, int, int], ...]
+]
 
 
 class SampleMessage(msgspec.Struct, frozen=True, array_like=True):
-    """The ``place``-th of ``count`` messages of one sample; ``stamp`` tells the samples of one sender
-    apart.
+    """Message number ``place`` of the ``count`` messages of one sample.
+
+    ``stamp`` distinguishes the samples of one sender.
     """
 
     sender: str
@@ -30,10 +34,10 @@
     size: int
     sources: tuple[tuple[str, int, int, Source], ...]
     lists: tuple[tuple[str, ...], ...]
-    lines: tuple[Line, ...]
+    lines: tuple[FootprintRow, ...]
 
 
-def _line(one: Footprint, lists: dict[tuple[str, ...], int]) -> Line:
+def _to_row(footprint: Footprint, lists: dict[tuple[str, ...], int]) -> FootprintRow:
     parts = tuple(
         (
             lists.setdefault(part.values, len(lists)),
@@ -43,77 +47,85 @@
             part.merged,
             part.more,
         )
-        for part in one.parts
+        for part in footprint.parts
     )
-    return (one.place, one.at, one.kind, one.tenant, one.target, one.took, one.open, one.unlabelled, parts)
+    return (
+        footprint.place, footprint.at, footprint.kind, footprint.tenant, footprint.target, footprint.took,
+        footprint.open, footprint.unlabelled, parts,
+    )  # fmt: skip
 
 
-def _footprint(line: Line, lists: tuple[tuple[str, ...], ...]) -> Footprint:
-    place, at, kind, tenant, target, took, is_open, unlabelled, parts = line
+def _to_footprint(row: FootprintRow, lists: tuple[tuple[str, ...], ...]) -> Footprint:
+    place, at, kind, tenant, target, took, is_open, unlabelled, parts = row
     found = tuple(
-        Part(lists[values], calls, service, span, merged, more)
-        for values, calls, service, span, merged, more in parts
+        Part(lists[values], calls, service, part_took, merged, more)
+        for values, calls, service, part_took, merged, more in parts
     )
     return bounded(Footprint(place, at, kind, tenant, found, target, took, is_open, unlabelled))
 
 
-def encode(sample: Sample, sender: str, boot: int, stamp: int, most: int = MAX_MESSAGE_BYTES) -> list[bytes]:
-    """Messages of at most ``most`` bytes. Footprints of least place go first; what is beyond
-    ``MAX_MESSAGES`` messages is left out and the sample's size is said to be as small as that, so that it
-    stays a sample. ValueError where a footprint or the sources alone are larger than a message."""
+def encode(
+    sample: Sample, sender: str, boot: int, stamp: int, max_bytes: int = MAX_MESSAGE_BYTES
+) -> list[bytes]:
+    """Messages of at most ``max_bytes`` each, footprints with the smallest hashes first.
+
+    Footprints beyond ``MAX_MESSAGES`` messages are left out, and the size sent is then the number of
+    footprints included, so that it is still a valid sample. ValueError where a footprint or the sources alone
+    exceed a message.
+    """
     keys = [(*key, source) for key, source in sorted(sample.sources.items())]
     used = 0
     groups: list[tuple[list[tuple[str, int, int, Source]], list[Footprint]]] = []
-    room = most - 256 - 2 * len(sender.encode())
+    available = max_bytes - 256 - 2 * len(sender.encode())
     for item in keys:
         cost = len(msgspec.msgpack.encode(item))
-        if not groups or used + cost > room:
+        if not groups or used + cost > available:
             groups.append(([], []))
             used = 0
         groups[-1][0].append(item)
         used += cost
-    known: set[tuple[str, ...]] = set()
-    sent = 0
+    known_lists: set[tuple[str, ...]] = set()
+    included = 0
     for place in sorted(sample.footprints):
-        one = sample.footprints[place]
-        cost = _cost(one, known)
-        if not groups or used + cost > room:
+        footprint = sample.footprints[place]
+        cost = _encoded_bytes(footprint, known_lists)
+        if not groups or used + cost > available:
             if len(groups) == MAX_MESSAGES:
                 break
             groups.append(([], []))
-            known, used = set(), 0
-            cost = _cost(one, known)
-        if cost > room:
+            known_lists, used = set(), 0
+            cost = _encoded_bytes(footprint, known_lists)
+        if cost > available:
             raise ValueError(
-                f"footprint {place}: {cost} bytes; expected at most {room} in a message of {most}"
+                f"footprint {place}: {cost} bytes; expected at most {available} in a message of {max_bytes}"
             )
-        groups[-1][1].append(one)
-        known |= {part.values for part in one.parts}
+        groups[-1][1].append(footprint)
+        known_lists |= {part.values for part in footprint.parts}
         used += cost
-        sent += 1
-    size = sample.size if sent == len(sample.footprints) else sent
+        included += 1
+    size = sample.size if included == len(sample.footprints) else included
     found = []
     for index, (sources, footprints) in enumerate(groups):
         lists: dict[tuple[str, ...], int] = {}
-        lines = tuple(_line(one, lists) for one in footprints)
+        rows = tuple(_to_row(footprint, lists) for footprint in footprints)
         message = SampleMessage(
-            sender, boot, stamp, index, len(groups), size, tuple(sources), tuple(lists), lines
+            sender, boot, stamp, index, len(groups), size, tuple(sources), tuple(lists), rows
         )
         found.append(msgspec.msgpack.encode(message))
     return found
 
 
-def _cost(one: Footprint, known: set[tuple[str, ...]]) -> int:
-    new = {part.values for part in one.parts} - known
+def _encoded_bytes(footprint: Footprint, known_lists: set[tuple[str, ...]]) -> int:
+    new_lists = {part.values for part in footprint.parts} - known_lists
     return (
-        len(msgspec.msgpack.encode(_line(one, {})))
-        + 5 * len(one.parts)
-        + sum(len(msgspec.msgpack.encode(values)) for values in new)
+        len(msgspec.msgpack.encode(_to_row(footprint, {})))
+        + 5 * len(footprint.parts)
+        + sum(len(msgspec.msgpack.encode(values)) for values in new_lists)
     )
 
 
 def decode(data: bytes) -> SampleMessage:
-    """ValueError naming what is wrong with the bytes."""
+    """Reads a message. Raises ValueError that names what is wrong with the bytes."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise ValueError(f"sample message: {len(data)} bytes; expected at most {MAX_MESSAGE_BYTES}")
     try:
@@ -122,56 +134,56 @@
         raise ValueError(f"sample message: {error}") from None
     if not 0 <= message.place < message.count <= MAX_MESSAGES:
         raise ValueError(
-            f"sample message: {message.place} of {message.count}; expected at most {MAX_MESSAGES}"
+            f"sample message: number {message.place} of {message.count}; expected at most {MAX_MESSAGES}"
         )
-    for line in message.lines:
-        if any(not 0 <= part[0] < len(message.lists) or min(part) < 0 for part in line[8]):
+    for row in message.lines:
+        if any(not 0 <= part[0] < len(message.lists) or min(part) < 0 for part in row[8]):
             raise ValueError(
-                f"sample message: footprint {line[0]}: a part out of range; expected counts from 0"
+                f"sample message: footprint {row[0]}: a part with an unknown list or a negative number"
             )
     return message
 
 
 @dataclass(slots=True)
 class SampleAssembler:
-    """Messages as they come, in any order and doubled -> samples by sender, each when it is whole.
+    """Assembles messages, in any order and possibly duplicated, into one complete sample per sender.
 
-    Of one sender the newest (boot, stamp) counts. Told to ``merge`` only what is asked for: see ``whole``.
+    Of each sender only the newest (boot, stamp) counts. ``complete``: the samples with all their messages.
     """
 
     size: int
     complete: dict[str, Sample] = field(default_factory=dict)
-    _parts: dict[str, tuple[tuple[int, int], dict[int, SampleMessage]]] = field(default_factory=dict)
+    _pending: dict[str, tuple[tuple[int, int], dict[int, SampleMessage]]] = field(default_factory=dict)
 
     def receive(self, message: SampleMessage) -> bool:
-        """True when the sender's sample is whole by this one."""
+        """True if this message completes the sender's sample."""
         stamp = (message.boot, message.stamp)
-        there, parts = self._parts.get(message.sender, (stamp, {}))
-        if stamp < there or (stamp == there and message.place in parts):
+        newest, received = self._pending.get(message.sender, (stamp, {}))
+        if stamp < newest or (stamp == newest and message.place in received):
             return False
-        if stamp > there:
-            parts = {}
-        if message.sender not in self._parts and len(self._parts) >= MAX_SENDERS:
-            del self._parts[next(iter(self._parts))]
-        parts[message.place] = message
-        self._parts[message.sender] = (stamp, parts)
-        if len(parts) < message.count:
+        if stamp > newest:
+            received = {}
+        if message.sender not in self._pending and len(self._pending) >= MAX_SENDERS:
+            del self._pending[next(iter(self._pending))]
+        received[message.place] = message
+        self._pending[message.sender] = (stamp, received)
+        if len(received) < message.count:
             return False
-        self.complete[message.sender] = self._joined(list(parts.values()))
+        self.complete[message.sender] = self._joined(list(received.values()))
         while len(self.complete) > MAX_SENDERS:
             del self.complete[next(iter(self.complete))]
-        self._parts[message.sender] = (stamp, dict.fromkeys(parts, message))
+        self._pending[message.sender] = (stamp, dict.fromkeys(received, message))
         return True
 
     def sample(self) -> Sample:
-        """All whole samples merged."""
+        """All complete samples merged."""
         return Sample(size=self.size).merged(*self.complete.values())
 
     @staticmethod
     def _joined(messages: list[SampleMessage]) -> Sample:
         footprints: dict[int, Footprint] = {}
-        sources: dict[Key, Source] = {}
+        sources: dict[SourceKey, Source] = {}
         for message in messages:
-            footprints |= {line[0]: _footprint(line, message.lists) for line in message.lines}
+            footprints |= {row[0]: _to_footprint(row, message.lists) for row in message.lines}
             sources |= {(name, boot, window): source for name, boot, window, source in message.sources}
         return Sample({place: footprints[place] for place in sorted(footprints)}, sources, messages[0].size)
--- a/quincepath/fleet/forecast/verdict.py
+++ b/quincepath/fleet/forecast/verdict.py
@@ -1,7 +1,7 @@
-"""Accept, refuse or not known, by configured limits. Pure.
+"""Accepts or refuses a map by configured limits, or says that it is not known. Pure.
 
-Refused is what is over a limit with its whole bar; accepted what is under every limit with its whole bar;
-where a bar crosses a limit it is not known, and so it is where the sample cannot speak for what is to come.
+Refused if a figure is over a limit with its whole interval; accepted if every figure is under its limits with
+its whole interval. Not known if an interval crosses a limit, or if the sample is not representative.
 """
 
 from dataclasses import dataclass
@@ -21,8 +21,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Limit:
-    """The most that a figure may be. ``where`` "": every set or class (for ``bytes`` and ``miss``: the
-    whole).
+    """The maximum of a figure. ``where`` "": every set or class (for ``bytes`` and ``miss``: all queries
+    together).
     """
 
     kind: FigureKind
@@ -33,19 +33,19 @@
         if self.most <= 0:
             raise ValueError(f"limit of {self.kind} {self.where!r}: {self.most}; expected above 0")
 
-    def covers(self, place: FigureKey) -> bool:
-        """Whether the limit is for figures of this kind and place."""
-        kind, where = place
-        whole = self.kind in (FigureKind.BYTES, FigureKind.MISS) or self.where != ""
-        return kind == self.kind and (where == self.where if whole else True)
+    def covers(self, key: FigureKey) -> bool:
+        """Whether the limit applies to this figure."""
+        kind, where = key
+        exact = self.kind in (FigureKind.BYTES, FigureKind.MISS) or self.where != ""
+        return kind == self.kind and (where == self.where if exact else True)
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """``least``: footprints. ``age_most``: ns from the end of the sample to now. ``hours_least``: share of
-    the footprints whose hour of the day is at most ``hours_apart`` from the hour that the map is judged for.
-    ``heard_least``: share of the brokers. ``homeless_most``: share of queries with a value without a
-    place.
+    """Limits of figures, and requirements of the sample. ``least``: footprints. ``age_most``: ns from the end
+    of the sample to now. ``hours_least``: share of the footprints whose hour of the day is at most
+    ``hours_apart`` from the hour that the map is judged for. ``heard_least``: share of the brokers.
+    ``unplaced_most``: share of queries with a value that has no shard.
     """
 
     limits: tuple[Limit, ...]
@@ -54,7 +54,7 @@
     hours_apart: int = 1
     hours_least: float = 0.9
     heard_least: float = 0.9
-    homeless_most: float = 0.0
+    unplaced_most: float = 0.0
 
     def __post_init__(self) -> None:
         if not self.limits:
@@ -63,71 +63,73 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """A limit that is passed, or crossed by a bar: the figure, its bar, and the set or class."""
+    """A limit that is exceeded, or crossed by an interval: the figure and the set or class it is of."""
 
     limit: Limit
-    place: FigureKey
+    key: FigureKey
     figure: Figure
-    at: str  # shard or holder as far as it is known: "set NAME" or "class NAME"
+    subject: str  # "a holder of set NAME", "class NAME" or "all queries"
 
     def __str__(self) -> str:
-        one = self.figure
+        figure = self.figure
         return (
-            f"{self.place[0]} of {self.at}: {one.value:.4g} (90%: {one.low:.4g} to {one.high:.4g}), "
-            f"limit {self.limit.most:.4g}"
+            f"{self.key[0]} of {self.subject}: {figure.value:.4g} "
+            f"(90%: {figure.low:.4g} to {figure.high:.4g}), limit {self.limit.most:.4g}"
         )
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """``over``: limits that are passed (refuse) or may be (not known), worst first. ``why``: each reason in
-    words.
+    """``violations``: limits that are exceeded (refuse) or may be (not known), worst first. ``why``: each
+    reason as text.
     """
 
     answer: Answer
-    over: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     why: tuple[str, ...]
 
 
 def verdict(found: Forecast, rules: Rules, now: int, due: int | None = None) -> Verdict:
-    """``now``: ns since the epoch; ``due``: when the map is to be used, ``now`` if it is not said."""
-    passed, crossed = [], []
+    """``now``: ns since the epoch; ``due``: when the map is to be used, by default ``now``."""
+    exceeded, crossed = [], []
     for limit in rules.limits:
-        places = [place for place in sorted(found.figures) if limit.covers(place)]
-        for place in places:
-            one = found.figures[place]
-            over = Violation(limit, place, one, _at(place))
-            if one.low > limit.most:
-                passed.append(over)
-            elif one.high > limit.most:
-                crossed.append(over)
+        keys = [key for key in sorted(found.figures) if limit.covers(key)]
+        for key in keys:
+            figure = found.figures[key]
+            violation = Violation(limit, key, figure, _subject(key))
+            if figure.low > limit.most:
+                exceeded.append(violation)
+            elif figure.high > limit.most:
+                crossed.append(violation)
     doubts = _doubts(found, rules, now, now if due is None else due)
     if doubts:
-        over_all = _worst([*passed, *crossed])
-        return Verdict(Answer.NOT_KNOWN, over_all, (*doubts, *map(str, over_all)))
-    if passed:
-        return Verdict(Answer.REFUSE, _worst(passed), tuple(map(str, _worst(passed))))
+        violations = _worst_first([*exceeded, *crossed])
+        return Verdict(Answer.NOT_KNOWN, violations, (*doubts, *map(str, violations)))
+    if exceeded:
+        return Verdict(Answer.REFUSE, _worst_first(exceeded), tuple(map(str, _worst_first(exceeded))))
     if crossed:
-        over_all = _worst(crossed)
+        violations = _worst_first(crossed)
         return Verdict(
-            Answer.NOT_KNOWN, over_all, tuple(f"the bar crosses the limit: {one}" for one in over_all)
+            Answer.NOT_KNOWN,
+            violations,
+            tuple(f"the bar crosses the limit: {one}" for one in violations),
         )
     return Verdict(Answer.ACCEPT, (), ())
 
 
-def _worst(found: list[Violation]) -> tuple[Violation, ...]:
-    return tuple(sorted(found, key=lambda one: (-one.figure.value / one.limit.most, one.place)))
+def _worst_first(found: list[Violation]) -> tuple[Violation, ...]:
+    return tuple(sorted(found, key=lambda one: (-one.figure.value / one.limit.most, one.key)))
 
 
-def _at(place: FigureKey) -> str:
-    kind, where = place
+def _subject(key: FigureKey) -> str:
+    kind, where = key
     if kind in (FigureKind.CALLS, FigureKind.LOAD):
         return f"a holder of set {where!r}"
     return f"class {where!r}" if where else "all queries"
 
 
 def _doubts(found: Forecast, rules: Rules, now: int, due: int) -> tuple[str, ...]:
-    """Why the sample cannot tell, each with what was found and what is asked."""
+    """Why the sample is not representative: for each reason, what was found and what is required."""
     why = []
     if found.queries < rules.least:
         why.append(f"sample too small: {found.queries} footprints, at least {rules.least} are asked")
@@ -139,18 +141,18 @@
         )
     hour = due // HOUR_NS % 24
     near = sum(
-        share for at, share in enumerate(found.hours)
+        share for at, share in enumerate(found.hour_shares)
         if min((at - hour) % 24, (hour - at) % 24) <= rules.hours_apart
     )  # fmt: skip
     if found.queries and near < rules.hours_least:
-        most = max(range(24), key=lambda at: found.hours[at])
+        most = max(range(24), key=lambda at: found.hour_shares[at])
         why.append(f"sample from another hour: most of it from {most}:00 UTC, it is judged for {hour}:00 UTC")
-    if found.heard < rules.heard_least * found.of:
-        why.append(f"too many brokers unheard: {found.of - found.heard} of {found.of}")
-    if found.full:
+    if found.brokers_heard < rules.heard_least * found.brokers:
+        why.append(f"too many brokers unheard: {found.brokers - found.brokers_heard} of {found.brokers}")
+    if found.truncated:
         why.append("sample of too many sources: some were left out")
     if found.unseen:
         why.append(f"values never seen: {', '.join(found.unseen)}")
-    if found.homeless > rules.homeless_most:
-        why.append(f"values without a shard in {found.homeless:.2%} of the queries")
+    if found.unplaced > rules.unplaced_most:
+        why.append(f"values without a shard in {found.unplaced:.2%} of the queries")
     return tuple(why)
--- a/quincepath/fleet/topology.py
+++ b/quincepath/fleet/topology.py
@@ -1,7 +1,7 @@
-"""Adoption of a shard map on one broker: the leader's word on its commands, reports, what comes next, pages.
+"""Adoption of a shard map on one broker: commands and next steps on the leader, reports, the status page.
 
-Pure: times come in with each call. Loaded only with ``topology:``. A broker whose front cannot serve by
-versions (``stage`` is None) says that nothing is staged, so that no step goes on by it.
+Pure: times are passed in with each call. Loaded only with ``topology:``. A broker whose front cannot serve
+several versions (``stage`` is None) reports that nothing is staged, so that no step proceeds on it.
 """
 
 from collections.abc import Callable, Mapping
@@ -47,7 +47,7 @@
 from quincepath.fleet.sampling import Samples
 from quincepath.shards.versions import MapVersion, difference
 
-NS_PER_MS = 1_000_000  # ns
+NS_PER_MS = 1_000_000
 
 
 @dataclass(slots=True)
@@ -70,8 +70,8 @@
 
 
 def configured_map(shards: Shards) -> MapVersion:
-    """Version 1: what the configuration says."""
-    entries = tuple((one.name, one.set or one.name, tuple(one.values)) for one in shards.map)
+    """Version 1, from the configuration."""
+    entries = tuple((entry.name, entry.set or entry.name, tuple(entry.values)) for entry in shards.map)
     return MapVersion(1, shards.label, entries, shards.unlabelled == "everywhere")
 
 
@@ -90,12 +90,12 @@
     log: Any
     reports: MapReports = field(default_factory=MapReports)
     follower: MapFollower = field(init=False)
-    wall_ns: Callable[[], int] = lambda: 0  # ns since the epoch
+    wall_ns: Callable[[], int] = lambda: 0  # since the epoch
     samples: Samples = field(init=False)
-    _measured: tuple[int, Measurement | None] = (0, None)
-    _count: int = 0
+    _measured: tuple[int, Measurement | None] = (0, None)  # time in ms, result
+    _report_count: int = 0
     _in_use: int = 0
-    _seen: tuple[str, int, str] = ("none", 0, "")
+    _logged_state: tuple[str, int, str] = ("none", 0, "")
 
     def __post_init__(self) -> None:
         self.follower = MapFollower(self.configured)
@@ -103,13 +103,15 @@
 
     @property
     def topology(self) -> Topology:
-        """The state that the log has come to."""
+        """The state that results from the log."""
         return self.machine.state.topology
 
-    # --- the leader ---
+    # --- on the leader ---
 
-    def prepare_command(self, command: MapCommand, now: int, wall: int) -> tuple[MapCommand, str]:
-        """Filled with what this broker believes, knows and has heard; why it is refused. ``wall``: ms."""
+    def prepare_command(self, command: MapCommand, now: int, wall_ms: int) -> tuple[MapCommand, str]:
+        """The command with this broker's beliefs, configuration and received reports added, and why it is
+        refused, empty if it is not.
+        """
         reasons = self.hooks.unsettled()
         if reasons and isinstance(command, AdoptMap | AwayMap):
             return command, f"the view is not settled: {'; '.join(reasons)}"
@@ -118,7 +120,7 @@
             case ProposeMap():
                 command = msgspec.structs.replace(command, base=Map.of(self.configured))
             case AdoptMap():
-                command, why = self._adopt(command, wall)
+                command, why = self._prepare_adoption(command, wall_ms)
             case AwayMap():
                 belief = self.hooks.believed_phases().get(command.name, "alive")
                 command = msgspec.structs.replace(command, belief=belief)
@@ -127,7 +129,7 @@
                 needs = {} if before is None else self._needs(before)
                 command = msgspec.structs.replace(command, brokers=self.hooks.brokers(), needs=needs)
             case MeasuredMap():
-                command = msgspec.structs.replace(command, figures=self.measured(wall) or ())
+                command = msgspec.structs.replace(command, figures=self.measured(wall_ms) or ())
                 command = self.reports.with_evidence(command, self.topology, now)
             case UseMap():
                 command = self.reports.with_evidence(command, self.topology, now)
@@ -140,157 +142,171 @@
         old = self.topology.version(self.topology.used) or self.configured
         return difference(old, new).needed_by(self.hooks.set_by_holder())
 
-    def _adopt(self, command: AdoptMap, wall: int) -> tuple[AdoptMap, str]:
-        open_ = self.topology.proposal
-        new = None if open_ is None else self.topology.version(open_.number)
+    def _prepare_adoption(self, command: AdoptMap, wall_ms: int) -> tuple[AdoptMap, str]:
+        proposal = self.topology.proposal
+        new = None if proposal is None else self.topology.version(proposal.number)
         if new is None:
-            return command, ""  # the machine says so
+            return command, ""  # the state machine refuses it
         sets = self.hooks.set_by_holder()
-        bare = sorted(set(new.sets()) - set(sets.values()))
-        if bare:
-            return command, f"replica set {bare[0]!r} of version {new.number} has no holder"
+        without_holder = sorted(set(new.sets()) - set(sets.values()))
+        if without_holder:
+            return command, f"replica set {without_holder[0]!r} of version {new.number} has no holder"
         return msgspec.structs.replace(
-            command, judged=self.judge_map(new, wall), brokers=self.hooks.brokers(), needs=self._needs(new),
-            measure=self.entry.measure // NS_PER_MS,
+            command, judged=self.judge_map(new, wall_ms), brokers=self.hooks.brokers(),
+            needs=self._needs(new), measure=self.entry.measure // NS_PER_MS,
         ), ""  # fmt: skip
 
-    def judge_map(self, new: MapVersion, wall: int) -> MapVerdict:
-        """The verdict on a map by what brokers have sampled, as it goes into the entry."""
-        heard = self.samples.gathered() if self.hooks.sample is None else self.hooks.sample()
-        if heard is None or not heard[0].footprints:
+    def judge_map(self, new: MapVersion, wall_ms: int) -> MapVerdict:
+        """The verdict on a map, based on the samples of the brokers, in the form of an entry."""
+        sampled = self.samples.fleet_sample() if self.hooks.sample is None else self.hooks.sample()
+        if sampled is None or not sampled[0].footprints:
             return MapVerdict("not known", ("no broker's footprints are here",), new.digest)
         old = self.topology.version(self.topology.used) or self.configured
-        of = len(self.hooks.brokers())
+        brokers = len(self.hooks.brokers())
         holders = self._holders()
-        world = Environment(holders, self.entry.slots, min(heard[1], of), of)
+        environment = Environment(holders, self.entry.slots, min(sampled[1], brokers), brokers)
         record = decode_record(self.topology.record or EMPTY_RECORD)
-        found = forecast(heard[0], old, new, world, widen=record.factors())
-        limits = tuple(Limit(FigureKind(one.kind), one.most, one.where or "") for one in self.entry.limits)
+        found = forecast(sampled[0], old, new, environment, widen=record.factors())
+        limits = tuple(
+            Limit(FigureKind(limit.kind), limit.most, limit.where or "") for limit in self.entry.limits
+        )
         entry = self.entry
         rules = Rules(limits, entry.least, entry.age_most, heard_least=entry.heard_least)
         if len(found.figures) > MAX_FIGURES:
             why = f"{len(found.figures)} figures; expected at most {MAX_FIGURES} in an entry"
             return MapVerdict("not known", (why,), new.digest)
-        said = verdict(found, rules, wall * NS_PER_MS)
-        return make_verdict(found, said.answer.value, said.why)
+        judged = verdict(found, rules, wall_ms * NS_PER_MS)
+        return make_verdict(found, judged.answer.value, judged.why)
 
     def _holders(self) -> dict[str, int]:
         sets = list(self.hooks.set_by_holder().values())
         return {name: sets.count(name) for name in set(sets)}
 
-    def measured(self, wall: int) -> Measurement | None:
-        """Figures of the version in use, once its time is over and enough brokers are heard; figured once a
-        second at most. ``wall``: ms."""
+    def measured(self, wall_ms: int) -> Measurement | None:
+        """Figures of the version in use, once its time is over and enough brokers have sent samples.
+
+        Computed at most once a second.
+        """
         if self.hooks.measured is not None:
             return self.hooks.measured()
-        found, version = self.topology.measuring, self.topology.version(self.topology.used)
-        if found is None or version is None or wall < found.until or self.samples.version != version.number:
+        measuring, version = self.topology.measuring, self.topology.version(self.topology.used)
+        if (
+            measuring is None
+            or version is None
+            or wall_ms < measuring.until
+            or self.samples.version != version.number
+        ):
             return None
-        heard = self.samples.heard_since(found.until)
-        if heard < self.entry.heard_least * (len(found.brokers) - len(found.away)):
+        heard = self.samples.heard_since(measuring.until)
+        if heard < self.entry.heard_least * (len(measuring.brokers) - len(measuring.away)):
             return None
-        if wall >= self._measured[0] + 1000:
-            self._measured = (wall, self.samples.measured(version, self._holders(), self.entry.slots))
+        if wall_ms >= self._measured[0] + 1000:
+            self._measured = (wall_ms, self.samples.measured(version, self._holders(), self.entry.slots))
         return self._measured[1]
 
-    def next_command(self, now: int, wall: int) -> MapCommand | None:
-        """What this broker proposes while it leads, where nothing is waited for."""
-        way = self.machine.in_the_way()
-        return self.reports.next_command(self.topology, now, wall, self.member, self.measured(wall), way)
+    def next_command(self, now: int, wall_ms: int) -> MapCommand | None:
+        """What this broker proposes as leader, if nothing is waited for."""
+        obstacle = self.machine.in_the_way()
+        return self.reports.next_command(
+            self.topology, now, wall_ms, self.member, self.measured(wall_ms), obstacle
+        )
 
-    # --- one of all ---
+    # --- on every broker ---
 
     def on_applied(self) -> None:
-        """Something was agreed: stage what is to be staged; a new step is a line."""
-        found = self.topology
-        seen = (found.step.value, found.used, found.halted)
-        if seen != self._seen:
-            self._seen = seen
-            say = self.log.warning if found.halted else self.log.info
-            number = found.proposal.number if found.proposal is not None else found.used
-            say("fleet: shard map", step=seen[0], version=number, in_use=found.used, cause=found.halted)
-        self.follower.apply_topology(found)
+        """Entries were applied: stages what is to be staged and logs a new step."""
+        topology = self.topology
+        state = (topology.step.value, topology.used, topology.halted)
+        if state != self._logged_state:
+            self._logged_state = state
+            write = self.log.warning if topology.halted else self.log.info
+            number = topology.proposal.number if topology.proposal is not None else topology.used
+            write(
+                "fleet: shard map change reached a step", step=state[0], version=number,
+                in_use=topology.used, cause=topology.halted,
+            )  # fmt: skip
+        self.follower.apply_topology(topology)
         while self.hooks.stage is not None:
             version = self.follower.next_to_stage()
             if version is None or not self.hooks.stage(version):
                 break
             self.follower.mark_staged(version)
-        self._use()
+        self._use_current()
 
     def on_log_read(self) -> None:
-        """All that was committed when this broker started is applied here."""
+        """Everything that was committed when this broker started is applied here."""
         self.follower.on_log_read(self.topology)
         self.on_applied()
 
     def release(self, query: int) -> None:
-        """A query is over."""
+        """A query has ended."""
         self.follower.release(query)
-        self._use()
+        self._use_current()
 
-    def _use(self) -> None:
+    def _use_current(self) -> None:
         current = None if self.follower.versions is None else self.follower.versions.current
         if current is not None and current.number != self._in_use:
             self._in_use = current.number
             self.samples.begin(current.number)
             self.hooks.on_use(current)
-            self.log.info("fleet: queries that begin go by a version", version=current.number)
+            self.log.info("fleet: new queries use another shard map version", version=current.number)
 
     def report(self, now: int) -> MapReport | None:
-        """What this broker says of itself, while a step waits for it; else nothing is sent."""
+        """This broker's report while a step waits for it; otherwise nothing is sent."""
         if self.topology.step not in (Step.STAGING, Step.MEASURING):
             return None
-        self._count += 1
+        self._report_count += 1
         staged = {number: version.digest for number, version in self.follower.staged.items()}
         version, older = self.follower.usage()
-        said = MapReport(self.boot, self._count, staged, version, older, self.hooks.proved())
-        self.reports.receive(self.member, now, said)
-        return said
-
-    def sample_messages(self, now: int, wall: int, leader: str) -> list[bytes]:
-        """This broker's sample in messages for the leader: for a forecast, and when a measurement is over."""
-        step, found = self.topology.step, self.topology.measuring
-        if step is Step.MEASURING and found is not None and wall >= found.until:
-            wanted = f"measured {found.number} {found.until}"
+        report = MapReport(self.boot, self._report_count, staged, version, older, self.hooks.proved())
+        self.reports.receive(self.member, now, report)
+        return report
+
+    def sample_messages(self, now: int, wall_ms: int, leader: str) -> list[bytes]:
+        """This broker's sample as messages to the leader: for a forecast, and after the measured time."""
+        step, measuring = self.topology.step, self.topology.measuring
+        if step is Step.MEASURING and measuring is not None and wall_ms >= measuring.until:
+            wanted = f"measured {measuring.number} {measuring.until}"
         elif step is Step.PROPOSED:
             wanted = f"proposed {self.topology.newest}"
         else:
             return []
-        return self.samples.messages(wall) if self.samples.due(now, leader, wanted) else []
+        return self.samples.messages(wall_ms) if self.samples.due(now, leader, wanted) else []
 
-    # --- for people ---
+    # --- for operators ---
 
-    def status(self, now: int, wall: int, keeps: bool, leader: str) -> dict[str, Any]:
-        """The step, the versions, the verdict, and by name whom it waits for."""
-        found, open_ = self.topology, self.topology.proposal
+    def status(self, now: int, wall_ms: int, is_voter: bool, leader: str) -> dict[str, Any]:
+        """The step, the versions, the verdict, and by name whom the step waits for."""
+        topology, proposal = self.topology, self.topology.proposal
         waits: dict[str, str] = {}
-        if found.step in (Step.STAGING, Step.MEASURING):
-            if keeps:
-                way = self.machine.in_the_way()
-                waits = self.reports.waits_for(found, now, wall, self.measured(wall), way)
+        if topology.step in (Step.STAGING, Step.MEASURING):
+            if is_voter:
+                obstacle = self.machine.in_the_way()
+                waits = self.reports.waits_for(topology, now, wall_ms, self.measured(wall_ms), obstacle)
             if not leader:
                 waits["keepers"] = "no leader is known here: a majority of them may be out of reach"
-        judged = open_.judged if open_ is not None and open_.staging else None
-        if judged is None and found.measuring is not None:
-            judged = found.measuring.judged
-        if judged is None and open_ is not None:
-            new = found.version(open_.number)
-            judged = None if new is None else self.judge_map(new, wall)
-        waited = open_ or found.measuring
+        judged = proposal.judged if proposal is not None and proposal.staging else None
+        if judged is None and topology.measuring is not None:
+            judged = topology.measuring.judged
+        if judged is None and proposal is not None:
+            new = topology.version(proposal.number)
+            judged = None if new is None else self.judge_map(new, wall_ms)
+        current = proposal or topology.measuring
         return {
             "member": self.member,
-            "step": found.step.value,
-            "in_use": found.used or 1,
-            "before": found.before,
-            "newest": max(found.newest, 1),
-            "proposed": 0 if open_ is None else open_.number,
-            "by": "" if open_ is None else open_.by,
-            "going_back": open_ is not None and open_.going_back,
-            "halted": found.halted,
+            "step": topology.step.value,
+            "in_use": topology.used or 1,
+            "before": topology.before,
+            "newest": max(topology.newest, 1),
+            "proposed": 0 if proposal is None else proposal.number,
+            "by": "" if proposal is None else proposal.by,
+            "going_back": proposal is not None and proposal.going_back,
+            "halted": topology.halted,
             "waits_for": waits,
-            "away": {} if waited is None else dict(waited.away),
+            "away": {} if current is None else dict(current.away),
             "verdict": None if judged is None else msgspec.to_builtins(judged),
             "using": {name: list(pair) for name, pair in self.reports.using(now).items()},
             "adoptions": max(
-                map(len, decode_record(found.record or EMPTY_RECORD).ratios.values()), default=0
+                map(len, decode_record(topology.record or EMPTY_RECORD).ratios.values()), default=0
             ),
         }
--- a/tests/conformance/run_forecast.py
+++ b/tests/conformance/run_forecast.py
@@ -29,7 +29,7 @@
     return {
         "answer": said.answer.value,
         "figures": {f"{k} {where}".strip(): rounded(f.value) for (k, where), f in found.figures.items()},
-        "over": [" ".join(over.place).strip() for over in said.over],
+        "over": [" ".join(over.key).strip() for over in said.violations],
         "why": [reason.partition(":")[0] for reason in said.why],
         "reasons": list(said.why),
     } | {
--- a/tests/fleet/adoption/test_sampling.py
+++ b/tests/fleet/adoption/test_sampling.py
@@ -28,7 +28,7 @@
     leader, other = filled("m0", 2, 500, late=50), filled("m1", 2, 500)
     for data in other.messages(7):
         assert leader.receive("m1", data) == ""
-    assert (leader.gathered()[1], leader.heard_since(7), leader.heard_since(8)) == (2, 2, 1)
+    assert (leader.fleet_sample()[1], leader.heard_since(7), leader.heard_since(8)) == (2, 2, 1)
     found = leader.measured(MAP, {"g1": 1, "g2": 1}, 1)
     assert found is not None
     figures = {(kind, where): value for kind, where, value in found}
@@ -45,7 +45,7 @@
     assert leader.receive("m1", data) == "sample of 'm1/3'; expected one of 'm1' for version 2"
     assert "expected one of 'm2' for version 2" in leader.receive("m2", filled("m1", 2, 10).messages(1)[0])
     assert "sample message" in leader.receive("m1", b"\xc1")
-    assert leader.gathered()[1] == 1
+    assert leader.fleet_sample()[1] == 1
 
 
 def test_nothing_is_measured_where_no_query_was() -> None:
--- a/tests/fleet/forecast/test_hard_cases.py
+++ b/tests/fleet/forecast/test_hard_cases.py
@@ -27,9 +27,9 @@
     forecast,
     verdict,
 )
-from quincepath.fleet.forecast.accuracy import KEPT, MOST
+from quincepath.fleet.forecast.accuracy import MAX_ADOPTIONS_KEPT, MAX_FACTOR
 from quincepath.fleet.forecast.footprints import HOUR_NS
-from quincepath.fleet.forecast.tail import Queues, erlang_c, learn
+from quincepath.fleet.forecast.tail import Queues, erlang_c, fit
 from quincepath.lab.map_world import draw, play
 from tests.fleet.forecast.builders import EPOCH, SECOND, sample, version
 
@@ -66,9 +66,12 @@
     ("before", "after"),
     [
         ("min(1.0, value + widen * up)", "min(1.0, value + up)"),
-        ("value + widen * up)\n\n\ndef share_bar", "value + up)\n\n\ndef share_bar"),
-        ("one.value + factor * up", "one.value + up"),
-        ("bar(replay.merged(number), factors[FigureKind.BYTES])", "bar(replay.merged(number), 1.0)"),
+        ("value + widen * up)\n\n\ndef share_interval", "value + up)\n\n\ndef share_interval"),
+        ("figure.value + factor * up", "figure.value + up"),
+        (
+            "interval(replay.merged(class_index), factors[FigureKind.BYTES])",
+            "interval(replay.merged(class_index), 1.0)",
+        ),
     ],
 )
 def test_planted_bars_that_forget_the_widening_are_found(before: str, after: str) -> None:
@@ -109,7 +112,7 @@
     moved = version(2, {f"s{n}": [f"g{n % 10}", [f"v{n}_*500"]] for n in range(200)})
     each = [{"times": 3, "parts": [[f"v{n}_{n}"], [f"v{(n * 7) % 200}_{n}"]]} for n in range(200)]
     found = forecast(sample(each), many, moved, Environment({}, 4, 1, 1), ReplaySettings(draws=40))
-    assert found.unseen == () and found.homeless == 0
+    assert found.unseen == () and found.unplaced == 0
     assert sum(
         f.value for (kind, _), f in found.figures.items() if kind is FigureKind.CALLS
     ) == pytest.approx(19.95, rel=0.01)
@@ -142,17 +145,17 @@
 def test_erlang_and_what_is_learned() -> None:
     assert erlang_c(np.array([1.0, 2.0]), np.array([0.5, 0.5])) == pytest.approx([0.5, 1 / 3])
     waits = np.linspace(0, 100, 200)
-    assert learn(7 + 2 * waits, waits) == pytest.approx((2, 7), rel=0.3)
-    assert learn(np.array([5.0, 5.0]), np.array([0.0, 0.0])) == pytest.approx((1, 5))
+    assert fit(7 + 2 * waits, waits) == pytest.approx((2, 7), rel=0.3)
+    assert fit(np.array([5.0, 5.0]), np.array([0.0, 0.0])) == pytest.approx((1, 5))
     queues = Queues(np.array([4.0]), np.array([1.5]), np.array([1e6]), np.array([1.0]), 1e9)
-    assert queues.beyond(np.array([0.25e9, 1e9]), np.array([0, 0]), 1.0)[1] == pytest.approx([0.5, 0])
-    assert list(queues.beyond(np.array([0.0]), np.array([0]), 1.0)[0]) == [1.0]
+    assert queues.wait_exceeds(np.array([0.25e9, 1e9]), np.array([0, 0]), 1.0)[1] == pytest.approx([0.5, 0])
+    assert list(queues.wait_exceeds(np.array([0.0]), np.array([0]), 1.0)[0]) == [1.0]
     calm, short, long = (
         Queues(np.array([4.0]), np.array([load]), np.array([1e6]), np.array([1.0]), horizon)
         for load, horizon in ((0.5, 1e12), (0.99, 1e9), (0.99, 1e12))
     )
-    assert calm.scale(1.0) == pytest.approx([0.5e6], rel=0.01)
-    assert short.scale(1.0)[0] < 0.6 * long.scale(1.0)[0] < 0.6 * 25e6
+    assert calm.mean_nonzero_wait(1.0) == pytest.approx([0.5e6], rel=0.01)
+    assert short.mean_nonzero_wait(1.0)[0] < 0.6 * long.mean_nonzero_wait(1.0)[0] < 0.6 * 25e6
 
 
 def test_drawn_maps_are_forecast_better_than_by_shards_times_rate() -> None:
@@ -201,11 +204,11 @@
     assert once.factors()[FigureKind.LOAD] == 2.5 and once.factors()[FigureKind.MISS] == 1.0
     for _ in range(200):
         record = record.with_ratios({FigureKind.LOAD: [0.5] * 18 + [3.0] * 2, FigureKind.MISS: [1e9]})
-    assert len(record.ratios["load"]) == KEPT
-    assert record.factors()[FigureKind.LOAD] == 3.0 and record.factors()[FigureKind.MISS] == MOST
+    assert len(record.ratios["load"]) == MAX_ADOPTIONS_KEPT
+    assert record.factors()[FigureKind.LOAD] == 3.0 and record.factors()[FigureKind.MISS] == MAX_FACTOR
     assert decode_record(msgspec.msgpack.encode(record)) == record
     for bad in (b"", b"\x91\x81\xa4heat\x90", msgspec.msgpack.encode([{"load": [[1.0, 2.0]]}])):
-        with pytest.raises(ValueError, match="record of forecasts"):
+        with pytest.raises(ValueError, match="forecast accuracy record"):
             decode_record(bad)
 
 
@@ -238,7 +241,9 @@
     rules = Rules((Limit(FigureKind.LOAD, 0.8),))
     said = verdict(bare(g=figure, cool=Figure(0.1, 0.0, 0.2)), rules, EPOCH + 12 * HOUR_NS + 2 * SECOND)
     assert said.answer is answer
-    assert [over.place for over in said.over] == ([] if answer is Answer.ACCEPT else [(FigureKind.LOAD, "g")])
+    assert [violation.key for violation in said.violations] == (
+        [] if answer is Answer.ACCEPT else [(FigureKind.LOAD, "g")]
+    )
     if answer is Answer.REFUSE:
         assert said.why == ("load of a holder of set 'g': 0.9 (90%: 0.81 to 1), limit 0.8",)
 
--- a/tests/fleet/forecast/test_merge.py
+++ b/tests/fleet/forecast/test_merge.py
@@ -92,12 +92,12 @@
             "(sources[key].count if key in sources else 0), source.since)",
         ),
         (
-            "found = dict(self.footprints)",
-            "found = {n: one for n, one in enumerate(self.footprints.values())}",
+            "footprints = dict(self.footprints)",
+            "footprints = {n: one for n, one in enumerate(self.footprints.values())}",
         ),
         (
-            "{place: found[place] for place in sorted(found)[:size]}",
-            "{place: found[place] for place in list(found)[:size]}",
+            "{place: footprints[place] for place in sorted(footprints)[:size]}",
+            "{place: footprints[place] for place in list(footprints)[:size]}",
         ),
     ],
 )
@@ -143,7 +143,7 @@
     sampler = broker("a", 1, 3 * 3600, 4096)
     found = sampler.sample()
     assert found.total == 2 * 3600 and found.since == EPOCH + HOUR_NS
-    assert [hour for hour, share in enumerate(found.hours()) if share] == [1, 2]
+    assert [hour for hour, share in enumerate(found.hour_shares()) if share] == [1, 2]
     sampler.count(EPOCH)  # a clock that ran back counts into the window that is
     assert sampler.sample().total == 2 * 3600 + 1
 
@@ -192,7 +192,7 @@
 
 def test_messages_in_any_order_and_doubled_make_the_sample_and_a_part_of_them_none() -> None:
     sample = broker("a", 1, 3000, 512).sample()
-    messages = [decode(data) for data in encode(sample, "a", 1, 9, most=4096)]
+    messages = [decode(data) for data in encode(sample, "a", 1, 9, max_bytes=4096)]
     assert len(messages) > 3
     assembler = SampleAssembler(512)
     told = [assembler.receive(message) for message in [*messages[1:], messages[1], messages[0], messages[2]]]
@@ -209,7 +209,7 @@
 ) -> None:
     sample = broker("a", 1, 3000, 512).sample()
     monkeypatch.setattr("quincepath.fleet.forecast.messages.MAX_MESSAGES", 3)
-    data = encode(sample, "a", 1, 1, most=1200)
+    data = encode(sample, "a", 1, 1, max_bytes=1200)
     assert len(data) == 3 and max(map(len, data)) <= 1200
     assembler = SampleAssembler(512)
     for one in data:
