--- a/tests/conformance/run_adoption.py
+++ b/tests/conformance/run_adoption.py
@@ -1,9 +1,9 @@
-"""Rows of adoption: commands in their order -> the step, the versions, and what each command came to.
+"""Runner of the adoption table: commands in order -> the step, versions, and the result of each command.
 
 A command is a mapping with ``do``; maps are named as in tests/fleet/adoption/builders.
-``then``: ``step``, ``used``, ``before``, ``newest``, ``maps`` (numbers), ``said`` (of each command, "" for
-done), ``last`` (of the last one), ``halted``, ``kept`` (adoptions in the record), ``reread`` (the same from a
-snapshot).
+``then``: ``step``, ``used``, ``before``, ``newest``, ``maps`` (numbers), ``said`` (result of each command,
+"" for applied), ``last`` (of the last one), ``halted``, ``kept`` (adoptions in the record), ``reread``
+(whether a snapshot restores the same state).
 """
 
 from typing import Any
@@ -19,7 +19,7 @@
 FIGURES = {"good": builders.GOOD, "bad": builders.BAD, "none": (), "unknown": (("colour", "", 1.0),)}
 
 
-def drawn(given: Any) -> Map:
+def map_of(given: Any) -> Map:
     if isinstance(given, str):
         return MAPS[given]
     if "size" in given:
@@ -38,7 +38,7 @@
     for key in ("needs", "proved"):
         if key in fields:
             fields[key] = {name: tuple(shards) for name, shards in fields[key].items()}
-    found = drawn(one.get("map", "split"))
+    found = map_of(one.get("map", "split"))
     match one["do"]:
         case "propose":
             return log.propose(found, **({**fields, "base": None} if "base" in fields else fields))
@@ -74,7 +74,7 @@
 @runner("adoption")
 def run(given: dict[str, Any]) -> dict[str, Any]:
     log = builders.Log()
-    said = [command(log, one) for one in given["log"]]
+    results = [command(log, one) for one in given["log"]]
     found, other = log.topology, Permits()
     other.load(log.permits.dump())
     return {
@@ -83,8 +83,8 @@
         "before": found.before,
         "newest": found.newest,
         "maps": sorted(found.maps),
-        "said": said,
-        "last": said[-1],
+        "said": results,
+        "last": results[-1],
         "halted": found.halted,
         "kept": len(decode_record(found.record or EMPTY_RECORD).ratios.get("parts", [])),
         "reread": other.state == log.permits.state and other.dump() == log.permits.dump(),
--- a/tests/conformance/run_forecast.py
+++ b/tests/conformance/run_forecast.py
@@ -1,8 +1,8 @@
-"""Rows of the forecast: a sample written down, two maps, limits -> figures and the verdict.
+"""Runner of the forecast table: a sample, two maps, limits -> figures and the verdict.
 
-``then`` has ``answer``; ``figures`` ("kind where": rounded to three digits), each by its own name too;
-``over``: kind and where of the limits passed or crossed, worst first; ``why``: the reasons up to their colon;
-``reasons``: the same in full.
+``then`` has ``answer``; ``figures`` ("kind where": rounded to three digits), also each under its own name;
+``over``: kind and where of the limits exceeded or crossed, worst first; ``why``: the reasons up to their
+colon; ``reasons``: the same in full.
 """
 
 from typing import Any
@@ -18,20 +18,20 @@
     found_sample = sample(given["queries"], given.get("span", 60), given.get("hour", 12))
     before, after = version(1, given["before"]), version(2, given["after"])
     heard, of = given.get("brokers", [1, 1])
-    world = Environment(given.get("holders", {}), given.get("slots", 1), heard, of)
+    environment = Environment(given.get("holders", {}), given.get("slots", 1), heard, of)
     widen = {FigureKind(kind): factor for kind, factor in given.get("widen", {}).items()}
-    found = forecast(found_sample, before, after, world, ReplaySettings(draws=100), widen)
+    found = forecast(found_sample, before, after, environment, ReplaySettings(draws=100), widen)
     limits = tuple(Limit(FigureKind(kind), most, *where) for kind, most, *where in given["limits"])
     rules = Rules(limits, **given.get("rules", {}))
     now = found_sample.until + int(given.get("hours later", 0) * HOUR_NS)
     due = now + int(given["due in"] * HOUR_NS) if "due in" in given else None
-    said = verdict(found, rules, now, due)
+    judged = verdict(found, rules, now, due)
     return {
-        "answer": said.answer.value,
+        "answer": judged.answer.value,
         "figures": {f"{k} {where}".strip(): rounded(f.value) for (k, where), f in found.figures.items()},
-        "over": [" ".join(over.key).strip() for over in said.violations],
-        "why": [reason.partition(":")[0] for reason in said.why],
-        "reasons": list(said.why),
+        "over": [" ".join(over.key).strip() for over in judged.violations],
+        "why": [reason.partition(":")[0] for reason in judged.why],
+        "reasons": list(judged.why),
     } | {
         f"{k} {where}".strip(): rounded(figure.value) for (k, where), figure in found.figures.items()
     }  # fmt: skip
--- a/tests/fleet/adoption/builders.py
+++ b/tests/fleet/adoption/builders.py
@@ -1,4 +1,4 @@
-"""MapAdoption, verdicts and a log for the tests of adoption."""
+"""Builds maps, verdicts and a log for the tests of adoption."""
 
 from typing import Any
 
@@ -37,7 +37,7 @@
 
 
 class Log:
-    """Entries one after the other, through the encoding of the log."""
+    """Applies commands one after the other, encoded as log entries."""
 
     def __init__(self) -> None:
         self.permits, self.count = Permits(), 0
@@ -47,7 +47,7 @@
         return self.permits.state.topology
 
     def put(self, kind: type[Any], at: int = 0, **fields: Any) -> str:
-        """What came of it: empty for done."""
+        """The result: empty if it was applied, otherwise why it was refused."""
         self.count += 1
         command: Command = kind(id=f"c{self.count}", by="ann", at=at, **fields)
         self.permits.apply(Entry(self.count, 1, encode(command)))
--- a/tests/fleet/adoption/small_world.py
+++ b/tests/fleet/adoption/model.py
@@ -1,8 +1,9 @@
-"""Three brokers, and the log as what it promises: committed entries, to each broker in order and late.
+"""Model of three brokers and a log that delivers committed entries to each broker in order, possibly late.
 
-The real machine, gathering and broker's part; what is made up is who acts next. A report may be heard late,
-twice, or never; one broker crashes and starts again at any step; one may be believed dead, rightly or not. A
-refused command changes nothing and is not kept, so that states are few. Each step checks what must hold.
+State machine, reports and follower are the real ones; the model chooses who acts next. A report may arrive
+late, twice, or never; one broker crashes and restarts at any step; one may be believed dead, rightly or not.
+A refused command changes nothing and is not kept in the log, so that there are few states. Each step checks
+the invariants.
 """
 
 from dataclasses import dataclass, field, replace
@@ -31,23 +32,23 @@
 
 Action = tuple[Any, ...]
 Logged = tuple[bytes, ...]
-MACHINES: dict[Logged, Permits] = {}
-QUERY = 1  # one at a time at each broker
+MACHINE_OF_LOG: dict[Logged, Permits] = {}
+QUERY = 1  # id of the only query at each broker
 
 
-class Broken(AssertionError):
-    """Something that must hold does not."""
+class InvariantViolated(AssertionError):
+    """An invariant does not hold."""
 
 
 def machine(log: Logged) -> Permits:
-    """What these entries come to."""
-    found = MACHINES.get(log)
+    """The state machine after these entries."""
+    found = MACHINE_OF_LOG.get(log)
     if found is None:
         found = Permits()
         if log:
             found.load(machine(log[:-1]).dump())
             found.apply(Entry(len(log), 1, log[-1]))
-        MACHINES[log] = found
+        MACHINE_OF_LOG[log] = found
     return found
 
 
@@ -55,46 +56,46 @@
     return machine(log).state.topology
 
 
-def twin(member: MapFollower) -> MapFollower:
-    """A copy that shares what never changes."""
-    versions = member.versions
+def copy_follower(follower: MapFollower) -> MapFollower:
+    """A copy that shares immutable parts."""
+    versions = follower.versions
     if versions is not None:
         versions = MapVersions(
             versions.current, versions.max_versions, versions.max_queries, dict(versions._kept),
             dict(versions._held), versions._count.copy(),
         )  # fmt: skip
-    return replace(member, versions=versions, staged=dict(member.staged), _wanted=dict(member._wanted))
+    return replace(follower, versions=versions, staged=dict(follower.staged), _wanted=dict(follower._wanted))
 
 
 @dataclass(slots=True)
 class Broker:
-    """``target``: how much was committed when it asked at its start. ``query``: the version it began with."""
+    """``target``: length of the log at its start. ``query``: the version of its query or 0."""
 
-    member: MapFollower
+    follower: MapFollower
     up: bool = True
     boot: int = 1
     applied: int = 0
     target: int = 0
     query: int = 0
-    said: tuple[MapReport, ...] = ()
+    sent: tuple[MapReport, ...] = ()
 
     def key(self) -> Any:
-        versions = self.member.versions
+        versions = self.follower.versions
         current = 0 if versions is None else versions.current.number
-        said = tuple((one.boot, one.count, tuple(one.staged), one.version, one.older) for one in self.said)
+        sent = tuple((one.boot, one.count, tuple(one.staged), one.version, one.older) for one in self.sent)
         return (
-            self.up, self.boot, self.applied, self.target, self.query, said, current,
-            tuple(self.member.staged), versions is not None,
+            self.up, self.boot, self.applied, self.target, self.query, sent, current,
+            tuple(self.follower.staged), versions is not None,
         )  # fmt: skip
 
 
 @dataclass(slots=True)
-class World:
-    """One state. ``excused``: by version, who was named away in the entries when it was used."""
+class ModelState:
+    """One state. ``excused``: by version, the brokers declared away by the entries when it came into use."""
 
     log: Logged = ()
     brokers: dict[str, Broker] = field(default_factory=dict)
-    gathered: MapReports = field(default_factory=MapReports)
+    reports: MapReports = field(default_factory=MapReports)
     open: int = 0
     excused: dict[int, frozenset[str]] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
@@ -102,23 +103,23 @@
     leaders: int = 0
 
     @classmethod
-    def first(cls) -> "World":
+    def first(cls) -> "ModelState":
         found = cls()
         for name in BROKERS:
             found.brokers[name] = Broker(MapFollower(FIRST.version(1)))
-            found.brokers[name].member.on_log_read(topology(()))
+            found.brokers[name].follower.on_log_read(topology(()))
         return found
 
-    def copy(self) -> "World":
-        return World(
+    def copy(self) -> "ModelState":
+        return ModelState(
             self.log,
-            {name: replace(one, member=twin(one.member)) for name, one in self.brokers.items()},
-            MapReports(dict(self.gathered.reports)), self.open, dict(self.excused), dict(self.digests),
+            {name: replace(one, follower=copy_follower(one.follower)) for name, one in self.brokers.items()},
+            MapReports(dict(self.reports.reports)), self.open, dict(self.excused), dict(self.digests),
             self.crashes, self.leaders,
         )  # fmt: skip
 
     def key(self) -> Any:
-        heard = tuple((n, r.boot, r.count) for n, (_at, r) in sorted(self.gathered.reports.items()))
+        heard = tuple((n, r.boot, r.count) for n, (_at, r) in sorted(self.reports.reports.items()))
         return (
             self.log,
             tuple(one.key() for one in self.brokers.values()),
@@ -127,7 +128,7 @@
             self.leaders,
         )
 
-    # --- what may happen ---
+    # --- possible actions ---
 
     def actions(self) -> list[Action]:
         now = topology(self.log)
@@ -143,33 +144,33 @@
                 continue
             if one.applied < len(self.log):
                 found.append(("apply", name))
-            if one.member.next_to_stage() is not None:
+            if one.follower.next_to_stage() is not None:
                 found.append(("stage", name))
             if (
-                not one.said
-                or one.said[-1].staged != self.word(name).staged
-                or ((one.said[-1].version, one.said[-1].older) != one.member.usage())
+                not one.sent
+                or one.sent[-1].staged != self.next_report(name).staged
+                or ((one.sent[-1].version, one.sent[-1].older) != one.follower.usage())
             ):
                 found.append(("report", name))
-            found += [("hear", name, place) for place in range(len(one.said))]
+            found += [("hear", name, place) for place in range(len(one.sent))]
             found += [("part", name), ("end", name)] if one.query else [("begin", name)]
             if not self.crashes:
                 found.append(("crash", name))
         return found
 
-    def word(self, name: str) -> MapReport:
+    def next_report(self, name: str) -> MapReport:
         one = self.brokers[name]
-        staged = {number: version.digest for number, version in one.member.staged.items()}
+        staged = {number: version.digest for number, version in one.follower.staged.items()}
         return MapReport(
             one.boot,
-            one.said[-1].count + 1 if one.said else 1,
+            one.sent[-1].count + 1 if one.sent else 1,
             staged,
-            *one.member.usage(),
+            *one.follower.usage(),
             proved=dict(NEEDS),
         )
 
     def step(self, action: Action) -> bool:
-        """Do it; False where it changed nothing. Raises ``Broken``."""
+        """Performs the action; False if it changed nothing. Raises ``InvariantViolated``."""
         what, *rest = action
         if what in ("apply", "stage", "report", "hear", "begin", "part", "end", "crash", "start"):
             done = self._broker(what, *rest)
@@ -180,46 +181,48 @@
 
     def _broker(self, what: str, name: str, place: int = 0) -> bool:
         one = self.brokers[name]
-        member = one.member
+        follower = one.follower
         match what:
             case "apply":
                 one.applied += 1
                 now = topology(self.log[: one.applied])
-                member.apply_topology(now)
-                if one.applied == one.target and member.versions is None:
-                    member.on_log_read(now)
+                follower.apply_topology(now)
+                if one.applied == one.target and follower.versions is None:
+                    follower.on_log_read(now)
             case "stage":
-                version = member.next_to_stage()
+                version = follower.next_to_stage()
                 assert version is not None
-                member.mark_staged(version)
+                follower.mark_staged(version)
             case "report":
-                one.said = (*one.said[-2:], self.word(name))
+                one.sent = (*one.sent[-2:], self.next_report(name))
             case "hear":
-                return self.gathered.receive(name, 0, one.said[place])
+                return self.reports.receive(name, 0, one.sent[place])
             case "begin":
-                version = member.hold(QUERY)
+                version = follower.hold(QUERY)
                 if version is None:
                     return False
                 least = topology(self.log[: one.target]).used
                 if version.number < least:
-                    raise Broken(f"{name} was away and answers by version {version.number}, not {least}")
+                    raise InvariantViolated(
+                        f"{name} was away and answers by version {version.number}, not {least}"
+                    )
                 one.query = version.number
             case "part":
-                version = member.hold(QUERY)
+                version = follower.hold(QUERY)
                 if version is None or version.number != one.query:
-                    raise Broken(f"{name}: a query of version {one.query} has a part of {version}")
+                    raise InvariantViolated(f"{name}: a query of version {one.query} has a part of {version}")
                 return False
             case "end":
-                member.release(QUERY)
+                follower.release(QUERY)
                 one.query = 0
             case "crash":
                 one.up, one.query = False, 0
                 self.crashes += 1
             case "start":
                 one.up, one.boot, one.applied, one.target = True, one.boot + 1, 0, len(self.log)
-                one.member = MapFollower(FIRST.version(1))
+                one.follower = MapFollower(FIRST.version(1))
                 if not one.target:
-                    one.member.on_log_read(topology(()))
+                    one.follower.on_log_read(topology(()))
         return True
 
     def _log(self, what: str, *rest: Any) -> bool:
@@ -243,18 +246,18 @@
             case "resume":
                 command = Resume(id, by, 0)
             case "new leader":
-                self.gathered, self.leaders = MapReports(), 1
+                self.reports, self.leaders = MapReports(), 1
                 return True
             case "measured":
                 figures = GOOD if rest[0] == "good" else BAD
                 command = (
-                    self.gathered.next_command(now, 0, SPAN, by, figures)
+                    self.reports.next_command(now, 0, SPAN, by, figures)
                     if now.step is Step.MEASURING
                     else None
                 )
             case _:
                 before = topology(self.log[:-1]) if what == "late use" else now
-                command = self.gathered.next_command(before, 0, 0, by, None) if before.staging else None
+                command = self.reports.next_command(before, 0, 0, by, None) if before.staging else None
         if command is None:
             return False
         return self._commit(command, what)
@@ -268,7 +271,7 @@
         now = after.state.topology
         if what == "propose" or (what == "back" and not self.open):
             if self.open:
-                raise Broken("two proposals at once")
+                raise InvariantViolated("two proposals at once")
             self.open = 1
         elif what in ("back", "use", "late use"):
             self.open = 0
@@ -278,36 +281,40 @@
         self.log = log
         for number, found in now.maps.items():
             if self.digests.setdefault(number, digest(found)) != digest(found):
-                raise Broken(f"version {number} names two maps")
+                raise InvariantViolated(f"version {number} names two maps")
         return True
 
-    # --- what must hold ---
+    # --- invariants ---
 
     def check(self) -> None:
         for name, one in self.brokers.items():
-            if not one.up or not one.member.serving:
+            if not one.up or not one.follower.serving:
                 continue
             seen = topology(self.log[: one.applied]).used
-            if seen > 1 and seen not in one.member.staged:
-                raise Broken(f"{name} answers and has not staged version {seen}, in use as it knows")
-            number, _older = one.member.usage()
+            if seen > 1 and seen not in one.follower.staged:
+                raise InvariantViolated(
+                    f"{name} answers and has not staged version {seen}, in use as it knows"
+                )
+            number, _older = one.follower.usage()
             if number < 2:
                 continue
             for other, two in self.brokers.items():
-                lacks = two.up and two.member.serving and number not in two.member.staged
-                if lacks and number >= two.member.used and other not in self.excused.get(number, ()):
-                    raise Broken(f"{name} uses version {number}, {other} answers and has not staged it")
+                lacks = two.up and two.follower.serving and number not in two.follower.staged
+                if lacks and number >= two.follower.used and other not in self.excused.get(number, ()):
+                    raise InvariantViolated(
+                        f"{name} uses version {number}, {other} answers and has not staged it"
+                    )
 
 
-def sound(world: World, action: Action, depth: int) -> World:
-    """After one more action; the same world where it changed nothing."""
-    found = world.copy()
-    return found if found.step(action) and depth else world
+def next_state(state: ModelState, action: Action, depth: int) -> ModelState:
+    """After one more action; the same state if it changed nothing."""
+    found = state.copy()
+    return found if found.step(action) and depth else state
 
 
-def way_out(world: World) -> World:
-    """By what an operator does, and a network that is sound again: nothing proposed, halted or stuck."""
-    found = world.copy()
+def recover(state: ModelState) -> ModelState:
+    """The state after an operator acts and the network works again: nothing is proposed, halted or stuck."""
+    found = state.copy()
     for name, one in found.brokers.items():
         if not one.up:
             found.step(("start", name))
@@ -319,21 +326,21 @@
         for name, one in found.brokers.items():
             while one.applied < len(found.log):
                 found.step(("apply", name))
-            while one.member.next_to_stage() is not None:
+            while one.follower.next_to_stage() is not None:
                 found.step(("stage", name))
             if one.query:
                 found.step(("end", name))
             found.step(("report", name))
-            found.step(("hear", name, len(one.said) - 1))
+            found.step(("hear", name, len(one.sent) - 1))
         if topology(found.log).staging:
             found.step(("use",))
     now = topology(found.log)
     if now.step is not Step.NONE:
-        raise Broken(f"no way out of {topology(world.log).step}: {now.step}")
+        raise InvariantViolated(f"no way out of {topology(state.log).step}: {now.step}")
     for name, one in found.brokers.items():
-        if not one.member.serving or (now.used and one.member.usage() != (now.used, 0)):
-            raise Broken(f"{name} does not answer by version {now.used}: {one.member.usage()}")
+        if not one.follower.serving or (now.used and one.follower.usage() != (now.used, 0)):
+            raise InvariantViolated(f"{name} does not answer by version {now.used}: {one.follower.usage()}")
     return found
 
 
-__all__ = ["BARS", "Broken", "World", "sound", "topology", "way_out"]
+__all__ = ["BARS", "InvariantViolated", "ModelState", "next_state", "topology", "recover"]
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -1,4 +1,4 @@
-"""The front by versions: plans, numbers and cells of a query stay those of the version that it began with."""
+"""The front with map versions: plan, numbers and cells of a query stay those of its first version."""
 
 from typing import Any
 
@@ -26,7 +26,7 @@
 
 
 class Front:
-    """A planner and its guest over a log of one broker."""
+    """A planner and its guest on a log with one broker."""
 
     def __init__(self) -> None:
         self.config = parse(SOUND.replace("[north.example.org]", "[n1, n2, n3]"), Config, "f.yaml")
@@ -56,7 +56,7 @@
         assert not self.put(UseMap(f"u{number}", "ann", 0, number, digest(found), ("m0",)))
 
     def split(self) -> list[Any]:
-        """The first shard of several values, one shard for each of them in the same set."""
+        """Each shard with several values is split into one shard per value in the same set."""
         entries: list[Any] = []
         for name, group, values in self.first.entries:
             cut = [(f"{name}.{value}", group, (value,)) for value in values]
@@ -73,15 +73,15 @@
     return AskEnded(plan, "q", None, None, 1, ask)
 
 
-def test_a_broker_takes_nothing_before_it_has_read_the_log() -> None:
+def test_broker_rejects_queries_until_it_has_read_the_log() -> None:
     front = Front()
-    away = front.guest.arrive(0, Arrival(None, None, None))  # type: ignore[arg-type]
-    assert away is not None and away.cause == "shard map not read or not staged"
+    rejection = front.guest.arrive(0, Arrival(None, None, None))  # type: ignore[arg-type]
+    assert rejection is not None and rejection.cause == "shard map not read or not staged"
     front.maps.on_log_read()
     assert front.guest.arrive(0, Arrival(Try(1, "t", b"", 0, None, True, 0), None, None)) is None  # type: ignore[arg-type]
 
 
-def test_a_query_keeps_the_version_that_it_was_cut_by() -> None:
+def test_query_keeps_the_version_it_was_planned_with() -> None:
     front = Front()
     front.maps.on_log_read()
     before = front.plan()
@@ -100,7 +100,7 @@
     assert not [call for call in front.log.calls if "another version" in str(call)]
 
 
-def test_a_query_cut_by_one_version_and_held_by_another_is_told() -> None:
+def test_query_planned_with_another_version_than_it_holds_is_logged() -> None:
     front = Front()
     front.maps.on_log_read()
     before = front.plan()
@@ -110,7 +110,7 @@
     assert [call for call in front.log.calls if "another version" in str(call)]
 
 
-def test_numbers_of_any_version_leave_the_cell_of_their_set() -> None:
+def test_shard_numbers_of_every_version_map_to_the_cell_of_their_set() -> None:
     front = Front()
     cells = front.planner.map.cells
     for version in (front.first, MapVersion(2, front.first.label, tuple(reversed(front.split())))):
@@ -119,10 +119,10 @@
         groups = {name: group for name, group, _values in version.entries}
         for shard in built.shards:
             assert shard.number % len(cells) == cells[groups[shard.name]] == built.cell_of_shard(shard.number)
-            assert not shard.exclusive  # a holder may have shards of two versions
+            assert not shard.exclusive  # a holder may serve shards of two versions
 
 
-def test_a_map_of_other_sets_is_not_staged_and_it_is_said() -> None:
+def test_map_with_unknown_sets_is_not_staged_and_logged() -> None:
     front = Front()
     front.maps.on_log_read()
     entries = [(name, "elsewhere", values) for name, _group, values in front.first.entries]
@@ -130,7 +130,7 @@
     assert not front.put(ProposeMap("p", "ann", 0, found, base=Map.of(front.first)))
     assert not front.put(AdoptMap("a", "ann", 0, 2, judged(found), ("m0",)))
     assert 2 not in front.maps.follower.staged
-    said = [call for call in front.log.calls if "cannot be staged" in str(call)]
-    assert said and "replica set 'elsewhere'" in said[0].kwargs["cause"]
+    logged = [call for call in front.log.calls if "cannot be staged" in str(call)]
+    assert logged and "replica set 'elsewhere'" in logged[0].kwargs["cause"]
     with pytest.raises(ValueError, match="replica set 'elsewhere': expected one of"):
         ShardMap("l", entries, True, front.planner.map.cells)
--- a/tests/fleet/adoption/test_sampling.py
+++ b/tests/fleet/adoption/test_sampling.py
@@ -1,4 +1,4 @@
-"""Samples of brokers at the leader: each of one version, sent at once for a step, measured when whole."""
+"""Samples that brokers send to the leader: one version each, sent at once for a step, figures from all."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 def filled(member: str, version: int, count: int, late: int = 0) -> Samples:
-    """Ten queries a second of two parts, of which every tenth asks b as well."""
+    """Ten queries per second; every tenth has a second part, for value b."""
     found = Samples(member, 1, 2)
     found.begin(version)
     for number in range(count):
@@ -24,7 +24,7 @@
     return found
 
 
-def test_what_is_measured_is_that_of_all_brokers_by_this_version() -> None:
+def test_measured_figures_are_of_all_brokers_with_this_version() -> None:
     leader, other = filled("m0", 2, 500, late=50), filled("m1", 2, 500)
     for data in other.messages(7):
         assert leader.receive("m1", data) == ""
@@ -39,7 +39,7 @@
     assert figures["miss", "fast"] == figures["miss", ""] == 0.05
 
 
-def test_a_sample_of_another_version_or_name_is_not_taken() -> None:
+def test_sample_of_another_version_or_sender_is_rejected() -> None:
     leader, other = filled("m0", 2, 10), filled("m1", 3, 10)
     (data,) = other.messages(1)
     assert leader.receive("m1", data) == "sample of 'm1/3'; expected one of 'm1' for version 2"
@@ -48,11 +48,11 @@
     assert leader.fleet_sample()[1] == 1
 
 
-def test_nothing_is_measured_where_no_query_was() -> None:
+def test_nothing_is_measured_without_queries() -> None:
     assert filled("m0", 2, 0).measured(MAP, {"g1": 1, "g2": 1}, 1) is None
 
 
-def test_it_is_sent_at_once_for_a_step_and_a_leader_and_then_now_and_then() -> None:
+def test_sample_is_sent_at_once_for_a_new_step_or_leader_and_then_periodically() -> None:
     samples, later = filled("m1", 2, 1), SEND_INTERVAL_NS + 2 * SEND_INTERVAL_PER_BROKER_NS
     assert not samples.due(0, "", "proposed 2") and not samples.due(0, "m1", "proposed 2")
     assert samples.due(0, "m0", "proposed 2") and not samples.due(1, "m0", "proposed 2")
--- a/tests/fleet/adoption/test_wiring.py
+++ b/tests/fleet/adoption/test_wiring.py
@@ -1,4 +1,4 @@
-"""Three brokers' parts over one log in virtual time: sample, verdict, five adoptions, the way back."""
+"""Three brokers over one log in virtual time: sample, verdict, five adoptions, rollback."""
 
 import json
 from functools import partial
@@ -40,13 +40,13 @@
 
 
 def moved(number: int) -> Map:
-    """b goes to the other set and back again, by turns, under another shard's name each time."""
+    """Value b moves to the other set and back, alternately, with new shard names each time."""
     here, there = (("a",), ("b", "c")) if number % 2 == 0 else (("a", "b"), ("c",))
     return Map("district", ((f"s1-{number}", "g1", here), (f"s2-{number}", "g2", there)), False)
 
 
 class Fleet:
-    """A log that all see at once, and reports that all hear; ``m0`` leads. Times in ns."""
+    """A log that all brokers apply at once and reports that all receive; ``m0`` leads. Times in ns."""
 
     def __init__(self, heard: int = 3, found: Sample | None = SAMPLE) -> None:
         self.now, self.count = SAMPLE.until, 0
@@ -91,7 +91,7 @@
         return self.put(kind(f"{kind.__name__}{self.count}", "ann", self.wall, *more, **fields))
 
     def tick(self, seconds: float = 0.5) -> MapCommand | None:
-        """Reports, then the leader's next step."""
+        """Delivers reports, then runs the leader's next step."""
         self.now += int(seconds * 1e9)
         for name, maps in self.maps.items():
             said = None if name in self.silent else maps.report(self.now)
@@ -118,9 +118,11 @@
     assert fleet.status()["verdict"]["answer"] == "accept", fleet.status()["verdict"]
     assert fleet.do(AdoptMap) == ""
     assert fleet.tick() is None
-    gets = "2" if number % 2 == 0 else "1"
-    assert fleet.status()["waits_for"] == {f"h{gets}": f"has not proved that it has s{gets}-{number}"}
-    fleet.proved = {f"h{gets}": (f"s{gets}-{number}",)}
+    set_number = "2" if number % 2 == 0 else "1"
+    assert fleet.status()["waits_for"] == {
+        f"h{set_number}": f"has not proved that it has s{set_number}-{number}"
+    }
+    fleet.proved = {f"h{set_number}": (f"s{set_number}-{number}",)}
     assert fleet.tick() is not None
     assert fleet.status()["step"] == "measuring" and fleet.status()["in_use"] == number
     new = fleet.leader.topology.version(number)
@@ -132,7 +134,7 @@
     fleet = Fleet()
     for number in range(2, 7):
         adopted(fleet, number)
-        assert fleet.tick(59) is None  # measured for a minute
+        assert fleet.tick(59) is None  # less than the measured minute
         assert fleet.tick(1) is not None
         assert fleet.status()["step"] == "none"
         assert fleet.status()["adoptions"] == number - 1
@@ -142,7 +144,7 @@
     assert len({maps.machine.dump() for maps in fleet.maps.values()}) == 1
 
 
-def test_what_differs_halts_and_back_is_staged_again() -> None:
+def test_deviation_halts_and_rollback_is_staged_again() -> None:
     fleet = Fleet()
     adopted(fleet, 2)
     assert fleet.measured is not None
@@ -162,7 +164,7 @@
     assert {maps.follower.usage() for maps in fleet.maps.values()} == {(3, 0)}
 
 
-def test_a_broker_that_says_nothing_is_named_and_nothing_goes_on() -> None:
+def test_silent_broker_is_named_and_blocks_the_step() -> None:
     fleet = Fleet()
     fleet.proved = {"h1": ("s1-2",), "h2": ("s2-2",)}
     assert fleet.do(ProposeMap, moved(2)) == "" and fleet.do(AdoptMap) == ""
@@ -172,13 +174,13 @@
     assert fleet.status()["waits_for"] == {"m2": "has not reported"}
     assert fleet.do(AwayMap, "m2") == "m2 is believed alive: it must be believed dead or left"
     fleet.beliefs["m2"] = "dead"
-    assert fleet.tick() is None  # a belief alone permits nothing
+    assert fleet.tick() is None  # the belief alone does not release the step
     assert fleet.do(AwayMap, "m2") == ""
     assert fleet.tick() is not None
     assert fleet.status()["away"] == {"m2": "dead, ann"}
 
 
-def test_reports_that_are_old_count_no_more() -> None:
+def test_expired_reports_do_not_count() -> None:
     fleet = Fleet()
     assert fleet.do(ProposeMap, moved(2)) == "" and fleet.do(AdoptMap) == ""
     assert fleet.tick() is None
@@ -188,7 +190,7 @@
     assert fleet.status()["waits_for"] == {"m2": "reports no more"}
 
 
-def test_without_a_sample_it_is_not_known_and_without_a_front_nothing_is_staged() -> None:
+def test_without_sample_not_known_and_without_front_nothing_staged() -> None:
     fleet = Fleet(found=None)
     assert fleet.do(ProposeMap, moved(2)) == ""
     assert fleet.do(AdoptMap) == "not known: no broker's footprints are here"
@@ -208,7 +210,7 @@
     assert maps.follower.staged == {} and maps.report(0) is None
 
 
-def test_a_set_without_a_holder_is_named() -> None:
+def test_replica_set_without_holder_is_named() -> None:
     fleet = Fleet()
     more = Map("district", (("s1", "g1", ("a", "b")), ("s9", "g9", ("c",))), False)
     assert fleet.do(ProposeMap, more) == ""
@@ -218,16 +220,18 @@
 # --- the command line ---
 
 
-def test_a_file_is_proposed_as_the_brokers_read_it(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[Any] = []
-    monkeypatch.setattr(commands, "tell", lambda *given: told.append(given))
+def test_proposed_file_is_parsed_like_the_configuration(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    sent: list[Any] = []
+    monkeypatch.setattr(commands, "tell", lambda *given: sent.append(given))
     path = tmp_path / "map.yaml"
     path.write_text("shards:\n  label: district\n  map:\n  - {name: s1, values: [a], set: g1}\n")
     result = CliRunner().invoke(
         main, ["fleet", "topology", "propose", str(path), "--at", "http://127.0.0.1:1", "--by", "ann"]
     )
     assert result.exit_code == 0, result.output
-    ((at, what, names, by, why, _key, more),) = told
+    ((at, what, names, by, why, _key, more),) = sent
     assert (what, names, by, why, more["may_lose"]) == ("propose", (), "ann", "", [])
     assert more["map"] == ["district", [["s1", "g1", ["a"]]], True]
     path.write_text("shards:\n  label: district\n")
@@ -235,7 +239,7 @@
     assert result.exit_code == 1 and "shards.map" in result.output
 
 
-def test_status_shows_the_verdict_and_who_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_status_shows_the_verdict_and_whom_it_waits_for(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = Fleet()
     fleet.do(ProposeMap, moved(2))
     fleet.do(AdoptMap)
@@ -250,7 +254,7 @@
     assert json.loads(result.output)["proposed"] == 2
 
 
-def test_the_section_needs_keepers() -> None:
+def test_topology_section_requires_voters() -> None:
     from quincepath.config.schema.fleet import FleetEntry
 
     text = "name: orchard\nmember: m0\npeers: []\ntopology: {limits: [{kind: load, most: 0.7}]}\n"
--- a/tests/fleet/forecast/builders.py
+++ b/tests/fleet/forecast/builders.py
@@ -1,4 +1,4 @@
-"""Samples and maps written down by hand, for tables: no chance in them but the places of the queries."""
+"""Builds samples and maps for tests; nothing in them is random but the hashes of the queries."""
 
 from typing import Any
 
@@ -13,13 +13,13 @@
 
 
 def version(number: int, entries: dict[str, list[Any]], unlabelled: bool = False) -> MapVersion:
-    """``entries``: shard -> [set, values]; a value "a*5" stands for a0 to a4."""
+    """``entries``: shard -> [set, values]; the value "a*5" means a0 to a4."""
     return MapVersion(
-        number, "district", tuple((n, g, spelled(values)) for n, (g, values) in entries.items()), unlabelled
+        number, "district", tuple((n, g, expanded(values)) for n, (g, values) in entries.items()), unlabelled
     )
 
 
-def spelled(values: list[str]) -> tuple[str, ...]:
+def expanded(values: list[str]) -> tuple[str, ...]:
     found: list[str] = []
     for value in values:
         name, star, count = value.partition("*")
@@ -28,10 +28,10 @@
 
 
 def footprint(place: int, at: int, query: dict[str, Any]) -> Footprint:
-    """``query``: parts (lists of values), class, service and took in ms of each part, target in ms."""
+    """``query``: parts (lists of values), class, service and took of each part in ms, target in ms."""
     service, took = query.get("service", 10) * MS, query.get("took", query.get("service", 10)) * MS
     parts = tuple(
-        Part(spelled(values), query.get("calls", 1), int(service), int(took), query.get("bytes", 100))
+        Part(expanded(values), query.get("calls", 1), int(service), int(took), query.get("bytes", 100))
         for values in query["parts"]
     )
     kind, target = query.get("class", "fast"), query.get("target", 1000) * MS
@@ -44,7 +44,7 @@
 def sample(
     queries: list[dict[str, Any]], span: float = 60, hour: int = 12, brokers: int = 1, size: int = SAMPLE_SIZE
 ) -> Sample:
-    """Each of ``queries`` comes ``times`` in even turns over ``span`` seconds from ``hour``."""
+    """Each of ``queries`` is repeated ``times``; all are spread evenly over ``span`` seconds of ``hour``."""
     each = [query for query in queries for _ in range(query.get("times", 1))]
     each = [each[index * 7919 % len(each)] if len(each) % 7919 else each[index] for index in range(len(each))]
     begin = EPOCH + hour * HOUR_NS
--- a/tests/fleet/forecast/test_hard_cases.py
+++ b/tests/fleet/forecast/test_hard_cases.py
@@ -1,5 +1,7 @@
-"""Forecasts in the hard cases, and the bars: what they must never leave out. Most verdicts are in the table
-tests/conformance/forecast.yaml."""
+"""Forecasts in difficult cases, their intervals, and the comparison with measured figures.
+
+Most verdicts are tested by the table tests/conformance/forecast.yaml.
+"""
 
 import sys
 import types
@@ -40,26 +42,26 @@
 ]
 BEFORE = version(1, {"s1": ["g1", ["a", "c"]], "s2": ["g2", ["b", "d"]]})
 AFTER = version(2, {"s1": ["g1", ["a", "c", "d"]], "s2": ["g2", ["b"]]})
-WORLD = Environment({"g1": 2, "g2": 2}, 2, 1, 1)
+ENVIRONMENT = Environment({"g1": 2, "g2": 2}, 2, 1, 1)
 
 
-def found(room: Any = module, widen: dict[FigureKind, float] | None = None, **more: Any) -> Any:
-    return room.forecast(sample(QUERIES), BEFORE, AFTER, WORLD, ReplaySettings(**more), widen)
+def found(target: Any = module, widen: dict[FigureKind, float] | None = None, **more: Any) -> Any:
+    return target.forecast(sample(QUERIES), BEFORE, AFTER, ENVIRONMENT, ReplaySettings(**more), widen)
 
 
-def widening_holds(room: Any) -> None:
-    """Each bar is ``factor`` times as wide to each side, up to where a figure cannot go."""
-    plain, wide = found(room), found(room, dict.fromkeys(FigureKind, 3.0))
-    for place, one in plain.figures.items():
-        other = wide.figures[place]
-        most = 1.0 if place[0] is FigureKind.MISS else float("inf")
+def check_widening(target: Any) -> None:
+    """Each interval is three times as wide to each side, up to the limits of what a figure can be."""
+    plain, wide = found(target), found(target, dict.fromkeys(FigureKind, 3.0))
+    for key, one in plain.figures.items():
+        other = wide.figures[key]
+        most = 1.0 if key[0] is FigureKind.MISS else float("inf")
         assert other.value == one.value
-        assert other.high == pytest.approx(min(most, one.value + 3 * (one.high - one.value))), place
-        assert other.low == pytest.approx(max(0.0, one.value - 3 * (one.value - one.low))), place
+        assert other.high == pytest.approx(min(most, one.value + 3 * (one.high - one.value))), key
+        assert other.low == pytest.approx(max(0.0, one.value - 3 * (one.value - one.low))), key
 
 
-def test_the_stored_factor_widens_every_bar() -> None:
-    widening_holds(module)
+def test_stored_factor_widens_every_interval() -> None:
+    check_widening(module)
 
 
 @pytest.mark.parametrize(
@@ -74,40 +76,40 @@
         ),
     ],
 )
-def test_planted_bars_that_forget_the_widening_are_found(before: str, after: str) -> None:
+def test_injected_bug_without_widening_is_detected(before: str, after: str) -> None:
     text = Path(str(module.__file__)).read_text()
     assert text.count(before) == 1
-    planted = types.ModuleType("quincepath.fleet.forecast.planted")
-    sys.modules[planted.__name__] = planted
-    exec(compile(text.replace(before, after), "planted", "exec"), planted.__dict__)
-    del sys.modules[planted.__name__]
+    mutated = types.ModuleType("quincepath.fleet.forecast.mutated")
+    sys.modules[mutated.__name__] = mutated
+    exec(compile(text.replace(before, after), "mutated", "exec"), mutated.__dict__)
+    del sys.modules[mutated.__name__]
     with pytest.raises(AssertionError):
-        widening_holds(planted)
+        check_widening(mutated)
 
 
-def test_a_forecast_is_the_same_each_time_and_a_smaller_sample_has_wider_bars() -> None:
+def test_forecast_is_deterministic_and_smaller_sample_has_wider_intervals() -> None:
     assert found() == found()
-    few = forecast(sample(QUERIES, size=150), BEFORE, AFTER, WORLD)
-    for place, one in found().figures.items():
-        if place[0] is FigureKind.LOAD:
-            assert few.figures[place].high - few.figures[place].low > one.high - one.low
+    few = forecast(sample(QUERIES, size=150), BEFORE, AFTER, ENVIRONMENT)
+    for key, one in found().figures.items():
+        if key[0] is FigureKind.LOAD:
+            assert few.figures[key].high - few.figures[key].low > one.high - one.low
 
 
-def test_a_figure_measured_over_few_queries_has_a_wider_bar() -> None:
+def test_figure_measured_over_few_queries_has_wider_interval() -> None:
     short, long = found(measured_queries=50), found(measured_queries=100_000)
-    for place in ((FigureKind.PARTS, "slow"), (FigureKind.BYTES, "")):
-        assert short.figures[place].high - short.figures[place].low > 2 * (
-            long.figures[place].high - long.figures[place].low
+    for key in ((FigureKind.PARTS, "slow"), (FigureKind.BYTES, "")):
+        assert short.figures[key].high - short.figures[key].low > 2 * (
+            long.figures[key].high - long.figures[key].low
         )
 
 
-def test_a_sample_merged_twice_and_from_a_broker_that_restarted_gives_the_same_figures() -> None:
+def test_sample_merged_repeatedly_gives_the_same_figures() -> None:
     one = sample(QUERIES, brokers=3)
     twice = one.merged(one, one.merged(one))
-    assert forecast(twice, BEFORE, AFTER, WORLD) == forecast(one, BEFORE, AFTER, WORLD)
+    assert forecast(twice, BEFORE, AFTER, ENVIRONMENT) == forecast(one, BEFORE, AFTER, ENVIRONMENT)
 
 
-def test_a_hundred_thousand_values_in_a_map() -> None:
+def test_map_with_a_hundred_thousand_values() -> None:
     many = version(1, {f"s{n}": [f"g{n % 20}", [f"v{n}_*500"]] for n in range(200)})
     moved = version(2, {f"s{n}": [f"g{n % 10}", [f"v{n}_*500"]] for n in range(200)})
     each = [{"times": 3, "parts": [[f"v{n}_{n}"], [f"v{(n * 7) % 200}_{n}"]]} for n in range(200)]
@@ -118,7 +120,7 @@
     ) == pytest.approx(19.95, rel=0.01)
 
 
-def test_a_wide_query_whose_values_are_cut_still_comes_to_each_of_the_eight() -> None:
+def test_wide_query_with_truncated_values_still_reaches_all_eight_shards() -> None:
     values = ["v*4000"]
     entries = {f"s{n}": [f"g{n}", [f"v{i}" for i in range(n, 4000, 8)]] for n in range(8)}
     before, after = version(1, {"s": ["g0", values]}), version(2, entries)
@@ -128,8 +130,8 @@
     assert max(loads) < 1.35 * min(loads)
 
 
-def test_more_load_is_never_less_late() -> None:
-    """A hot value moved onto a set: misses grow with the load there, up to all of them."""
+def test_misses_grow_with_load() -> None:
+    """A hot value is moved onto a set: misses grow with the load there, up to nearly all queries."""
     shares = []
     for rate in (600, 1500, 2100):
         queries = [
@@ -142,7 +144,7 @@
     assert shares == sorted(shares) and shares[0] < 0.01 and shares[2] > 0.5
 
 
-def test_erlang_and_what_is_learned() -> None:
+def test_erlang_c_and_fit_of_the_tail_model() -> None:
     assert erlang_c(np.array([1.0, 2.0]), np.array([0.5, 0.5])) == pytest.approx([0.5, 1 / 3])
     waits = np.linspace(0, 100, 200)
     assert fit(7 + 2 * waits, waits) == pytest.approx((2, 7), rel=0.3)
@@ -158,7 +160,7 @@
     assert short.mean_nonzero_wait(1.0)[0] < 0.6 * long.mean_nonzero_wait(1.0)[0] < 0.6 * 25e6
 
 
-def test_drawn_maps_are_forecast_better_than_by_shards_times_rate() -> None:
+def test_generated_maps_are_forecast_better_than_by_shards_times_rate() -> None:
     ours = theirs = 0.0
     for seed in (3, 8, 12):
         pair = draw(seed)
@@ -167,29 +169,31 @@
         settings = ReplaySettings(measured_queries=3000)
         figures = forecast(sampled(before), pair.before, pair.after, world, settings).figures
         after, naive = measured(play(pair, pair.after, 3000, 2), pair), baseline(before, pair)
-        loads = [place for place in after if place[0] is FigureKind.LOAD]
-        ours += sum(abs(figures[place].value - after[place]) for place in loads)
-        theirs += sum(abs(naive[place] - after[place]) for place in loads)
+        loads = [key for key in after if key[0] is FigureKind.LOAD]
+        ours += sum(abs(figures[key].value - after[key]) for key in loads)
+        theirs += sum(abs(naive[key] - after[key]) for key in loads)
     assert ours < 0.5 * theirs
 
 
-def test_what_is_measured_is_held_against_the_forecast() -> None:
+def test_measured_figures_are_compared_with_the_forecast() -> None:
     one = found()
-    values = {place: figure.value for place, figure in one.figures.items()}
+    values = {key: figure.value for key, figure in one.figures.items()}
     same = compare_with_measured(one, values)
     assert not same.halt and not same.deviations and not same.missing
-    burning = compare_with_measured(
+    overloaded = compare_with_measured(
         one, values | {(FigureKind.LOAD, "g1"): 3 * values[FigureKind.LOAD, "g1"]}
     )
-    assert burning.halt and [str(each).partition(":")[0] for each in burning.deviations] == ["load of g1"]
+    assert overloaded.halt and [str(each).partition(":")[0] for each in overloaded.deviations] == [
+        "load of g1"
+    ]
     assert compare_with_measured(one, {}).halt
     some = compare_with_measured(one, {(FigureKind.LOAD, "g1"): values[FigureKind.LOAD, "g1"]})
     assert not some.halt and (FigureKind.LOAD, "g2") in some.missing
 
 
-def test_one_figure_just_outside_is_told_and_does_not_halt() -> None:
+def test_one_figure_just_outside_is_reported_without_halt() -> None:
     one = found()
-    values = {place: figure.value for place, figure in one.figures.items()}
+    values = {key: figure.value for key, figure in one.figures.items()}
     figure = one.figures[FigureKind.LOAD, "g1"]
     close = compare_with_measured(
         one, values | {(FigureKind.LOAD, "g1"): figure.value + 1.2 * (figure.high - figure.value)}
@@ -197,7 +201,7 @@
     assert not close.halt and len(close.deviations) == 1
 
 
-def test_how_far_forecasts_were_off_widens_and_is_bounded() -> None:
+def test_past_errors_widen_intervals_within_bounds() -> None:
     record = AccuracyRecord()
     assert set(record.factors().values()) == {1.0}
     once = record.with_ratios({FigureKind.LOAD: [0.2, 2.5]})
@@ -212,8 +216,8 @@
             decode_record(bad)
 
 
-def test_a_ratio_is_in_half_bars_before_widening() -> None:
-    values = {place: f.value + 0.8 * (f.high - f.value) for place, f in found().figures.items()}
+def test_ratio_is_in_half_intervals_before_widening() -> None:
+    values = {key: f.value + 0.8 * (f.high - f.value) for key, f in found().figures.items()}
     plain = compare_with_measured(found(), values).ratios
     wide = compare_with_measured(found(widen=dict.fromkeys(FigureKind, 2.0)), values).ratios
     assert plain[FigureKind.LOAD] == pytest.approx([0.8, 0.8]) and wide[FigureKind.LOAD] == pytest.approx(
@@ -221,8 +225,8 @@
     )
 
 
-def bare(**figures: Figure) -> Forecast:
-    """A forecast of the loads of sets."""
+def forecast_of_loads(**figures: Figure) -> Forecast:
+    """A forecast with only these loads, by set."""
     each = {(FigureKind.LOAD, name): one for name, one in figures.items()}
     hours = [0.0] * 12 + [1.0] + [0.0] * 11
     return Forecast(each, "", 1000, 1000, EPOCH + 12 * HOUR_NS, EPOCH + 12 * HOUR_NS + SECOND, hours, 1, 1)
@@ -237,15 +241,17 @@
         (Figure(0.9, 0.81, 1.0), Answer.REFUSE),
     ],
 )
-def test_bars_against_a_limit(figure: Figure, answer: Answer) -> None:
+def test_intervals_against_a_limit(figure: Figure, answer: Answer) -> None:
     rules = Rules((Limit(FigureKind.LOAD, 0.8),))
-    said = verdict(bare(g=figure, cool=Figure(0.1, 0.0, 0.2)), rules, EPOCH + 12 * HOUR_NS + 2 * SECOND)
-    assert said.answer is answer
-    assert [violation.key for violation in said.violations] == (
+    judged = verdict(
+        forecast_of_loads(g=figure, cool=Figure(0.1, 0.0, 0.2)), rules, EPOCH + 12 * HOUR_NS + 2 * SECOND
+    )
+    assert judged.answer is answer
+    assert [violation.key for violation in judged.violations] == (
         [] if answer is Answer.ACCEPT else [(FigureKind.LOAD, "g")]
     )
     if answer is Answer.REFUSE:
-        assert said.why == ("load of a holder of set 'g': 0.9 (90%: 0.81 to 1), limit 0.8",)
+        assert judged.why == ("load of a holder of set 'g': 0.9 (90%: 0.81 to 1), limit 0.8",)
 
 
 @pytest.mark.parametrize(
@@ -256,9 +262,9 @@
         lambda: ReplaySettings(draws=3),
         lambda: forecast(sample(QUERIES), BEFORE, AFTER, Environment({}, 0, 1, 1)),
         lambda: forecast(sample(QUERIES), BEFORE, AFTER, Environment({}, 1, 2, 1)),
-        lambda: forecast(sample(QUERIES), BEFORE, AFTER, WORLD, None, {FigureKind.LOAD: 0.5}),
+        lambda: forecast(sample(QUERIES), BEFORE, AFTER, ENVIRONMENT, None, {FigureKind.LOAD: 0.5}),
     ],
 )
-def test_settings_that_make_no_sense_are_refused(make: Any) -> None:
+def test_invalid_settings_are_rejected(make: Any) -> None:
     with pytest.raises(ValueError, match="expected"):
         make()
--- a/tests/fleet/forecast/test_merge.py
+++ b/tests/fleet/forecast/test_merge.py
@@ -1,4 +1,4 @@
-"""The sample: merging has no order and counts nothing twice; the union's sample is made of the samples."""
+"""Samples: merging is independent of order and counts nothing twice; messages and bounds."""
 
 import sys
 import types
@@ -36,19 +36,19 @@
 )
 
 
-def of(asked: list[tuple[str, int, int]], size: int, room: Any = module) -> Any:
-    """The sample of a set of queries, made at once from all."""
+def sample_of(asked: list[tuple[str, int, int]], size: int, target: Any = module) -> Any:
+    """The sample of a set of queries, computed directly from all of them."""
     found: dict[int, Any] = {}
     sources: dict[tuple[str, int, int], Any] = {}
     for broker, boot, query in asked:
         place = query_hash(broker, boot, query)
-        part = room.Part((f"v{query}",), 1, MS, MS, 1)
-        found[place] = room.Footprint(place, EPOCH + query, "k", "t", (part,), SECOND, MS)
+        part = target.Part((f"v{query}",), 1, MS, MS, 1)
+        found[place] = target.Footprint(place, EPOCH + query, "k", "t", (part,), SECOND, MS)
         key = (broker, boot, 0)
         mine = [q for b, t, q in asked if (b, t) == (broker, boot) and q <= query]
         if key not in sources or sources[key].count < len(mine):
-            sources[key] = room.Source(EPOCH + query, len(mine), EPOCH)
-    return room.Sample({place: found[place] for place in sorted(found)[:size]}, sources, size)
+            sources[key] = target.Source(EPOCH + query, len(mine), EPOCH)
+    return target.Sample({place: found[place] for place in sorted(found)[:size]}, sources, size)
 
 
 def same(left: Any, right: Any) -> bool:
@@ -58,29 +58,31 @@
 
 
 def split(asked: list[tuple[str, int, int]], cut: list[int]) -> list[list[tuple[str, int, int]]]:
-    """By broker's boot, so that each source is whole in one share, and shared out by ``cut``."""
+    """Three shares, as assigned by ``cut``; by boot, so that each source is complete in one share."""
     shares: list[list[tuple[str, int, int]]] = [[], [], []]
     for one in asked:
         shares[cut[(NAMES.index(one[0]) * 2 + one[1]) % len(cut)] % 3].append(one)
     return shares
 
 
-def laws(asked: list[tuple[str, int, int]], cut: list[int], size: int, room: Any = module) -> None:
-    x, y, z = (of(share, size, room) for share in split(asked, cut))
+def check_merge_laws(
+    asked: list[tuple[str, int, int]], cut: list[int], size: int, target: Any = module
+) -> None:
+    x, y, z = (sample_of(share, size, target) for share in split(asked, cut))
     assert same(x.merged(y).merged(z), x.merged(y.merged(z)))
     assert same(x.merged(y), y.merged(x))
     assert same(x.merged(x), x)
-    whole = of(asked, size, room)
+    whole = sample_of(asked, size, target)
     assert same(x.merged(y, z), whole)
     assert whole.merged(x, x, y, whole).total == len(asked)
 
 
 @settings(max_examples=150, deadline=None)
 @given(queries, st.lists(st.integers(0, 2), min_size=3, max_size=6), st.integers(1, 40))
-def test_merge_has_no_order_and_the_unions_sample_is_made_of_the_samples(
+def test_merge_is_commutative_associative_idempotent_and_exact(
     asked: list[tuple[str, int, int]], cut: list[int], size: int
 ) -> None:
-    laws(asked, cut, size)
+    check_merge_laws(asked, cut, size)
 
 
 @pytest.mark.parametrize(
@@ -101,21 +103,21 @@
         ),
     ],
 )
-def test_planted_bugs_in_the_merge_are_found(before: str, after: str) -> None:
+def test_injected_merge_bugs_are_detected(before: str, after: str) -> None:
     text = Path(str(module.__file__)).read_text()
     assert text.count(before) == 1
-    planted = types.ModuleType("quincepath.fleet.forecast.planted")
+    mutated = types.ModuleType("quincepath.fleet.forecast.mutated")
 
-    sys.modules[planted.__name__] = planted
-    exec(compile(text.replace(before, after), "planted", "exec"), planted.__dict__)
-    del sys.modules[planted.__name__]
+    sys.modules[mutated.__name__] = mutated
+    exec(compile(text.replace(before, after), "mutated", "exec"), mutated.__dict__)
+    del sys.modules[mutated.__name__]
     asked = [(name, boot, query) for name in NAMES for boot in (1, 2) for query in range(20)]
     with pytest.raises(AssertionError):
         for size in (4, 30, 200):
-            laws(asked, [0, 1, 2], size, planted)
+            check_merge_laws(asked, [0, 1, 2], size, mutated)
 
 
-def broker(name: str, boot: int, times: int, size: int = 64, begin: int = EPOCH) -> Sampler:
+def sampler_after(name: str, boot: int, times: int, size: int = 64, begin: int = EPOCH) -> Sampler:
     sampler = Sampler(name, boot, size)
     for query in range(times):
         at = begin + query * SECOND
@@ -126,32 +128,34 @@
     return sampler
 
 
-def test_a_broker_that_restarted_counts_both_boots_once_however_often_it_is_heard() -> None:
-    first, second = broker("a", 1, 500).sample(), broker("a", 2, 300).sample()
+def test_restarted_broker_counts_both_boots_once_however_often_merged() -> None:
+    first, second = sampler_after("a", 1, 500).sample(), sampler_after("a", 2, 300).sample()
     merged = Sample(size=64).merged(first, second, first, second.merged(first))
     assert merged.total == 800 and len(merged.footprints) == 64
     assert merged.footprints.keys() == set(sorted({*first.footprints, *second.footprints})[:64])
 
 
-def test_news_of_a_source_replace_older_news_in_any_order() -> None:
-    old, new = broker("a", 1, 100).sample(), broker("a", 1, 250).sample()
+def test_newer_state_of_a_source_replaces_older_in_any_order() -> None:
+    old, new = sampler_after("a", 1, 100).sample(), sampler_after("a", 1, 250).sample()
     for merged in (old.merged(new), new.merged(old)):
         assert merged.total == 250
 
 
-def test_two_windows_are_kept_and_the_third_forgets_the_first() -> None:
-    sampler = broker("a", 1, 3 * 3600, 4096)
+def test_two_windows_are_kept_and_the_third_drops_the_first() -> None:
+    sampler = sampler_after("a", 1, 3 * 3600, 4096)
     found = sampler.sample()
     assert found.total == 2 * 3600 and found.since == EPOCH + HOUR_NS
     assert [hour for hour, share in enumerate(found.hour_shares()) if share] == [1, 2]
-    sampler.count(EPOCH)  # a clock that ran back counts into the window that is
+    sampler.count(EPOCH)  # after a clock step back, counts into the current window
     assert sampler.sample().total == 2 * 3600 + 1
 
 
-def test_each_query_is_as_likely_in_the_sample() -> None:
-    """How many of the sample are each broker's, against five deviations of a binomial."""
+def test_each_query_is_equally_likely_to_be_sampled() -> None:
+    """The number of sampled queries of each broker is within five standard deviations of a binomial."""
     size = 2000
-    parts = [broker(name, 1, times, size).sample() for name, times in (("a", 3000), ("b", 400), ("c", 3400))]
+    parts = [
+        sampler_after(name, 1, times, size).sample() for name, times in (("a", 3000), ("b", 400), ("c", 3400))
+    ]
     merged = Sample(size=size).merged(*parts)
     for one, times in zip(parts, (3000, 400, 3400), strict=True):
         got = len(one.footprints.keys() & merged.footprints.keys())
@@ -183,31 +187,33 @@
     assert len(messages) == 1 and len(messages[0]) < 32_768
 
 
-def test_too_many_sources_leave_the_newest_and_say_so() -> None:
+def test_too_many_sources_keep_the_newest_and_are_reported() -> None:
     sources = {(f"b{n}", 1, 0): Source(EPOCH + n, 1, EPOCH) for n in range(MAX_SOURCES + 50)}
     merged = Sample().merged(Sample({}, sources))
     assert merged.full and len(merged.sources) == MAX_SOURCES and merged.merged(Sample({}, sources)) == merged
     assert ("b49", 1, 0) not in merged.sources and ("b50", 1, 0) in merged.sources
 
 
-def test_messages_in_any_order_and_doubled_make_the_sample_and_a_part_of_them_none() -> None:
-    sample = broker("a", 1, 3000, 512).sample()
+def test_sample_is_complete_only_with_all_messages_in_any_order_and_duplicated() -> None:
+    sample = sampler_after("a", 1, 3000, 512).sample()
     messages = [decode(data) for data in encode(sample, "a", 1, 9, max_bytes=4096)]
     assert len(messages) > 3
     assembler = SampleAssembler(512)
-    told = [assembler.receive(message) for message in [*messages[1:], messages[1], messages[0], messages[2]]]
-    assert told.count(True) == 1 and not any(told[: len(messages) - 1])
+    completed = [
+        assembler.receive(message) for message in [*messages[1:], messages[1], messages[0], messages[2]]
+    ]
+    assert completed.count(True) == 1 and not any(completed[: len(messages) - 1])
     assert same(assembler.sample(), sample)
-    older = [decode(data) for data in encode(broker("a", 1, 10).sample(), "a", 1, 8)]
+    older = [decode(data) for data in encode(sampler_after("a", 1, 10).sample(), "a", 1, 8)]
     assert not any(assembler.receive(message) for message in older) and assembler.sample().total == 3000
-    partly = SampleAssembler(512)
-    assert not any(partly.receive(message) for message in messages[1:]) and partly.sample().total == 0
+    incomplete = SampleAssembler(512)
+    assert not any(incomplete.receive(message) for message in messages[1:]) and incomplete.sample().total == 0
 
 
-def test_messages_are_within_their_bounds_and_what_does_not_fit_makes_the_sample_smaller(
+def test_messages_are_bounded_and_footprints_that_do_not_fit_shrink_the_sample(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sample = broker("a", 1, 3000, 512).sample()
+    sample = sampler_after("a", 1, 3000, 512).sample()
     monkeypatch.setattr("quincepath.fleet.forecast.messages.MAX_MESSAGES", 3)
     data = encode(sample, "a", 1, 1, max_bytes=1200)
     assert len(data) == 3 and max(map(len, data)) <= 1200
@@ -220,6 +226,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x90", b"x" * 40_000])
-def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
+def test_invalid_message_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match="sample message"):
         decode(data)
--- a/tests/test_fleet_topology.py
+++ b/tests/test_fleet_topology.py
@@ -1,4 +1,4 @@
-"""A shard map before a fleet of real brokers: proposed once, refused while unknown, given up, off."""
+"""A shard map change in a fleet of real brokers: proposed once, refused while not known, withdrawn, off."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 
 
 class Changing(Agreeing):
-    """As there, with ``topology:`` on all but the last broker."""
+    """Like ``Agreeing``, with ``topology:`` on all but the last broker."""
 
     def start(self, name: str) -> None:
         path = self.folder / f"{name}.yaml"
@@ -42,10 +42,10 @@
     world.stop()
 
 
-def test_a_map_is_proposed_once_not_adopted_unknown_and_given_up(changing: Changing) -> None:
+def test_map_is_proposed_once_refused_while_not_known_and_withdrawn(changing: Changing) -> None:
     world = changing
     until(lambda: ask("view", "--at", world.metrics["m0"])[0] == 0 and bool(world.status("m0")["leader"]))
-    loads = [world.load(name, 40) for name in ("m0", "m3")]  # with the section, and without
+    loads = [world.load(name, 40) for name in ("m0", "m3")]  # with and without the section
     until(lambda: len(world.got("a0")) > 20)
     shards = json.loads(json.dumps(world.shards))
     for entry in shards["map"]:
@@ -55,18 +55,18 @@
         YAML(typ="safe").dump({"shards": shards}, file)
     words = ("topology", "propose", str(path), "--at", world.metrics["m1"], "--by", "ann", "--key", "first")
     assert settled_ask(*words) == (0, "propose: agreed\n")
-    assert ask(*words) == (0, "propose: agreed\n")  # the same again does nothing twice
+    assert ask(*words) == (0, "propose: agreed\n")  # a repeated command has no second effect
     code, said = ask("topology", "propose", str(path), "--at", world.metrics["m0"])
     assert code == 1 and "version 2 is proposed by ann" in said
     until(lambda: all(world.topology(name)["proposed"] == 2 for name in ("m0", "m1", "m2")))
     code, said = settled_ask("topology", "adopt", "--at", world.metrics["m2"])
-    assert code == 1 and "not known: " in said  # m3 tells nothing, the sample is small
+    assert code == 1 and "not known: " in said  # m3 sends no sample, and the sample is small
 
     leader = world.status("m0")["leader"]
     world.children[leader].kill()
     other = next(name for name in ("m0", "m1", "m2") if name != leader)
     until(lambda: world.status(other)["leader"] not in ("", leader))
-    assert world.topology(other)["proposed"] == 2  # in the log, whoever leads
+    assert world.topology(other)["proposed"] == 2  # in the log, whichever broker leads
     assert settled_ask("topology", "back", "--at", world.metrics[other]) == (0, "back: agreed\n")
     found = world.topology(other)
     assert (found["step"], found["in_use"], found["proposed"], found["newest"]) == ("none", 1, 0, 2)
@@ -79,7 +79,7 @@
 
 
 class Sectioned(Changing):
-    """``topology:`` on all, measured for a moment only."""
+    """``topology:`` on all brokers, with a short measured time."""
 
     def start(self, name: str) -> None:
         path = self.folder / f"{name}.yaml"
@@ -92,7 +92,7 @@
         Agreeing.start(self, name)
 
     def load(self, name: str, seconds: int) -> Child:
-        """Of a class that asks every part."""
+        """Queries of a class that asks every shard."""
         child = Child("load", self.folder / f"load-{name}.log")
         child.start(
             ["load", self.urls[name], "--query", "__name__=engine_hours;district=~.+", "--rate", "40",
@@ -101,7 +101,7 @@
         return child
 
     def parts(self) -> dict[tuple[int, str], set[int]]:
-        """Shards that were asked, by broker and query, as the holders' records have them."""
+        """Shards that were asked, by broker and query, from the records of the holders."""
         found: dict[tuple[int, str], set[int]] = {}
         for path in self.folder.glob("holder-*.jsonl"):
             for _place, line in read(path):
@@ -118,8 +118,8 @@
 
 
 @pytest.mark.skipif(LONG not in os.environ, reason=f"half a minute in real time; set {LONG}=1 to play it")
-def test_a_map_is_adopted_and_taken_back_while_queries_run(sectioned: Sectioned) -> None:
-    """Shards of each set become one: three parts a query in place of six, in no query four or five."""
+def test_map_is_adopted_and_rolled_back_while_queries_run(sectioned: Sectioned) -> None:
+    """The shards of each set are merged: three parts per query instead of six, and never four or five."""
     world, names = sectioned, ("m0", "m1", "m2")
     until(lambda: ask("view", "--at", world.metrics["m0"])[0] == 0 and bool(world.status("m0")["leader"]))
     loads = [world.load(name, 100) for name in names]
@@ -134,12 +134,12 @@
 
     def adopted() -> bool:
         ask("topology", "adopt", "--at", world.metrics["m2"])
-        found = world.topology("m0")  # it may not have applied the proposal yet
+        found = world.topology("m0")  # m0 may not have applied the proposal yet
         return found["step"] in ("staging", "measuring", "halted") or found["in_use"] == 2
 
-    until(adopted)  # once the sample is large enough
+    until(adopted)  # as soon as the sample is large enough
     until(lambda: {world.topology(name)["in_use"] for name in names} == {2})
-    until(lambda: world.topology("m0")["step"] in ("none", "halted"))  # as the moment was like the one before
+    until(lambda: world.topology("m0")["step"] in ("none", "halted"))  # halted if the traffic differed
     assert world.topology("m0")["adoptions"] == 1
     assert settled_ask("topology", "back", "--at", world.metrics["m0"]) == (0, "back: agreed\n")
     until(lambda: {world.topology(name)["in_use"] for name in names} == {3})
@@ -149,7 +149,7 @@
         load.stop()
     of_six, of_three = set(range(6)), set(range(3))
     every = list(world.parts().values())
-    # What was on its way when the load was stopped is left out: a part of it may not have come.
+    # Queries in flight when the load was stopped are tolerated: some of their parts may not have arrived.
     assert sum(found == of_three for found in every) > 60 and sum(found == of_six for found in every) > 60
     assert len([found for found in every if found not in (of_six, of_three)]) <= 3
     for name in names:
