--- a/quincepath/fleet/topology.py
+++ b/quincepath/fleet/topology.py
@@ -32,7 +32,7 @@
 )
 from quincepath.fleet.adoption.commands import MAX_FIGURES, ShardsByHolder
 from quincepath.fleet.adoption.reports import Measurement
-from quincepath.fleet.agreement.entries import COMMAND_MOST
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES
 from quincepath.fleet.forecast import (
     Environment,
     FigureKind,
@@ -134,8 +134,8 @@
             case UseMap():
                 command = self.reports.with_evidence(command, self.topology, now)
         size = len(encode(command))
-        if size > COMMAND_MOST and not why:
-            why = f"{type(command).__name__}: {size} bytes; expected at most {COMMAND_MOST} in an entry"
+        if size > MAX_COMMAND_BYTES and not why:
+            why = f"{type(command).__name__}: {size} bytes; expected at most {MAX_COMMAND_BYTES} in an entry"
         return command, why
 
     def _needs(self, new: MapVersion) -> dict[str, tuple[str, ...]]:
@@ -206,7 +206,7 @@
 
     def next_command(self, now: int, wall_ms: int) -> MapCommand | None:
         """What this broker proposes as leader, if nothing is waited for."""
-        obstacle = self.machine.in_the_way()
+        obstacle = self.machine.map_change_blocker()
         return self.reports.next_command(
             self.topology, now, wall_ms, self.member, self.measured(wall_ms), obstacle
         )
@@ -281,7 +281,7 @@
         waits: dict[str, str] = {}
         if topology.step in (Step.STAGING, Step.MEASURING):
             if is_voter:
-                obstacle = self.machine.in_the_way()
+                obstacle = self.machine.map_change_blocker()
                 waits = self.reports.waits_for(topology, now, wall_ms, self.measured(wall_ms), obstacle)
             if not leader:
                 waits["keepers"] = "no leader is known here: a majority of them may be out of reach"
--- a/quincepath/store/consensus.py
+++ b/quincepath/store/consensus.py
@@ -14,9 +14,9 @@
 import lmdb
 import msgspec
 
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Entry, Log, Snapshot, Stable
-from quincepath.fleet.agreement.storing import StoreError, Trouble
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import Entry, Log, Snapshot, StableState
+from quincepath.fleet.consensus.storage import StoreError, StoreErrorCause
 
 SCHEMA = 1
 MAX_STORE_BYTES = 256 << 20  # of the environment; the log is compacted long before
@@ -60,13 +60,13 @@
 def decode_record(data: bytes | None, kind: type[T], name: str) -> T:
     """Decode a stored value. Raises ``StoreError`` if the checksum or the structure is invalid."""
     if data is None:
-        raise StoreError(Trouble.DAMAGED, f"{name} is missing")
+        raise StoreError(StoreErrorCause.DAMAGED, f"{name} is missing")
     if zlib.crc32(data[CHECKSUM_BYTES:]).to_bytes(CHECKSUM_BYTES) != data[:CHECKSUM_BYTES]:
-        raise StoreError(Trouble.DAMAGED, f"{name}: checksum mismatch")
+        raise StoreError(StoreErrorCause.DAMAGED, f"{name}: checksum mismatch")
     try:
         return msgspec.msgpack.decode(data[CHECKSUM_BYTES:], type=kind)
     except msgspec.MsgspecError as error:
-        raise StoreError(Trouble.DAMAGED, f"{name}: {error}") from None
+        raise StoreError(StoreErrorCause.DAMAGED, f"{name}: {error}") from None
 
 
 def entry_key(index: int) -> bytes:
@@ -78,12 +78,12 @@
     """Convert an error of LMDB or of the operating system."""
     text = f"{path}: {error}"
     if isinstance(error, lmdb.MapFullError) or "No space left" in str(error):
-        return StoreError(Trouble.FULL, text)
+        return StoreError(StoreErrorCause.FULL, text)
     if isinstance(error, lmdb.ReadonlyError) or "Read-only file system" in str(error):
-        return StoreError(Trouble.READ_ONLY, text)
+        return StoreError(StoreErrorCause.READ_ONLY, text)
     if isinstance(error, CORRUPTION_ERRORS):
-        return StoreError(Trouble.DAMAGED, text)
-    return StoreError(Trouble.UNREACHABLE, text)
+        return StoreError(StoreErrorCause.DAMAGED, text)
+    return StoreError(StoreErrorCause.UNREACHABLE, text)
 
 
 def verify_in_subprocess(path: Path) -> None:
@@ -95,22 +95,26 @@
         result = subprocess.run(command, capture_output=True, text=True, timeout=CHECK_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         raise StoreError(
-            Trouble.DAMAGED, f"{path}: verification took longer than {CHECK_TIMEOUT_S:g} s"
+            StoreErrorCause.DAMAGED, f"{path}: verification took longer than {CHECK_TIMEOUT_S:g} s"
         ) from None
     if result.returncode < 0:
-        raise StoreError(Trouble.DAMAGED, f"{path}: verification crashed (signal {-result.returncode})")
+        raise StoreError(
+            StoreErrorCause.DAMAGED, f"{path}: verification crashed (signal {-result.returncode})"
+        )
     if result.returncode:
         cause, _, text = result.stdout.strip().partition(": ")
-        by_value = {trouble.value: trouble for trouble in Trouble}
-        raise StoreError(by_value.get(cause, Trouble.DAMAGED), text or result.stderr.strip()[-300:])
+        by_value = {member.value: member for member in StoreErrorCause}
+        raise StoreError(by_value.get(cause, StoreErrorCause.DAMAGED), text or result.stderr.strip()[-300:])
 
 
-def load(env: lmdb.Environment) -> tuple[Owner, Stable]:
+def load(env: lmdb.Environment) -> tuple[Owner, StableState]:
     """Read the whole store. Raises ``StoreError`` if it is invalid or inconsistent."""
     with env.begin() as txn:
         owner = decode_record(txn.get(META), Owner, "owner")
         if owner.schema > SCHEMA:
-            raise StoreError(Trouble.NEWER, f"schema {owner.schema}, this version reads up to {SCHEMA}")
+            raise StoreError(
+                StoreErrorCause.NEWER, f"schema {owner.schema}, this version reads up to {SCHEMA}"
+            )
         hard_state = decode_record(txn.get(HARD_STATE), HardState, "term and vote")
         snapshot = decode_record(txn.get(SNAPSHOT), Snapshot, "snapshot")
         entries: list[Entry] = []
@@ -122,9 +126,9 @@
                 entry = decode_record(bytes(value), Entry, f"entry {int.from_bytes(key[len(ENTRY) :])}")
                 expected = snapshot.index + len(entries) + 1
                 if entry.index != expected or key != entry_key(expected):
-                    raise StoreError(Trouble.DAMAGED, f"entry {expected} is missing")
+                    raise StoreError(StoreErrorCause.DAMAGED, f"entry {expected} is missing")
                 entries.append(entry)
-    return owner, Stable(Log(snapshot, entries), hard_state.term, hard_state.vote, hard_state.epoch)
+    return owner, StableState(Log(snapshot, entries), hard_state.term, hard_state.vote, hard_state.epoch)
 
 
 class ConsensusStore:
@@ -135,7 +139,7 @@
         path: Path,
         fleet: str,
         member: str,
-        initial: Stable,
+        initial: StableState,
         size: int = MAX_STORE_BYTES,
         check: bool = True,
     ) -> None:
@@ -153,7 +157,7 @@
             self.env.close()
             raise
 
-    def _open_state(self, owner: Owner, initial: Stable) -> Stable:
+    def _open_state(self, owner: Owner, initial: StableState) -> StableState:
         with self.env.begin() as txn:
             new = txn.get(META) is None
         if new:
@@ -163,7 +167,7 @@
             if (recorded.fleet, recorded.member) != (owner.fleet, owner.member):
                 actual = f"{recorded.member!r} of fleet {recorded.fleet!r}"
                 text = f"{self.path} belongs to {actual}, expected {owner.member!r} of fleet {owner.fleet!r}"
-                raise StoreError(Trouble.FOREIGN, text)
+                raise StoreError(StoreErrorCause.FOREIGN, text)
             stable.epoch += 1
         try:
             with self.env.begin(write=True) as txn:
@@ -183,8 +187,8 @@
                 if change.snapshot is not None:
                     self._delete_from(txn, 0)
                     txn.put(SNAPSHOT, encode_record(change.snapshot))
-                elif change.cut:
-                    self._delete_from(txn, change.cut)
+                elif change.truncate_from:
+                    self._delete_from(txn, change.truncate_from)
                 if change.entries:
                     self._delete_from(txn, change.entries[0].index)
                 for entry in change.entries:
--- a/tests/fleet/adoption/test_wiring.py
+++ b/tests/fleet/adoption/test_wiring.py
@@ -16,7 +16,7 @@
 from quincepath.config.schema.topology import TopologyEntry
 from quincepath.fleet.adoption import AdoptMap, AwayMap, BackMap, Map, MapCommand, ProposeMap
 from quincepath.fleet.adoption.reports import REPORT_TTL_NS, Measurement
-from quincepath.fleet.agreement.entries import Entry
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.forecast import Environment, FigureKind, Sample, decode_record, forecast
 from quincepath.fleet.permits import Permits, encode
 from quincepath.fleet.topology import NS_PER_MS, AdoptionHooks, MapAdoption, configured_map
@@ -224,7 +224,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sent: list[Any] = []
-    monkeypatch.setattr(commands, "tell", lambda *given: sent.append(given))
+    monkeypatch.setattr(commands, "send_command", lambda *given: sent.append(given))
     path = tmp_path / "map.yaml"
     path.write_text("shards:\n  label: district\n  map:\n  - {name: s1, values: [a], set: g1}\n")
     result = CliRunner().invoke(
@@ -244,7 +244,7 @@
     fleet.do(ProposeMap, moved(2))
     fleet.do(AdoptMap)
     fleet.tick()
-    monkeypatch.setattr(commands, "ask", lambda at, path: json.loads(json.dumps(fleet.status())))
+    monkeypatch.setattr(commands, "fetch_page", lambda at, path: json.loads(json.dumps(fleet.status())))
     result = CliRunner().invoke(main, ["fleet", "topology", "status", "--at", "x"])
     assert result.exit_code == 3, result.output
     assert "version 1 in use, version 2 proposed by ann; step: staging" in result.output
