--- a/tests/fleet/adoption/test_model.py
+++ b/tests/fleet/adoption/test_model.py
@@ -33,7 +33,8 @@
 
 RUN: list[Action] = [
     ("begin", "b1"), ("propose", "split"), ("adopt",), *all_of("apply", "apply", "stage"),
-    *report_and_hear(), ("use",), ("apply", "b1"), ("end", "b1"), ("begin", "b1"), ("begin", "b2"), *all_of("apply")[1:], ("end", "b2"),
+    *report_and_hear(), ("use",),
+    ("apply", "b1"), ("end", "b1"), ("begin", "b1"), ("begin", "b2"), *all_of("apply")[1:], ("end", "b2"),
     *report_and_hear(), ("measured", "bad"), ("back",), *all_of("apply", "apply", "stage"),
     *report_and_hear(), ("use",),
     *all_of("apply"), ("end", "b1"),
