--- a/benchmarks/capacity/scale/hollow.py
+++ b/benchmarks/capacity/scale/hollow.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.scale.meter import CONFIGURATION, LEDGER, LOAD, LOG, VIEW, MeteredLoop
 from benchmarks.capacity.scale.plan import Configurations, Mechanism, MemberPlan, Plan
 from benchmarks.capacity.scale.traffic import figures_of
-from quincepath.broker.service.fleet import open_keepers_store
+from quincepath.broker.service.fleet import open_voter_store
 from quincepath.fleet.permits import DRAIN, Back, Grant
 from quincepath.fleet.service import Fleet
 from quincepath.fleet.transport import Transport
@@ -88,7 +88,7 @@
             log,
             CollectorRegistry(),
             Path(plan.folder),
-            open_keepers_store,
+            open_voter_store,
             HollowEdge if Mechanism.VIEW in plan.mechanisms else SilentViewEdge,
         )
         self.configuration: HollowConfiguration | None = None
--- a/quincepath/broker/service/clients.py
+++ b/quincepath/broker/service/clients.py
@@ -9,13 +9,13 @@
 from quincepath.broker.dispatcher import Dispatcher, Rendered, TryAnswer
 from quincepath.broker.driver import Driver
 from quincepath.broker.pending import SchedulingInfo
-from quincepath.broker.service.guest import Arrival, Guests
+from quincepath.broker.service.extension import Arrival, Extensions
 from quincepath.fronts.remote_read.front import (
     JOINED_HEADER,
     RUN_HEADER,
     RemoteReadFront,
     Reply,
-    name_of,
+    query_name,
     text_reply,
 )
 from quincepath.fronts.remote_read.plan import BadRequest, Plan
@@ -45,30 +45,30 @@
         self,
         front: RemoteReadFront,
         driver: Driver,
-        desk: AskIntake[Reply],
-        guests: Guests,
+        intake: AskIntake[Reply],
+        extensions: Extensions,
         loop: Loop,
         metrics: Metrics,
         log: Any,
         trace_of: Callable[[int], str],
-        room: "FairPendingQueue | None" = None,
+        fair_queue: "FairPendingQueue | None" = None,
     ) -> None:
-        self.front, self.door, self.guests, self.loop = front, desk.gate, guests, loop
+        self.front, self.gate, self.extensions, self.loop = front, intake.gate, extensions, loop
         self.metrics, self.log, self.trace_of = metrics, log, trace_of
-        self.reception: Dispatcher[Plan, Reply] = Dispatcher(driver, desk, self._render, room)
+        self.dispatcher: Dispatcher[Plan, Reply] = Dispatcher(driver, intake, self._render, fair_queue)
         self.open: dict[int, _Open] = {}
         self._handles = 0
 
-    def request(self, exchange: Exchange) -> None:
+    def on_request(self, exchange: Exchange) -> None:
         """A request came in whole."""
         self._handles += 1
         handle, now, request = self._handles, self.loop.now, exchange.request
-        name = name_of(request, handle)
+        name = query_name(request, handle)
         attempt = self.front.identify(request, handle, exchange.connection.address)
-        known, plan = self.reception.known(now, attempt)
+        known, plan = self.dispatcher.known(now, attempt)
         ask: Ask | None = None
-        if self.door.stopping and not known:
-            self._turn_away(exchange, self.door.reject_with_base_delay("stopping"), name)
+        if self.gate.stopping and not known:
+            self._reject(exchange, self.gate.reject_with_base_delay("stopping"), name)
             return
         try:
             if not known:
@@ -89,23 +89,23 @@
         worth = plan.entry.worth if plan is not None else 1.0
         arrival = Arrival(attempt, ask, plan) if ask is not None and plan is not None else None
         if arrival is not None:
-            away = self.guests.arrive(now, arrival)
+            away = self.extensions.admit(now, arrival)
             if away is not None:
-                self._turn_away(exchange, away, name)
+                self._reject(exchange, away, name)
                 return
         turn = self._turn(attempt, plan, now) if arrival is not None and plan is not None else None
-        decision = self.reception.arrive(now, attempt, ask, plan, worth, len(request.body), turn)
+        decision = self.dispatcher.arrive(now, attempt, ask, plan, worth, len(request.body), turn)
         if arrival is not None and not isinstance(decision, Begin):
-            self.guests.turned(now, arrival)
+            self.extensions.on_not_begun(now, arrival)
         match decision:
             case Rejection():
-                self._turn_away(exchange, decision, name)
+                self._reject(exchange, decision, name)
             case Conflict():
                 reply = text_reply(422, "this idempotency key was used for another request body")
                 self._at_once(exchange, reply, name)
             case TooManyTries():
-                self._turn_away(
-                    exchange, self.door.reject_with_base_delay("too many tries wait for this ask"), name
+                self._reject(
+                    exchange, self.gate.reject_with_base_delay("too many tries wait for this ask"), name
                 )
             case ReplayAnswer(reply=said):
                 self._answer(exchange, said, MatchKind.REPLAYED)
@@ -113,13 +113,13 @@
                 self.open[handle] = _Open(exchange, name)
                 exchange.on_disconnect = lambda: self._left(handle)
                 if isinstance(decision, Begin):
-                    self.guests.began(now, decision.ask, request.headers)
+                    self.extensions.on_ask_begun(now, decision.ask, request.headers)
 
     def _turn(self, attempt: Try, plan: Plan, now: int) -> SchedulingInfo | None:
-        """What a room to wait in has to know."""
-        if self.reception.pending is None:
+        """What a fair_queue to wait in has to know."""
+        if self.dispatcher.pending is None:
             return None
-        from quincepath.limits.fair import Footprint  # loaded with such a room only
+        from quincepath.limits.fair import Footprint  # loaded with such a fair_queue only
 
         cells = tuple(sorted({self.front.planner.map.cell_of_shard(part.shard) for part in plan.parts}))
         footprint = Footprint(plan.kind, len(plan.parts), cells, plan.span)
@@ -149,7 +149,7 @@
         self.log.exception("internal error", query=name)
         return Reply(500, {"Content-Type": "text/plain"}, b"failed: internal error\n", Verdict.FAILED)
 
-    def _turn_away(self, exchange: Exchange, away: Rejection, name: str) -> None:
+    def _reject(self, exchange: Exchange, away: Rejection, name: str) -> None:
         self.metrics.rejected.labels(away.cause).inc()
         self.log.info("turned away", query=name, cause=away.cause)
         reply = self.front.refusal(f"refused: {away.cause}; asking again is harmless", away.retry_in)
@@ -160,7 +160,7 @@
         if held is not None:
             self.metrics.tries.labels("left").inc()
             self.log.info("client left", query=held.name)
-            self.reception.client_left(self.loop.now, handle)
+            self.dispatcher.client_left(self.loop.now, handle)
 
     def _render(self, finish: Finish, plan: Plan) -> Rendered[Reply]:
         try:
@@ -169,7 +169,7 @@
             reply = self._internal(f"ask {finish.handle}")
         return Rendered(reply, len(reply.body), reply.verdict or Verdict.FAILED)
 
-    def owed(self, owed: TryAnswer[Reply]) -> None:
+    def deliver(self, owed: TryAnswer[Reply]) -> None:
         """The one final answer of a try, or that its own time is up."""
         held = self.open.pop(owed.handle, None)
         if held is None:
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -7,12 +7,12 @@
 from quincepath.asks.intake import AskIntake
 from quincepath.broker.driver import DecisionModule, Driver
 from quincepath.broker.service.clients import Clients
-from quincepath.broker.service.figures import PAGE_TYPE, Figures, MemoryWatch
-from quincepath.broker.service.guest import Guests
+from quincepath.broker.service.extension import Extensions
 from quincepath.broker.service.holders import Holders
-from quincepath.broker.service.tracing import Tracing, open_traces
+from quincepath.broker.service.telemetry import PAGE_TYPE, MemoryWatch, Telemetry
+from quincepath.broker.service.tracing import TracingExtension, open_traces
 from quincepath.broker.service.turn import Turn
-from quincepath.config.schema import Config, admission_bounds, book_limits, module_settings
+from quincepath.config.schema import Config, admission_bounds, module_settings, registry_limits
 from quincepath.fronts.remote_read.front import RemoteReadFront, Reply
 from quincepath.interface import Members, Settings
 from quincepath.membership.source import MembershipSource
@@ -35,7 +35,7 @@
 METRICS_TIMES = Timeouts(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
 
 
-def waiting_room(config: Config, seed: int) -> "FairPendingQueue | None":
+def make_fair_queue(config: Config, seed: int) -> "FairPendingQueue | None":
     """Where slow queries wait for their turn; None without ``limits.fair``, and nothing of it is loaded."""
     fair = config.limits.fair
     if fair is None:
@@ -69,7 +69,7 @@
         self.config, self.loop = config, loop
         self.log = logger(broker=config.broker.number)
         self.metrics = Metrics()
-        self.guests = Guests()
+        self.extensions = Extensions()
         shards = config.shards
         sets = {name: cell for cell, name in enumerate(shards.sets())}
         self.map = ShardMap(
@@ -83,29 +83,37 @@
         settings = module_settings(config)
         seed = config.broker.seed or system.wall_ns()
         module = make_module(settings, seed)
-        desk: AskIntake[Reply] = AskIntake(
-            book_limits(config.asks, config.broker.tick), admission_bounds(config.limits), seed
+        intake: AskIntake[Reply] = AskIntake(
+            registry_limits(config.asks, config.broker.tick), admission_bounds(config.limits), seed
+        )
+        self.holders = Holders(
+            source, loop, config.roster_poll, self.log, self.metrics, self.apply_membership
         )
-        self.holders = Holders(source, loop, config.roster_poll, self.log, self.metrics, self.told)
         self.traces = open_traces(config, base, seed, loop)
         if self.traces is not None:
-            self.guests.add(Tracing(self.traces, self.holders.name))
+            self.extensions.add(TracingExtension(self.traces, self.holders.name))
         self.memory = MemoryWatch(
-            config.limits.max_memory, loop, self.metrics, self.log, desk.set_pressure,
+            config.limits.max_memory, loop, self.metrics, self.log, intake.set_pressure,
             lambda: not self.server.listener.closed,
         )  # fmt: skip
-        self.door = desk.gate
+        self.gate = intake.gate
         self.driver = Driver(module, settings, config.rules.drain_grace)
         front = RemoteReadFront(config, self.map)
-        self.waiting_room = waiting_room(config, seed)
+        self.fair_queue = make_fair_queue(config, seed)
         self.clients = Clients(
-            front, self.driver, desk, self.guests, loop, self.metrics, self.log, self._trace_of,
-            self.waiting_room,
+            front, self.driver, intake, self.extensions, loop, self.metrics, self.log, self._trace_of,
+            self.fair_queue,
         )  # fmt: skip
-        self.reception = self.clients.reception
-        self.figures = Figures(self.metrics, self.log, self._trace_of)
+        self.dispatcher = self.clients.dispatcher
+        self.telemetry = Telemetry(self.metrics, self.log, self._trace_of)
         self.turn = Turn(
-            loop, self.driver, self.clients, self.holders, self.guests, self.figures, self._end_when_idle
+            loop,
+            self.driver,
+            self.clients,
+            self.holders,
+            self.extensions,
+            self.telemetry,
+            self._end_when_idle,
         )
         self.upstream = self.turn.upstream = Upstream(
             loop,
@@ -117,41 +125,47 @@
                 config.limits.max_answer,
             ),
             self.holders.path,
-            self.turn.ended,
+            self.turn.on_attempt_ended,
         )
         self.fleet = None
         if config.fleet is not None:
-            from quincepath.broker.service.fleet import FleetGuest  # not loaded without a fleet
+            from quincepath.broker.service.fleet import FleetExtension  # not loaded without a fleet
 
             registry = self.metrics.registry
-            guest = FleetGuest(
+            extension = FleetExtension(
                 config, config.fleet, loop, self.log, registry, base, self.holders, self.driver,
-                self.waiting_room,
+                self.fair_queue,
             )  # fmt: skip
-            self.fleet = guest.fleet
-            self.guests.add(guest)
-            if guest.fleet.agreed is not None and guest.fleet.agreed.maps is not None:
-                from quincepath.broker.service.maps import MapsGuest  # not loaded where the map stays
-
-                self.guests.add(MapsGuest(guest.fleet.agreed.maps, front.planner, self.log, registry))
-            if guest.fleet.shared is not None:
-                from quincepath.broker.service.sharing import SharingGuest  # not loaded without a ledger
-
-                self.guests.add(
-                    SharingGuest(
-                        guest.fleet.shared,
+            self.fleet = extension.fleet
+            self.extensions.add(extension)
+            if extension.fleet.agreed is not None and extension.fleet.agreed.maps is not None:
+                from quincepath.broker.service.shard_maps import (
+                    ShardMapExtension,  # not loaded where the map stays
+                )
+
+                self.extensions.add(
+                    ShardMapExtension(extension.fleet.agreed.maps, front.planner, self.log, registry)
+                )
+            if extension.fleet.shared is not None:
+                from quincepath.broker.service.load_control import (
+                    LoadControlExtension,  # not loaded without a ledger
+                )
+
+                self.extensions.add(
+                    LoadControlExtension(
+                        extension.fleet.shared,
                         self.driver,
                         self.map,
-                        self.reception.enqueue,
+                        self.dispatcher.enqueue,
                         lambda: self.upstream.counts.opened,
-                        self.waiting_room,
+                        self.fair_queue,
                     )  # fmt: skip
                 )
         self.stopping = False
         self.on_stopped: Callable[[], None] | None = None
         listen = config.listen
         self.server = HttpServer(
-            loop, listen.host, listen.port, self.clients.request,
+            loop, listen.host, listen.port, self.clients.on_request,
             Limits(listen.max_headers, listen.max_body),
             Timeouts(listen.idle_timeout, listen.request_timeout, listen.write_timeout),
             listen.max_connections,
@@ -181,9 +195,9 @@
         """Look for news of the holders now; ``force`` reads the file even if it looks unchanged."""
         self.holders.read(force)
 
-    def told(self, news: Members) -> None:
+    def apply_membership(self, news: Members) -> None:
         """News of the list: for the next batch, and connections to who is going are closed."""
-        self.reception.enqueue(MembershipUpdate(news))
+        self.dispatcher.enqueue(MembershipUpdate(news))
         for entry in news.entries:
             if entry.phase.name != "READY":
                 self.upstream.close_node(entry.node)
@@ -192,7 +206,7 @@
         return "" if self.traces is None else self.traces.trace_id(ask)
 
     def _metrics_request(self, exchange: Exchange) -> None:
-        if self.guests.request(exchange):
+        if self.extensions.handle_request(exchange):
             return
         if exchange.request.path != "/metrics":
             exchange.text(404, "not found; metrics are at /metrics")
@@ -200,8 +214,8 @@
         metrics = self.metrics
         metrics.open_queries.set(len(self.driver.queries))
         metrics.open_parts.set(len(self.driver.parts))
-        room = self.waiting_room
-        metrics.fair_waiting.set(room.waiting() if room is not None else 0)
+        fair_queue = self.fair_queue
+        metrics.fair_waiting.set(fair_queue.waiting() if fair_queue is not None else 0)
         metrics.connections.labels("clients").set(len(self.server.connections))
         metrics.connections.labels("holders").set(self.upstream.counts.open)
         for phase in ("READY", "DRAINING", "GONE"):
@@ -217,11 +231,11 @@
             return
         self.log.info("stopping", open=len(self.clients.open))
         self.stopping = True
-        self.guests.drain()
-        self.door.stop()
-        if self.waiting_room is not None:
+        self.extensions.drain()
+        self.gate.stop()
+        if self.fair_queue is not None:
             longest = max(entry.deadline for entry in self.config.classes)
-            self.waiting_room.stop(self.loop.clock() + longest)
+            self.fair_queue.stop(self.loop.clock() + longest)
         self.on_stopped = on_stopped
         self.server.drain()
         self.loop.call_at(self.loop.now, lambda: None)
@@ -233,10 +247,10 @@
         self.server.close()
         self.metrics_server.close()
         self.upstream.close()
-        self.guests.close()
+        self.extensions.close()
 
     def _end_when_idle(self) -> None:
-        idle = not self.clients.open and not self.reception.running() and not self.server.connections
+        idle = not self.clients.open and not self.dispatcher.running() and not self.server.connections
         if self.stopping and idle and self.on_stopped is not None:
             done, self.on_stopped = self.on_stopped, None
             done()
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as a guest of the broker, and the store that its keepers are handed; loaded with a fleet only."""
+"""The broker's fleet membership as an extension, and the store of log voters; loaded with a fleet only."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry
 
 from quincepath.broker.driver import Driver
-from quincepath.broker.service.guest import Guest
+from quincepath.broker.service.extension import Extension
 from quincepath.broker.service.holders import Holders
 from quincepath.config.schema import Config, FleetEntry, Holder, NodeListEntry, TenantEntry
 from quincepath.fleet.configuration.changes import Edit
@@ -22,14 +22,14 @@
     from quincepath.broker.fair_pending import FairPendingQueue
 
 
-def open_keepers_store(path: Path, fleet: str, member: str, first: StableState) -> Storage:
+def open_voter_store(path: Path, fleet: str, member: str, first: StableState) -> Storage:
     """A keeper's store on disk. Raises ``StoreError``."""
     from quincepath.store.consensus import ConsensusStore  # with it LMDB, which only keepers need
 
     return ConsensusStore(path, fleet, member, first)
 
 
-class FleetGuest(Guest):
+class FleetExtension(Extension):
     """Tells the fleet of the holders and of what is out at them; what it agrees on is laid over the list."""
 
     def __init__(
@@ -42,17 +42,17 @@
         base: Path,
         holders: Holders,
         driver: Driver,
-        room: "FairPendingQueue | None",
+        fair_queue: "FairPendingQueue | None",
     ) -> None:
-        self.fleet = Fleet(config, entry, loop, log, registry, base, open_keepers_store)
-        self.fleet.on_drained = holders.drained
-        self.fleet.open_parts = lambda: holders.out_at(driver)
+        self.fleet = Fleet(config, entry, loop, log, registry, base, open_voter_store)
+        self.fleet.on_drained = holders.set_drained
+        self.fleet.open_parts = lambda: holders.attempts_by_holder(driver)
         self.fleet.zone_name = lambda position: holders.source.zone_name(position)
         self.fleet.holder_infos = lambda: list(holders.source.state.holders.values())
         if self.fleet.distribution is not None:
-            self.fleet.distribution.on_apply = lambda edits: put_in_force(edits, holders, room)
+            self.fleet.distribution.on_apply = lambda edits: apply_edits(edits, holders, fair_queue)
 
-    def request(self, exchange: Exchange) -> bool:
+    def handle_request(self, exchange: Exchange) -> bool:
         return self.fleet.request(exchange)
 
     def drain(self) -> None:
@@ -62,7 +62,7 @@
         self.fleet.close()
 
 
-def put_in_force(edits: Sequence[Edit], holders: Holders, room: "FairPendingQueue | None") -> None:
+def apply_edits(edits: Sequence[Edit], holders: Holders, fair_queue: "FairPendingQueue | None") -> None:
     """Nodes and tenants that edits of the distributed configuration name; all in this turn."""
     nodes: dict[str, Holder | None] = {}
     whole: bool | None = None
@@ -75,7 +75,7 @@
             case "list", NodeListEntry() | None:
                 whole = entry is None or entry.whole
             case "tenant", TenantEntry() | None:
-                if room is not None:
-                    room.set_weight(name, None if entry is None else entry.weight)
+                if fair_queue is not None:
+                    fair_queue.set_weight(name, None if entry is None else entry.weight)
     if nodes or whole is not None:
         holders.distribute(nodes, whole)
--- a/quincepath/broker/service/holders.py
+++ b/quincepath/broker/service/holders.py
@@ -22,10 +22,10 @@
         every: int,
         log: Any,
         metrics: Metrics,
-        told: Callable[[Members], None],
+        on_membership: Callable[[Members], None],
     ) -> None:
         self.source, self.loop, self.every = source, loop, every
-        self.log, self.metrics, self.told = log, metrics, told
+        self.log, self.metrics, self.on_membership = log, metrics, on_membership
 
     def name(self, node: NodeId) -> str:
         """For people."""
@@ -52,19 +52,19 @@
         for change in changes:
             self.log.info("holder changed", node=change.name, change=change.description)
         if news is not None:
-            self.told(news)
+            self.on_membership(news)
 
     def poll(self) -> None:
         """Look now, and again and again."""
         self.loop.call_in(self.every, self.poll)
         self.read()
 
-    def drained(self, names: frozenset[str]) -> None:
+    def set_drained(self, names: frozenset[str]) -> None:
         """The fleet agreed which holders are to be drained: laid over the list."""
         self.source.drained = names
         self.read(force=True)
 
-    def out_at(self, driver: Driver) -> dict[str, int]:
+    def attempts_by_holder(self, driver: Driver) -> dict[str, int]:
         """Attempts that have not ended, by holder."""
         found: dict[str, int] = {}
         for part in driver.parts.values():
--- a/quincepath/broker/service/sharing.py
+++ b/quincepath/broker/service/load_control.py
@@ -1,4 +1,4 @@
-"""Overload as one, and the ledger, as a guest: what it counts, whom it sheds, what it may spend."""
+"""Overload as one, and the ledger, as a extension: what it counts, whom it sheds, what it may spend."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import Driver, OpenPart
 from quincepath.broker.pending import QUEUE_REFUSAL
-from quincepath.broker.service.guest import Arrival, Guest
+from quincepath.broker.service.extension import Arrival, Extension
 from quincepath.fleet.load_control.failure_attribution import FailureAttribution
 from quincepath.fleet.load_reports.types import Count, SendKind, Totals
 from quincepath.fleet.load_service import LoadService
@@ -26,22 +26,22 @@
 TURNED = (Result.FULL, Result.CONNECT_FAILED, Result.TIMEOUT, Result.ERROR)  # a set could not take the part
 
 
-class SharingGuest(Guest):
+class LoadControlExtension(Extension):
     """``note`` puts an input into the driver's next batch; ``dials`` counts connections begun to holders."""
 
     def __init__(
         self, shared: LoadService, driver: Driver, shard_map: ShardMap, note: Callable[[Input], None],
-        dials: Callable[[], int], room: "FairPendingQueue | None" = None,
+        dials: Callable[[], int], fair_queue: "FairPendingQueue | None" = None,
     ) -> None:  # fmt: skip
         self.shared, self.driver, self.note, self.dials = shared, driver, note, dials
-        self.room = room
+        self.fair_queue = fair_queue
         self._cell = shard_map.cell_of_shard
-        self.blame = FailureAttribution()
+        self.attribution = FailureAttribution()
         self._dials = 0
         shared.on_decision = self._told
         shared.on_totals = self._totals
 
-    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
+    def admit(self, now: int, arrival: Arrival) -> Rejection | None:
         ask, attempt = arrival.ask, arrival.attempt
         cells = tuple(sorted({self._cell(part.shard) for part in ask.parts}))
         worth, left = arrival.plan.entry.worth, ask.time_left
@@ -51,28 +51,28 @@
         shed = self.shared.on_arrival(asked)
         return None if shed is None else Rejection(shed.reason.value, shed.retry_in)
 
-    def sent(self, now: int, order: StartCall) -> None:
+    def on_call_sent(self, now: int, order: StartCall) -> None:
         tally = self.shared.control.counter
         for one in order.attempts:
             tally.count_sends(SendKind.FURTHER if one.attempt else SendKind.FIRST)
 
-    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
+    def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         if item.result is Result.OK or item.result in TURNED:
-            self.blame.record_attempt(self._cell(part.ask.shard), item.result is not Result.OK)
+            self.attribution.record_attempt(self._cell(part.ask.shard), item.result is not Result.OK)
 
-    def turned(self, now: int, arrival: Arrival) -> None:
+    def on_not_begun(self, now: int, arrival: Arrival) -> None:
         self.shared.control.counter.count_outcome(arrival.ask.kind, Count.TURNED_AWAY)
 
-    def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
+    def on_ask_ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
         tally, finish = self.shared.control.counter, ended.finish
-        how = how_of(finish, ended.context.entry.target)
+        how = query_outcome(finish, ended.context.entry.target)
         tally.count_outcome(ended.context.kind, how)
         asked = [self._cell(part.shard) for part in ended.context.parts]
         if how in (Count.IN_TIME, Count.REFUSED, Count.FAILED):
-            self.blame.record_query(asked, how is not Count.IN_TIME)
+            self.attribution.record_query(asked, how is not Count.IN_TIME)
         if finish is not None and how in (Count.REFUSED, Count.FAILED):
             came = Counter(self._cell(shard) for step, shard, _ in finish.bodies if step == 1)
-            for cell in self.blame.sets_at_fault(asked, came):
+            for cell in self.attribution.sets_at_fault(asked, came):
                 tally.count_replica_set(cell, 0, 1)
 
     def _told(self, out: Decision) -> None:
@@ -85,11 +85,11 @@
 
     def _totals(self, totals: Totals) -> None:
         """Turns go by what tenants got at all brokers; what they got here is told to the others."""
-        if self.room is not None:
+        if self.fair_queue is not None:
             sharing = self.shared.control
-            for tenant, used in self.room.served().items():
+            for tenant, used in self.fair_queue.served().items():
                 sharing.counter.add_slot_time(tenant, used)
-            self.room.add_remote_usage(
+            self.fair_queue.add_remote_usage(
                 sharing.remote_slot_time.by_tenant, max(self.shared.loop.now - totals.at, 0)
             )
 
@@ -97,7 +97,7 @@
         self.shared.close()
 
 
-def how_of(finish: Finish | None, target: int) -> Count:
+def query_outcome(finish: Finish | None, target: int) -> Count:
     """What became of a query, for the ledger. ``target`` in ns."""
     if finish is None:
         return Count.LEFT
--- a/quincepath/broker/service/maps.py
+++ b/quincepath/broker/service/shard_maps.py
@@ -1,4 +1,4 @@
-"""Versions of the shard map as a guest: a query holds the one it was cut by until its merge is done."""
+"""Versions of the shard map as a extension: a query holds the one it was cut by until its merge is done."""
 
 from collections.abc import Mapping
 from functools import partial
@@ -8,7 +8,7 @@
 
 from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.service.guest import Arrival, Guest
+from quincepath.broker.service.extension import Arrival, Extension
 from quincepath.fleet.adoption import Step
 from quincepath.fleet.forecast import Part
 from quincepath.fleet.topology import MapAdoption
@@ -23,7 +23,7 @@
 UNREAD = 1_000_000_000  # ns until a query that came too early is advised to come again
 
 
-class MapsGuest(Guest):
+class ShardMapExtension(Extension):
     """Stages maps for the planner, and takes no query before this broker has read what is in use."""
 
     def __init__(self, maps: MapAdoption, planner: Planner, log: Any, registry: CollectorRegistry) -> None:
@@ -68,25 +68,25 @@
         found = self._built.get(version.number)
         self.planner.use(version.to_shard_map(self.cells) if found is None else found, version.number)
 
-    def arrive(self, now: int, arrival: Arrival) -> Rejection | None:
+    def admit(self, now: int, arrival: Arrival) -> Rejection | None:
         if not self.maps.follower.accepts_queries:
             return Rejection("shard map not read or not staged", UNREAD)
         self._tenant = arrival.attempt.scope
         return None
 
-    def began(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
+    def on_ask_begun(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
         """In the same turn as its plan was made: the version is the same."""
         version = self.maps.follower.hold(ask)
         if version is not None:
             self._held[ask] = version.number
             self._tenants[ask] = self._tenant
 
-    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
+    def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         ask = part.query.ask.handle
         if item.result is Result.OK and part.step == 1 and ask in self._held:
             self._took.setdefault(ask, {})[part.ask.shard] = now - part.attempts[item.attempt].sent
 
-    def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
+    def on_ask_ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
         held = self._held.pop(ended.ask, None)
         tenant, took = self._tenants.pop(ended.ask, ""), self._took.pop(ended.ask, {})
         if held is None:
--- a/quincepath/broker/service/figures.py
+++ b/quincepath/broker/service/telemetry.py
@@ -18,7 +18,7 @@
 PAGE_TYPE = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8"}
 
 
-def answer_of(ended: AskEnded[Plan, Reply]) -> str:
+def answer_label(ended: AskEnded[Plan, Reply]) -> str:
     """How an ask ended, in one word: left, whole, partial, refused or failed."""
     finish, reply = ended.finish, ended.reply
     if finish is None or reply is None:
@@ -28,13 +28,13 @@
     return reply.verdict.value if reply.verdict else "failed"
 
 
-class Figures:
+class Telemetry:
     """Counts and lines. ``trace_of`` gives the id of an ask's trace, empty where there is none."""
 
     def __init__(self, metrics: Metrics, log: Any, trace_of: Callable[[int], str]) -> None:
         self.metrics, self.log, self.trace_of = metrics, log, trace_of
 
-    def came(self, part: OpenPart, item: AttemptEnded, name: str) -> None:
+    def record_attempt(self, part: OpenPart, item: AttemptEnded, name: str) -> None:
         """An attempt at the holder of this name ended."""
         self.metrics.attempts.labels(name, item.result.name.lower()).inc()
         if item.cause and item.result.name not in ("CANCELLED",):
@@ -43,10 +43,10 @@
                 node=name, outcome=item.result.name, cause=item.cause,
             )  # fmt: skip
 
-    def ended(self, ended: AskEnded[Plan, Reply]) -> None:
+    def record_ask(self, ended: AskEnded[Plan, Reply]) -> None:
         """An ask is over."""
         kind, finish, reply = ended.context.entry.name, ended.finish, ended.reply
-        answer = answer_of(ended)
+        answer = answer_label(ended)
         self.metrics.answers.labels(kind, answer).inc()
         if finish is None or reply is None:
             return
@@ -69,7 +69,7 @@
 
 
 class MemoryWatch:
-    """Tells the circuit how much the process holds; the size comes from the system. ``press`` hears changes.
+    """Tells the monitor how much the process holds; the size comes from the system. ``press`` hears changes.
 
     It looks again for as long as ``serving`` says so.
     """
@@ -83,7 +83,7 @@
         press: Callable[[Pressure], None],
         serving: Callable[[], bool],
     ) -> None:
-        self.circuit = MemoryPressureMonitor(most)
+        self.monitor = MemoryPressureMonitor(most)
         self.resident: Callable[[], int] = loop.system.resident_bytes or _resident_bytes
         self.loop, self.metrics, self.log, self.press = loop, metrics, log, press
         self.serving = serving
@@ -97,8 +97,8 @@
         except (OSError, psutil.Error):  # out of descriptors: the size is read from a file
             return
         self.metrics.resident_bytes.set(resident)
-        before = self.circuit.pressure
-        found = self.circuit.sample(resident)
+        before = self.monitor.pressure
+        found = self.monitor.sample(resident)
         if found is not before:
             self.log.warning("memory pressure", was=before.name, now=found.name, bytes=resident)
             self.press(found)
--- a/quincepath/broker/service/tracing.py
+++ b/quincepath/broker/service/tracing.py
@@ -1,12 +1,12 @@
-"""Traces as a guest of the broker: spans of asks and of their attempts."""
+"""Traces as a extension of the broker: spans of asks and of their attempts."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
 from quincepath.broker.dispatcher import AskEnded
 from quincepath.broker.driver import OpenPart
-from quincepath.broker.service.figures import answer_of
-from quincepath.broker.service.guest import Guest
+from quincepath.broker.service.extension import Extension
+from quincepath.broker.service.telemetry import answer_label
 from quincepath.config.schema import Config
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
@@ -25,25 +25,25 @@
     return Traces(path, config.traces.share, seed, config.broker.number, lambda at: started + at)
 
 
-class Tracing(Guest):
+class TracingExtension(Extension):
     """Notes what passes; ``name`` gives a holder's."""
 
     def __init__(self, traces: Traces, name: Callable[[NodeId], str]) -> None:
         self.traces, self.name = traces, name
 
-    def began(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
+    def on_ask_begun(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
         self.traces.begin(ask, now, headers)
 
-    def sent(self, now: int, order: StartCall) -> None:
+    def on_call_sent(self, now: int, order: StartCall) -> None:
         name = self.name(order.node)
         for one in order.attempts:
             self.traces.attempt_sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
 
-    def came(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
+    def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         outcome = item.result.name.lower()
         self.traces.attempt_ended(part.query.ask.handle, item.part, item.attempt, outcome, item.cause, now)
 
-    def ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
+    def on_ask_ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
         finish, entry = ended.finish, ended.context.entry
         values: dict[str, str | int] = {"class": entry.name}
         late = False
@@ -53,7 +53,7 @@
                 "cause": finish.cause, "tries": ended.tries,
                 "parts_in": finish.parts_in, "parts_asked": finish.parts_asked,
             }  # fmt: skip
-        self.traces.end(ended.ask, now, ended.name, answer_of(ended), late, values)
+        self.traces.end(ended.ask, now, ended.name, answer_label(ended), late, values)
 
     def close(self) -> None:
         self.traces.close()
--- a/quincepath/cli/lab.py
+++ b/quincepath/cli/lab.py
@@ -192,7 +192,7 @@
     sys.exit(1 if figures["findings"] else 0)
 
 
-class Ears:
+class RehearsalMonitor:
     """Hears a rehearsal's lines: moves the bar, keeps and records them where wanted, keeps to a pace.
 
     ``speed``: simulated seconds a second at most; 0 is as fast as it goes.
@@ -208,16 +208,16 @@
         self.last = ""
 
     @staticmethod
-    def shown(ears: "Ears | int | None") -> str:
+    def shown(monitor: "RehearsalMonitor | int | None") -> str:
         """What the progress bar says beside itself."""
-        return ears.summary() if isinstance(ears, Ears) else ""
+        return monitor.summary() if isinstance(monitor, RehearsalMonitor) else ""
 
     def summary(self) -> str:
         """How it goes, in a few words."""
         share = self.answered / max(self.ended, 1)
         return f"{self.asked} asked, {share:.1%} of ends answered{self.last and f'; {self.last}'}"
 
-    def hear(self, line: Line) -> None:
+    def on_line(self, line: Line) -> None:
         """Take one line."""
         if self.keep:
             self.lines.append(line)
@@ -295,10 +295,12 @@
             chosen = plan.seed if seed is None else seed
             writer = RecordingWriter(record, text, chosen, version("quincepath"))
         seconds = one.length // SECOND
-        with click.progressbar(length=seconds, label=name, file=sys.stderr, item_show_func=Ears.shown) as bar:
-            ears = Ears(seconds, bar, writer, report is not None, speed or 0.0)
-            outcomes[name] = rehearse(one, seed, ears.hear)
-        kept[name] = ears.lines
+        with click.progressbar(
+            length=seconds, label=name, file=sys.stderr, item_show_func=RehearsalMonitor.shown
+        ) as bar:
+            monitor = RehearsalMonitor(seconds, bar, writer, report is not None, speed or 0.0)
+            outcomes[name] = rehearse(one, seed, monitor.on_line)
+        kept[name] = monitor.lines
         if writer is not None:
             writer.close()
     if report is not None:
--- a/quincepath/cli/main.py
+++ b/quincepath/cli/main.py
@@ -19,7 +19,7 @@
 from quincepath.cli.lab import fail, hunt, rehearse_command, replay
 from quincepath.cli.topology import topology
 from quincepath.config.load import ConfigError, load
-from quincepath.config.schema import Config, Roster, check_holders, plain
+from quincepath.config.schema import Config, Roster, check_holders, config_as_dict
 from quincepath.fronts.remote_read.codec import HEADERS, VERSION_HEADER, CodecError, decode_response, encode
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest, ReadResponse
 from quincepath.lab.audit import audit as run_audit
@@ -94,7 +94,7 @@
                 except ValueError as error:
                     lines.append(f"{path.parent / config.roster}:1: {error}")
             if show:
-                click.echo(json.dumps(plain(config), indent=2))
+                click.echo(json.dumps(config_as_dict(config), indent=2))
         except ConfigError as error:
             lines.extend(error.lines)
     if lines:
--- a/quincepath/config/schema/__init__.py
+++ b/quincepath/config/schema/__init__.py
@@ -1,7 +1,7 @@
 """The shape of a configuration file, checked by pydantic; times are nanoseconds, sizes bytes.
 
 ``Config`` is a whole file and ``Roster`` a list of holders; each section's entry stands in the file of its
-concern. ``module_settings``, ``book_limits`` and ``admission_bounds`` are what the pure parts get of it.
+concern. ``module_settings``, ``registry_limits`` and ``admission_bounds`` are what the pure parts get of it.
 Bad input raises pydantic's ``ValidationError``, with the place, the value and what was expected.
 """
 
@@ -13,7 +13,7 @@
     RulesEntry,
     TracesEntry,
     admission_bounds,
-    book_limits,
+    registry_limits,
 )
 from quincepath.config.schema.classes import ClassEntry, ClassRule
 from quincepath.config.schema.distribution import DistributionEntry, NodeListEntry, RelayEntry
@@ -33,10 +33,10 @@
     check_holders,
 )
 from quincepath.config.schema.listeners import Listen, MetricsListen
+from quincepath.config.schema.load_sharing import FairEntry, LedgerEntry, OverloadEntry, TenantEntry
 from quincepath.config.schema.members import MemberName
 from quincepath.config.schema.module import module_kind, module_settings
-from quincepath.config.schema.sharing import FairEntry, LedgerEntry, OverloadEntry, TenantEntry
-from quincepath.config.schema.whole import Config, plain, zones
+from quincepath.config.schema.root import Config, config_as_dict, zone_positions
 
 __all__ = [
     "MS",
@@ -75,11 +75,11 @@
     "TenantEntry",
     "TracesEntry",
     "admission_bounds",
-    "book_limits",
+    "registry_limits",
     "check_distinct",
     "check_holders",
     "module_kind",
     "module_settings",
-    "plain",
-    "zones",
+    "config_as_dict",
+    "zone_positions",
 ]
--- a/quincepath/config/schema/broker.py
+++ b/quincepath/config/schema/broker.py
@@ -4,7 +4,7 @@
 
 from quincepath.asks.registry import RegistryLimits
 from quincepath.config.schema.base import MS, SECOND, Count, Model, Name
-from quincepath.config.schema.sharing import FairEntry
+from quincepath.config.schema.load_sharing import FairEntry
 from quincepath.config.values import Duration, Share, Size
 from quincepath.limits.admission import AdmissionBounds
 
@@ -82,7 +82,7 @@
         return self
 
 
-def book_limits(asks: AsksEntry, tick: int) -> RegistryLimits:
+def registry_limits(asks: AsksEntry, tick: int) -> RegistryLimits:
     """What the book of asks and tries is bound to."""
     return RegistryLimits(
         remember=asks.remember,
--- a/quincepath/config/schema/fleet.py
+++ b/quincepath/config/schema/fleet.py
@@ -7,8 +7,8 @@
 
 from quincepath.config.schema.base import MS, SECOND, Model, Name, Port
 from quincepath.config.schema.distribution import DistributionEntry
+from quincepath.config.schema.load_sharing import LedgerEntry, OverloadEntry
 from quincepath.config.schema.members import MemberName
-from quincepath.config.schema.sharing import LedgerEntry, OverloadEntry
 from quincepath.config.schema.topology import TopologyEntry
 from quincepath.config.values import Duration, Share
 
@@ -32,7 +32,7 @@
     address: Annotated[str, AfterValidator(_peer_address)]
 
     @property
-    def place(self) -> tuple[str, int]:
+    def socket_address(self) -> tuple[str, int]:
         """For a socket."""
         host, _, port = self.address.rpartition(":")
         return host, int(port)
--- a/quincepath/config/schema/module.py
+++ b/quincepath/config/schema/module.py
@@ -1,6 +1,6 @@
 """The module's settings, drawn from the configuration."""
 
-from quincepath.config.schema.whole import Config
+from quincepath.config.schema.root import Config
 from quincepath.interface import Effect, Limits, QueryClass, Rules, Settings
 
 
--- a/quincepath/config/schema/whole.py
+++ b/quincepath/config/schema/root.py
@@ -10,7 +10,7 @@
 from quincepath.config.schema.fleet import FleetEntry
 from quincepath.config.schema.holders import Holder, Shards, check_distinct, check_holders
 from quincepath.config.schema.listeners import Listen, MetricsListen
-from quincepath.config.schema.sharing import TenantEntry
+from quincepath.config.schema.load_sharing import TenantEntry
 from quincepath.config.values import Duration
 
 
@@ -54,12 +54,12 @@
         return self
 
 
-def zones(config: Config, more: list[Holder]) -> dict[str, int]:
+def zone_positions(config: Config, more: list[Holder]) -> dict[str, int]:
     """Positions of zone names: this broker's first, the rest by name."""
     names = {holder.zone for holder in [*config.holders, *more]} - {config.broker.zone}
     return {name: at for at, name in enumerate([config.broker.zone, *sorted(names)])}
 
 
-def plain(config: Config) -> dict[str, Any]:
+def config_as_dict(config: Config) -> dict[str, Any]:
     """The configuration with defaults filled in, for showing; times in nanoseconds."""
     return config.model_dump()
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -130,7 +130,7 @@
         boot = int.from_bytes(loop.system.entropy(8)) >> 1
         seed = (config.broker.seed or int.from_bytes(loop.system.entropy(4))) + boot
         self.view = View(view_settings(config, entry), boot, seed, loop.clock())
-        places = {peer.name: peer.place for peer in entry.peers}
+        places = {peer.name: peer.socket_address for peer in entry.peers}
         self._reasons: list[str] | None = None
         self._differs = False
         self._closed = False
--- a/quincepath/fronts/remote_read/front.py
+++ b/quincepath/fronts/remote_read/front.py
@@ -28,7 +28,7 @@
 QUERY_HEADER = "X-Request-Id"
 JOINED_HEADER = "Quincepath-Joined"  # retry, equal or replayed: this try did not run by itself
 RUN_HEADER = "Quincepath-Run"  # the id of the request whose run it shared
-LONGEST_NAME = 128
+MAX_NAME_CHARS = 128
 MS = 1_000_000
 
 
@@ -95,7 +95,7 @@
             for name in names:
                 key = headers.get(name.lower(), "").strip()
                 if key and mark is None:
-                    mark = ClientKey(scope, key[:LONGEST_NAME], vouched and len(key) <= LONGEST_NAME)
+                    mark = ClientKey(scope, key[:MAX_NAME_CHARS], vouched and len(key) <= MAX_NAME_CHARS)
         # An address is part of the digest only where it alone says whose tries they are.
         owner = address if mark is None and asks.unmarked_within else ""
         # With what makes a request valid: one to a wrong path or of a wrong type is no try of a sound one.
@@ -155,9 +155,9 @@
         return {**HEADERS, **VERSION_HEADER, ANSWER_HEADER: mark, PARTS_HEADER: f"{parts_in}/{asked}"}
 
 
-def name_of(request: Request, number: int) -> str:
+def query_name(request: Request, number: int) -> str:
     """The client's own id where it sent a usable one, else ours: for logs, records and holders."""
     given = request.headers.get(QUERY_HEADER.lower(), "")
-    usable = 0 < len(given) <= LONGEST_NAME and given.isascii()
+    usable = 0 < len(given) <= MAX_NAME_CHARS and given.isascii()
     usable = usable and all(c.isalnum() or c in "-_.:" for c in given)
     return given if usable else f"q{number}"
--- a/quincepath/lab/emulator/world/actors.py
+++ b/quincepath/lab/emulator/world/actors.py
@@ -88,7 +88,7 @@
     def __init__(self, number: int, zone: int) -> None:
         self.number, self.zone = number, zone
         self.driver: Driver
-        self.reception: Dispatcher[Client, Ending]
+        self.dispatcher: Dispatcher[Client, Ending]
         self.life = 0
         self.alive = True
         self.stalled_until = 0
--- a/quincepath/lab/emulator/world/calls.py
+++ b/quincepath/lab/emulator/world/calls.py
@@ -41,7 +41,7 @@
     def _end_attempt(self, broker: Broker, call: Call, key: tuple[int, int], result: Result) -> None:
         call.waiting.discard(key)
         broker.calls.pop(key, None)
-        broker.reception.enqueue(AttemptEnded(*key, result, True if result is Result.OK else None))
+        broker.dispatcher.enqueue(AttemptEnded(*key, result, True if result is Result.OK else None))
         self._poke(broker)
 
     def _drop(self, broker: Broker, call: Call, result: Result) -> None:
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -101,7 +101,7 @@
             KeyMark("", key, True) if self.script.traffic.marks else None,
             client=f"desk{client.number % self.script.traffic.desks}",
         )  # fmt: skip
-        said = broker.reception.arrive(
+        said = broker.dispatcher.arrive(
             self.now, book_try, self._ask(attempt), client, self.script.classes[client.kind].worth
         )
         match said:
@@ -147,7 +147,7 @@
         for handle, known in broker.tries.items():
             if known is attempt:
                 del broker.tries[handle]
-                broker.reception.client_left(self.now, handle)
+                broker.dispatcher.client_left(self.now, handle)
                 self._poke(broker)
                 return
 
--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -7,7 +7,7 @@
 from quincepath.asks.intake import AskIntake
 from quincepath.broker.dispatcher import Dispatcher, TryAnswer
 from quincepath.broker.driver import DecisionModule, Driver
-from quincepath.config.schema import admission_bounds, book_limits
+from quincepath.config.schema import admission_bounds, registry_limits
 from quincepath.interface import Members, Scope, Settings
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.world.actors import Broker, Ending
@@ -60,8 +60,8 @@
         settings = self.settings[broker.number]
         broker.driver = Driver(self.make_module(settings, seed), settings, self.script.rules.drain_grace)
         bounds = admission_bounds(self.script.limits)
-        desk: AskIntake[Ending] = AskIntake(book_limits(self.script.asks, TICK), bounds, seed)
-        broker.reception = Dispatcher(broker.driver, desk, self._render)
+        desk: AskIntake[Ending] = AskIntake(registry_limits(self.script.asks, TICK), bounds, seed)
+        broker.dispatcher = Dispatcher(broker.driver, desk, self._render)
         broker.alive, broker.stalled_until, broker.step_at = True, 0, None
         broker.held_io, broker.held_timers = [], []
         broker.pools, broker.calls, broker.tries = {}, {}, {}
@@ -69,7 +69,7 @@
         broker.known = dict(known)
         # What changed while it was dead, or was on its way when it died, comes with the list's next news.
         broker.missed = [name for name, entry in self.truth.items() if known.get(entry.node) != entry]
-        broker.reception.enqueue(MembershipUpdate(Members(Scope.CACHED, 1, tuple(known.values()))))
+        broker.dispatcher.enqueue(MembershipUpdate(Members(Scope.CACHED, 1, tuple(known.values()))))
         self._poke(broker)
         if broker.missed:
             lag = self.source("list").between(*self.script.discovery.lag) * broker.lag
@@ -77,7 +77,7 @@
 
     def _step(self, broker: Broker) -> None:
         broker.step_at = None
-        for order in broker.reception.step(self.now):
+        for order in broker.dispatcher.step(self.now):
             match order:
                 case StartCall():
                     self._start_call(broker, order)
@@ -89,7 +89,7 @@
                     raise ContractBroken(f"broker {broker.number}: contract broken: {name}: {detail}")
                 case LogLine(text):
                     self.mark(f"broker{broker.number}: {text}")
-        due = broker.reception.next_due()
+        due = broker.dispatcher.next_due()
         if due is not None and due <= self.now:
             self._poke(broker)
         elif due is not None:
@@ -97,7 +97,7 @@
             self.at(due, lambda: self._timer(broker, life, lambda: self._due(broker)))
 
     def _due(self, broker: Broker) -> None:
-        if broker.reception.due(self.now):
+        if broker.dispatcher.due(self.now):
             self._poke(broker)
 
     def halt(self, broker: Broker, last: int, kill: bool) -> None:
--- a/quincepath/lab/emulator/world/news.py
+++ b/quincepath/lab/emulator/world/news.py
@@ -31,7 +31,7 @@
             def take() -> None:
                 broker.known[entry.node] = entry
                 self.sink(ToldLine(self.now, name, entry.phase.name.lower(), broker.number))
-                broker.reception.enqueue(MembershipUpdate(Members(Scope.DELTA, 1, (entry,))))
+                broker.dispatcher.enqueue(MembershipUpdate(Members(Scope.DELTA, 1, (entry,))))
                 self._poke(broker)
 
             self._io(broker, broker.life, take)
--- a/quincepath/lab/fleet/loads.py
+++ b/quincepath/lab/fleet/loads.py
@@ -5,7 +5,7 @@
 from pydantic import Field, model_validator
 
 from quincepath.config.schema import MS, SECOND, Count, Model, Name
-from quincepath.config.schema.sharing import FairEntry, LedgerEntry, OverloadEntry, TenantEntry
+from quincepath.config.schema.load_sharing import FairEntry, LedgerEntry, OverloadEntry, TenantEntry
 from quincepath.config.values import Duration, Share, parse_duration
 from quincepath.lab.demo import DISTRICTS
 from quincepath.shards.shardmap import ShardMap
--- a/quincepath/membership/source.py
+++ b/quincepath/membership/source.py
@@ -10,7 +10,7 @@
 from urllib.parse import urlsplit
 
 from quincepath.config.load import ConfigError, load
-from quincepath.config.schema import Config, Holder, Roster, check_holders, zones
+from quincepath.config.schema import Config, Holder, Roster, check_holders, zone_positions
 from quincepath.interface import Members, NodeId, Phase
 from quincepath.membership.state import Change, HolderInfo, MembershipState
 from quincepath.shards.shardmap import ShardMap
@@ -41,7 +41,7 @@
         self.path = base / config.roster if config.roster else None
         self._wall, self._clock = wall, clock
         self._file_version: tuple[int, int, int] | None = None
-        self._zones = zones(config, [])
+        self._zones = zone_positions(config, [])
         self.errors = 0
         self.distributed: dict[str, Holder] = {}  # by name, distributed by the fleet
         self.complete = True  # whether the distributed holders are all holders
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -8,8 +8,8 @@
 
 from quincepath.asks.registry import Try
 from quincepath.broker.dispatcher import AskEnded
-from quincepath.broker.service.guest import Arrival
-from quincepath.broker.service.maps import MapsGuest
+from quincepath.broker.service.extension import Arrival
+from quincepath.broker.service.shard_maps import ShardMapExtension
 from quincepath.config.load import parse
 from quincepath.config.schema import Config
 from quincepath.fleet.adoption import AdoptMap, Map, ProposeMap, UseMap
@@ -26,7 +26,7 @@
 
 
 class Front:
-    """A planner and its guest over a log of one broker."""
+    """A planner and its extension over a log of one broker."""
 
     def __init__(self) -> None:
         self.config = parse(SOUND.replace("[north.example.org]", "[n1, n2, n3]"), Config, "f.yaml")
@@ -37,7 +37,7 @@
         ports = AdoptionHooks(lambda: ("m0",), dict)
         self.maps = MapAdoption("m0", 1, self.first, ENTRY, Permits(), ports, self.log)
         self.registry = CollectorRegistry()
-        self.guest = MapsGuest(self.maps, self.planner, self.log, self.registry)
+        self.extension = ShardMapExtension(self.maps, self.planner, self.log, self.registry)
         self.index = 0
 
     def shown(self, name: str, **labels: str) -> float | None:
@@ -75,28 +75,28 @@
 
 def test_a_broker_takes_nothing_before_it_has_read_the_log() -> None:
     front = Front()
-    away = front.guest.arrive(0, Arrival(None, None, None))  # type: ignore[arg-type]
+    away = front.extension.admit(0, Arrival(None, None, None))  # type: ignore[arg-type]
     assert away is not None and away.cause == "shard map not read or not staged"
     front.maps.on_log_read()
-    assert front.guest.arrive(0, Arrival(Try(1, "t", b"", 0, None, True, 0), None, None)) is None  # type: ignore[arg-type]
+    assert front.extension.admit(0, Arrival(Try(1, "t", b"", 0, None, True, 0), None, None)) is None  # type: ignore[arg-type]
 
 
 def test_a_query_keeps_the_version_that_it_was_cut_by() -> None:
     front = Front()
     front.maps.on_log_read()
     before = front.plan()
-    front.guest.began(0, 1, {})
+    front.extension.on_ask_begun(0, 1, {})
     front.adopt(front.split(), 2)
     after = front.plan()
-    front.guest.began(0, 2, {})
+    front.extension.on_ask_begun(0, 2, {})
     assert (before.version, after.version) == (1, 2)
     assert (len(before.parts), len(after.parts)) == (2, 4)
     assert front.maps.follower.usage() == (2, 1)
     assert (front.shown("version"), front.shown("older_queries")) == (2, 1)
     assert (front.shown("step", step="measuring"), front.shown("step", step="none")) == (1, 0)
-    front.guest.ended(0, ended(1, before))
+    front.extension.on_ask_ended(0, ended(1, before))
     assert front.maps.follower.usage() == (2, 0)
-    front.guest.ended(0, ended(2, after))
+    front.extension.on_ask_ended(0, ended(2, after))
     assert not [call for call in front.log.calls if "another version" in str(call)]
 
 
@@ -105,8 +105,8 @@
     front.maps.on_log_read()
     before = front.plan()
     front.adopt(front.split(), 2)
-    front.guest.began(0, 1, {})
-    front.guest.ended(0, ended(1, before))
+    front.extension.on_ask_begun(0, 1, {})
+    front.extension.on_ask_ended(0, ended(1, before))
     assert [call for call in front.log.calls if "another version" in str(call)]
 
 
--- a/tests/fleet/distribution/test_virtual_fleet.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -55,13 +55,13 @@
     with running(tmp_path) as world:
         seen: dict[str, list[frozenset[str]]] = {name: [] for name in world.names}
         for name, broker in world.brokers.items():
-            announce = broker.holders.told
+            announce = broker.holders.on_membership
 
             def record(update: Any, name: str = name, announce: Any = announce) -> None:
                 announce(update)
                 seen[name].append(frozenset(world.nodes(name)))
 
-            broker.holders.told = record
+            broker.holders.on_membership = record
         commit_all_nodes(world)
         new = {"node/a1": node("a1", "a", 9001, phase="draining"), "node/b5": node("b5", "b", 9015)}
         world.propose("m6", "second", 1, set=new, remove=["node/c1"])
--- a/tests/fleet/distribution/virtual_fleet.py
+++ b/tests/fleet/distribution/virtual_fleet.py
@@ -160,7 +160,7 @@
 
     def weights(self, name: str) -> dict[str, float]:
         """The weights of tenants in a broker's fair scheduler."""
-        room = self.brokers[name].waiting_room
+        room = self.brokers[name].fair_queue
         assert room is not None
         return room.scheduler.queues.weights
 
--- a/tests/limits/fair/test_broker.py
+++ b/tests/limits/fair/test_broker.py
@@ -20,7 +20,7 @@
 
     def __init__(self, folder: Path, work: int = 200 * MS, **more: Any) -> None:
         super().__init__(folder, service=Service(work=work), limits={"fair": {**FAIR, **more}})
-        pending = self.broker.reception.pending
+        pending = self.broker.dispatcher.pending
         assert isinstance(pending, FairPendingQueue)
         self.pending = pending
 
@@ -124,6 +124,6 @@
 
 def test_without_its_configuration_section_there_is_no_pending_queue(tmp_path: Path) -> None:
     world = World(tmp_path)
-    assert world.broker.reception.pending is None
+    assert world.broker.dispatcher.pending is None
     assert world.ask(world.plan())[0].status == 200
     world.close()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -170,12 +170,12 @@
         world.loop.call_in(300 * MS, lambda n=number: send("quiet", n))  # type: ignore[misc]
     world.until(lambda: len(statuses["quiet"]) == 6 and len(statuses["busy"]) == 60)
     assert statuses["busy"].count(503) > 40
-    refused = world.broker.reception.intake.admission.refused
+    refused = world.broker.dispatcher.intake.admission.refused
     assert refused["its client holds more than its share"] > 0
     assert "its client holds more than its share" in world.broker.metrics.render().decode()
     # Asks of the quiet client were refused only by the decision module, for lack of time, not by admission.
     assert sum(refused.values()) <= statuses["busy"].count(503)
-    admission = world.broker.reception.intake.admission
+    admission = world.broker.dispatcher.intake.admission
     assert (admission.asks, admission.work, admission.clients()) == (0, 0, 0)
     world.close()
 
@@ -207,7 +207,7 @@
     world.run(0.5)  # the first sample was of this process
     plan = replace(world.plan("hours-report"), headers={"Idempotency-Key": "k"})
     assert world.ask(plan)[0].status == 200
-    book = world.broker.reception.intake.registry
+    book = world.broker.dispatcher.intake.registry
     assert book.remembered() == 1
     held = 80 * MIB
     world.run(0.5)
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -475,7 +475,7 @@
     assert sent_tries > 2000 and {len(seen) for seen in ends.values()} == {1}
     assert {seen.status for results in ends.values() for seen in results} == {200}
     # Each ask ran once: hours-report needs three sets and fleet-glance two of three, one attempt per part.
-    registry = world.broker.reception.intake.registry
+    registry = world.broker.dispatcher.intake.registry
     assert registry.counts["began"] == 400
     assert registry.counts["retry"] + registry.counts["replayed"] == sent_tries - 400
     sent = sum(leaf.requests for leaf in world.leaves.values())
@@ -506,7 +506,7 @@
     plan = replace(world.plan("hours-report"), headers={"Idempotency-Key": "k"})
     world.client.ask("first", replace(plan, patience=-200 * MS), lambda seen: None)  # gives up after 50 ms
     world.run(0.06)
-    assert world.broker.reception.running() == 1 and not world.broker.clients.open
+    assert world.broker.dispatcher.running() == 1 and not world.broker.clients.open
     before = sum(leaf.requests for leaf in world.leaves.values())
     [seen] = world.ask(plan)
     assert seen.status == 200 and seen.response is not None
@@ -525,7 +525,7 @@
     assert (
         seen.status == 200 and seen.response is not None and "quincepath-joined" not in seen.response.headers
     )
-    assert fresh.broker.reception.intake.registry.counts["began"] == 1
+    assert fresh.broker.dispatcher.intake.registry.counts["began"] == 1
     world.close()
     fresh.close()
 
@@ -535,7 +535,7 @@
         world = World(tmp_path, asks={"share_equal": shared})
         ends = world.ask(*[world.plan("hours-report") for _ in range(4)])
         assert {seen.status for seen in ends} == {200}
-        assert world.broker.reception.intake.registry.counts["began"] == runs
+        assert world.broker.dispatcher.intake.registry.counts["began"] == runs
         bodies = {seen.response.body for seen in ends if seen.response}
         assert len(bodies) == 1
         world.close()
@@ -552,7 +552,7 @@
     world.client.ask("patient", plan, lambda end: seen.update(patient=end))
     world.loop.call_in(100 * MS, lambda: world.faults("a0 a1 b0 b1 c0 c1"))
     world.until(lambda: len(seen) == 2)
-    registry = world.broker.reception.intake.registry
+    registry = world.broker.dispatcher.intake.registry
     assert (seen["hasty"].status, seen["patient"].status) == (503, 200)
     assert seen["hasty"].took < 250 * MS and registry.counts["restarted"] == 1
     assert registry.running() == registry.waiting() == 0
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as fuzz
 
 from quincepath.fronts.remote_read.codec import CodecError, decode_request
-from quincepath.fronts.remote_read.front import name_of
+from quincepath.fronts.remote_read.front import query_name
 from quincepath.net.http1 import Request
 from tests.fuzzing import MAX_DECODED_BYTES, TARGETS, mutated_inputs
 
@@ -43,7 +43,7 @@
 
 def test_a_superscript_digit_is_rejected_in_a_request_id() -> None:
     request = Request("POST", "/", {"x-request-id": "q\xb9"})
-    assert name_of(request, 7) == "q7"
+    assert query_name(request, 7) == "q7"
 
 
 def test_a_short_input_that_declares_gigabytes_allocates_little() -> None:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -127,7 +127,7 @@
     cold = Service(work=2 * MS, cold=0.2, ramp=SECOND)
     world.leaves["a0"] = Leaf(world.loop, "a0", old.store, cold, port=old.port)
     entry = Entry(_node(old.port), 0, 0, 0, world.loop.at, Phase.READY, 1.0)
-    world.broker.told(Members(Scope.DELTA, 9, (entry,)))
+    world.broker.apply_membership(Members(Scope.DELTA, 9, (entry,)))
     began = world.loop.at
     sent: list[int] = []
     while world.loop.at < began + 1500 * MS:
@@ -153,7 +153,7 @@
     world.client.ask("mid", world.plan(pattern="north.*"), done.append)
     world.until(lambda: world.leaves["a0"].requests + world.leaves["a1"].requests > 2)
     node = _node(world.leaves["a0"].port)
-    world.broker.told(Members(Scope.DELTA, 9, (Entry(node, 0, 0, 0, 0, Phase.DRAINING, 1.0),)))
+    world.broker.apply_membership(Members(Scope.DELTA, 9, (Entry(node, 0, 0, 0, 0, Phase.DRAINING, 1.0),)))
     world.run(0.5)
     world.faults("a0 a1")
     world.until(lambda: bool(done))
@@ -541,7 +541,7 @@
     ended: list[AttemptEnded] = []
     upstream._ended = ended.append
     upstream.start(StartCall(node, (order,)))
-    upstream._ended = world.broker.turn.ended
+    upstream._ended = world.broker.turn.on_attempt_ended
     assert [(e.part, e.result) for e in ended] == [(901, Result.CONNECT_FAILED)]
 
 
--- a/tests/test_rings.py
+++ b/tests/test_import_contracts.py
@@ -25,13 +25,13 @@
     ("pure", "fleet/load_reports/sums.py", "from os import path"),  # a room and a file that nobody has listed
     ("edge", "broker/dispatcher.py", "from quincepath.net import loop"),
     ("edge", "limits/fair/tags.py", "from quincepath.observe.logs import *"),
-    ("rooms", "shards/versions.py", "from quincepath.net.loop import Loop"),
+    ("pure-packages", "shards/versions.py", "from quincepath.net.loop import Loop"),
     ("store", "fleet/budget.py", "from quincepath.store.consensus import ConsensusStore"),
     ("tools", "upstream/outcomes.py", "from quincepath.lab import audit"),
     ("tools", "observe/logs.py", "import quincepath.cli.main"),
-    ("order", "standins/leaf.py", "from quincepath.lab.record import Got"),
-    ("order", "lab/fleet/verdict.py", "import quincepath.cli.main"),
-    ("turns", "cli/main.py", "import concurrent.futures"),
+    ("layers", "standins/leaf.py", "from quincepath.lab.record import Got"),
+    ("layers", "lab/fleet/verdict.py", "import quincepath.cli.main"),
+    ("single-thread", "cli/main.py", "import concurrent.futures"),
     ("platform", "platform/descriptors.py", "from quincepath.fleet import budget"),
     ("platform", "orders.py", "import quincepath.config.values"),  # by a chain
     ("adapter", "drill.py", "import msgspec"),
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from quincepath.cli.lab import Ears
+from quincepath.cli.lab import RehearsalMonitor
 from quincepath.cli.main import main
 from quincepath.config.load import load, parse
 from quincepath.fronts.remote_read.codec import encode
@@ -124,13 +124,13 @@
     code, _, err = run("rehearse", str(script), "--json", "--speed", "8")
     assert code == 0 and time.monotonic() - began >= 4 / 8 * 0.9
     assert run("rehearse", str(script), "--speed", "0")[0] == 2
-    ears = Ears(4, None, None, keep=False)
+    monitor = RehearsalMonitor(4, None, None, keep=False)
     lines: list[Line] = []
     rehearse(load(script, Script), None, lines.append)
     for line in lines:
-        ears.hear(line)
+        monitor.on_line(line)
     asked = sum(isinstance(line, Ask) for line in lines)
-    assert f"{asked} asked" in ears.summary() and "of 30 s answered" not in ears.summary()
+    assert f"{asked} asked" in monitor.summary() and "of 30 s answered" not in monitor.summary()
 
 
 def test_every_example_names_staff_and_loads() -> None:
