--- a/quincepath/fleet/load_reports/__init__.py
+++ b/quincepath/fleet/load_reports/__init__.py
@@ -1,7 +1,8 @@
-"""What the brokers tell each other of themselves, summed up over the fleet: counts in, totals out.
+"""Load reports of brokers: each counts its own work, a few aggregators sum the counts up over the fleet.
 
-``Tally`` is how a broker counts itself, ``Ledger`` the machine that tells and hears (``step``), ``Totals``
-what all consumers read; docs/design/ledger.md says what each may conclude.
+``LoadCounter`` holds a broker's own counts, ``LoadReporter`` is the state machine that exchanges reports and
+sums (``step``), ``Totals`` is what all consumers read; docs/design/ledger.md says what each of them may
+conclude from it.
 """
 
 from quincepath.fleet.load_reports.events import DatagramReceived, LiveMembers, OwnCounts, Packet
--- a/quincepath/fleet/load_reports/clipping.py
+++ b/quincepath/fleet/load_reports/clipping.py
@@ -1,10 +1,10 @@
-"""One broker moves the sums by a stated bound only.
+"""Limits the influence of a single broker on the sums.
 
-By family of fields (what was taken, what became of it, sends, slot time, demand ...) one member counts for
-at most ``most_rate`` times the window and, where three others or more are heard, for at most ``share_most``
-times the mean of the others: of those summed up in the same place, or of the fleet as last told, whichever is
-more. What is below ``free_rate`` always counts. All fields of a family are scaled alike, and rounded down:
-clipping never says more than was told.
+By family of fields (queries taken, their outcomes, sends, slot time, demand ...) one member contributes at
+most ``most_rate`` times the window and, where three or more others report, at most ``share_most`` times the
+mean of the others: of those summed up in the same group, or of the fleet by the last totals, whichever is
+larger. What is below ``free_rate`` always counts. All fields of a family are scaled alike and rounded down:
+clipping never increases a value.
 """
 
 from collections.abc import Sequence
@@ -20,14 +20,14 @@
 from quincepath.fleet.load_reports.sums import Sums
 from quincepath.fleet.load_reports.types import MS, SECOND, LoadReportSettings
 
-MIN_OTHER_PARTS = 3  # that have to be heard for their mean to be a measure
+MIN_OTHER_PARTS = 3  # reliable parts needed to compare with their mean
 MAX_TRACKED_KEYS = (
-    512  # whose own part in the fleet's sums is remembered; of further ones the fleet's mean is not used
+    512  # whose contribution to the fleet's sums is remembered; for further ones the fleet's mean is not used
 )
 
 
 def family_bounds(settings: LoadReportSettings) -> list[tuple[float, float]]:
-    """By family: the most of one member in a window, and what always counts."""
+    """By family: the limit of one member in a window, and what always counts."""
     window = settings.window / SECOND
     max_queries, free_queries = settings.most_rate * window, settings.free_rate * window
     limits = [(max_queries, free_queries)] * FAMILY_COUNT
@@ -42,7 +42,7 @@
 
 
 def family_sums(part: Sums) -> list[int]:
-    """Its fields added up."""
+    """The fields of each family added up."""
     sums = [0] * FAMILY_COUNT
     for number, value in part.values.items():
         sums[FAMILY_BY_FIELD[number]] += value
@@ -51,17 +51,17 @@
 
 
 class ContributionHistory:
-    """What each counted for of late, so that it is taken out of the fleet's sums: the mean of the *others*.
+    """Recent contributions by member or group, to subtract from the fleet's sums for the mean of the *others*.
 
-    Of each the most within the last ``forget`` is kept, of half of it at least: what the fleet's sums of a
-    moment ago hold of it is not more.
+    The maximum of the last ``forget`` is kept, or at least of half of it: the fleet's sums, which are a little
+    older, contain no more of it.
     """
 
     def __init__(self, settings: LoadReportSettings) -> None:
         self._settings = settings
         self._recent: dict[
             object, tuple[int, list[int], list[int]]
-        ] = {}  # since, the most since then, before
+        ] = {}  # since when, the maximum since then, the maximum before
 
     def others_means(self, fleet: Sums | None, key: object, members: int) -> list[float]:
         """By family the mean of the fleet's other members; 0 where it is not known."""
@@ -76,7 +76,7 @@
         return [value / (fleet.reporting - members) for value in rest]
 
     def record(self, now: int, key: object, part: Sums) -> None:
-        """It counts for so much now."""
+        """Record the present contribution."""
         families = family_sums(part)
         since, recent, earlier = self._recent.get(key, (now, families, families))
         if now - since > self._settings.forget // 2:
@@ -85,7 +85,7 @@
             self._recent[key] = (since, [max(pair) for pair in zip(families, recent, strict=True)], earlier)
 
     def expire(self, now: int) -> None:
-        """Forget whom nothing was noted of."""
+        """Forget those without a recent record."""
         for key in [
             key for key, (since, _, _) in self._recent.items() if now - since > 2 * self._settings.forget
         ]:
@@ -95,9 +95,9 @@
 def clip(
     parts: Sequence[tuple[int, Sums]], settings: LoadReportSettings, means: Sequence[Sequence[float]] = ()
 ) -> tuple[list[Sums], int]:
-    """Each of (members, their sum) within the bounds, and how many were above one.
+    """Each of (members, their sum) clipped to the limits, and how many were above one.
 
-    ``means``: for each part, by family, what the mean of the fleet's other members is believed to be.
+    ``means``: for each part, by family, the estimated mean of the fleet's other members.
     """
     families = [family_sums(part) for _, part in parts]
     limits = family_bounds(settings)
--- a/quincepath/fleet/load_reports/events.py
+++ b/quincepath/fleet/load_reports/events.py
@@ -1,4 +1,4 @@
-"""What goes into the ledger and comes out of it, and the sums that another member told."""
+"""Inputs and outputs of the load reporter, and the sums received from another member."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,21 +11,21 @@
 
 @dataclass(slots=True, frozen=True)
 class OwnCounts:
-    """What this broker counts of itself; the latest stands until the next."""
+    """The counts of this broker; they are reported until the next ones come."""
 
     counts: Counts
 
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """A datagram."""
+    """A received datagram."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class LiveMembers:
-    """Who is believed to live (by name, the boot), and how many members are configured."""
+    """The members believed live (boot by name), and how many members are configured."""
 
     boots: Mapping[str, int]
     configured: int
@@ -47,16 +47,16 @@
 
 @dataclass(slots=True)
 class ReceivedSum:
-    """The sums that one speaker told, put together from its datagrams."""
+    """The sums of one sender, put together from its datagrams."""
 
     boot: int
     sequence: int
-    at: int  # own clock: up to when it knows of all that it heard
+    at: int  # own clock: the time up to which the sender knew all its reports
     received_at: int
     sums: Sums = field(default_factory=Sums)
 
     def apply(self, now: int, body: SumMessage) -> None:
-        """A datagram that is not older than the last."""
+        """Apply a datagram that is not older than the last one."""
         at = now - body.age_ms * MS
         self.at = at if body.sequence > self.sequence else min(self.at, at)
         self.sequence, self.received_at = body.sequence, now
--- a/quincepath/fleet/load_reports/fields.py
+++ b/quincepath/fleet/load_reports/fields.py
@@ -1,7 +1,7 @@
-"""What is counted, as numbered fields, so that merging, cutting and adding are one thing for all counts.
+"""The counts as numbered fields, so that merging, splitting and adding work alike for all of them.
 
-Fields are given new numbers only; none is used again for something else. Slot time is in ms here, as it is on
-the wire: parts of a ms are counted as soon as they make a whole one.
+New counts get new field numbers; a number is never reused. Slot time is in ms here, as on the wire:
+fractions of a ms are counted once they add up to a whole one.
 """
 
 from collections.abc import Iterable, Iterator
@@ -16,14 +16,14 @@
     SendKind,
 )
 
-MAX_VALUE = (1 << 53) - 1  # a count beyond is no count of anything that happened
+MAX_VALUE = (1 << 53) - 1  # no real count gets larger than that
 FIRST_SEND_FIELD = MAX_CLASSES * len(Count)
 SLOT_TIME_FIELD = 264  # ms of slots used by slow queries
 FIRST_ARRIVAL_FIELD = 272
-FIRST_REPLICA_SET_FIELD = 512  # demand and refusals by turns
+FIRST_REPLICA_SET_FIELD = 512  # demand and refusals of each replica set, alternating
 FIELD_COUNT = FIRST_REPLICA_SET_FIELD + 2 * MAX_REPLICA_SETS
 TAKEN, ENDED, ARRIVED, SENT, SLOT_TIME, DEMAND, REFUSED = range(7)
-FAMILY_COUNT = 7  # fields whose sum has one bound
+FAMILY_COUNT = 7  # groups of fields whose sums share one bound
 
 
 def family_of(number: int) -> int:
@@ -41,7 +41,7 @@
 
 
 def flatten(counts: Counts) -> dict[int, int]:
-    """Counts by number, those that are not zero; classes and replica sets beyond the bounds are left out."""
+    """The nonzero counts by field number; classes and replica sets beyond the limits are left out."""
     fields: dict[int, int] = {}
     for query_class, row in enumerate(counts.by_class[:MAX_CLASSES]):
         for outcome, value in enumerate(row[: len(Count)]):
@@ -59,7 +59,7 @@
 
 
 def encode_runs(values: dict[int, int], numbers: Iterable[int]) -> tuple[int, ...]:
-    """Some fields as (first number, how many, values ...) one after the other; ``numbers`` in order."""
+    """Encode some fields as runs of (first number, length, values ...); ``numbers`` in ascending order."""
     runs: list[int] = []
     length_at, next_number = -1, -1
     for number in numbers:
@@ -73,15 +73,15 @@
 
 
 def decode_runs(runs: tuple[int, ...]) -> Iterator[tuple[int, int]]:
-    """The (number, value) pairs. Raises ValueError where it is no such list, or a number is out of range."""
+    """The (number, value) pairs. Raises ValueError for malformed runs or a number out of range."""
     position = 0
     while position < len(runs):
         if position + 2 > len(runs):
-            raise ValueError(f"runs: at {position}: expected a number and how many")
+            raise ValueError(f"runs: at {position}: expected a field number and a length")
         first, length = runs[position], runs[position + 1]
         if not 0 < length <= FIELD_COUNT - first or position + 2 + length > len(runs):
             raise ValueError(
-                f"runs: at {position}: {length} fields from {first}, of {FIELD_COUNT} that there are"
+                f"runs: at {position}: {length} fields from field {first}, of {FIELD_COUNT} fields"
             )
         for offset in range(length):
             yield first + offset, runs[position + 2 + offset]
@@ -89,7 +89,7 @@
 
 
 def encoded_width(value: int) -> int:
-    """Bytes of a whole number on the wire."""
+    """Bytes of an integer on the wire."""
     if value < 128:
         return 1
     return 2 if value < 1 << 8 else 3 if value < 1 << 16 else 5 if value < 1 << 32 else 9
--- a/quincepath/fleet/load_reports/load_counter.py
+++ b/quincepath/fleet/load_reports/load_counter.py
@@ -1,9 +1,9 @@
-"""How a broker counts itself: a few verbs, every table bounded.
+"""Counts a broker's own work, in tables of bounded size.
 
-Heavy tenants by Space-Saving (Metwally 2005), in own lines: the libraries' sketches (datasketches) give upper
-estimates of all time, while here each named tenant needs a count that only grows and never says too much, and
-its rank has to follow the last seconds. A newcomer takes the place of the least, inherits its rank (that is
-what keeps a heavy one from being missed) but not its slot time.
+Heavy tenants are found by Space-Saving (Metwally 2005), implemented here: the libraries' sketches
+(datasketches) give upper estimates over all time, while here each named tenant needs a count that only grows
+and is never too high, and its rank has to follow the last seconds. A new tenant replaces the one of lowest
+rank and inherits its rank (so that a heavy tenant is not missed) but not its slot time.
 """
 
 from dataclasses import dataclass
@@ -21,16 +21,14 @@
     TenantCount,
 )
 
-MAX_TRACKED_TENANTS = (
-    4 * MAX_NAMED_TENANTS
-)  # in the table; a tenant with more than 1/128 of the recent use is in it
-RANK_HALF_LIFE_NS = 10 * SECOND  # in which a rank halves
-MAX_TENANT_NAME_LENGTH = 64  # characters of a tenant's name; a longer one counts among the rest
+MAX_TRACKED_TENANTS = 4 * MAX_NAMED_TENANTS  # a tenant with more than 1/128 of the recent use is in the table
+RANK_HALF_LIFE_NS = 10 * SECOND  # a rank halves in this time
+MAX_TENANT_NAME_LENGTH = 64  # characters; a tenant with a longer name counts among the rest
 
 
 @dataclass(slots=True)
 class TrackedTenant:
-    """One tenant's in the table. ``used`` and ``base`` as in ``TenantCount``."""
+    """Table entry of one tenant. ``used`` and ``base`` as in ``TenantCount``."""
 
     base: int
     used: int
@@ -39,7 +37,7 @@
 
 
 class LoadCounter:
-    """Counts of one broker since ``begun``. What lies beyond a bound is counted in ``beyond``."""
+    """Counts of one broker since ``started_at``. ``uncounted``: events beyond the size limits."""
 
     def __init__(self, started_at: int) -> None:
         self.started_at = started_at
@@ -53,9 +51,9 @@
         self._decayed_at = started_at
 
     def count_arrival(self, kind: int, priority: float, first: bool = True) -> None:
-        """A query of a class, at its place in the one order (0 to below 1).
+        """Count a query of a class, at its place in the priority order (0 to below 1).
 
-        The histogram of places is of first tries: those that come again would be counted over and over.
+        The histogram of priorities is of first tries only: retries would be counted again and again.
         """
         self._count(kind, Count.TAKEN)
         if not first:
@@ -63,9 +61,9 @@
         self._arrivals[min(max(int(priority * PRIORITY_BANDS), 0), PRIORITY_BANDS - 1)] += 1
 
     def count_outcome(self, kind: int, outcome: Count) -> None:
-        """What became of it; once for each that arrived."""
+        """Count the outcome of a query, once for each arrival."""
         if outcome is Count.TAKEN:
-            raise ValueError("ended: TAKEN is no end of a query; expected one of the others")
+            raise ValueError("count_outcome: TAKEN is not the outcome of a query; expected any other Count")
         self._count(kind, outcome)
 
     def _count(self, kind: int, outcome: Count) -> None:
@@ -77,11 +75,11 @@
         self._by_class[kind][outcome] += 1
 
     def count_sends(self, kind: SendKind, number: int = 1) -> None:
-        """Sent to holders."""
+        """Count sends to storage nodes."""
         self._sends[kind] += max(number, 0)
 
     def count_replica_set(self, replica_set: int, demand: int = 0, refused: int = 0) -> None:
-        """Parts asked of a replica set, and refused by it or turned away."""
+        """Count parts requested of a replica set, and parts that it refused or turned away."""
         if not 0 <= replica_set < MAX_REPLICA_SETS:
             self.uncounted += 1
             return
@@ -90,7 +88,7 @@
         count.refused += max(refused, 0)
 
     def add_slot_time(self, tenant: str, ns: int) -> None:
-        """Slot time that a slow query of this tenant used, also while it still runs."""
+        """Add slot time that a slow query of this tenant used, also while the query still runs."""
         if ns <= 0:
             return
         tracked = self._track(tenant)
@@ -100,7 +98,7 @@
         self._slot_time += ns
 
     def add_waiting(self, tenant: str, change: int) -> None:
-        """So many more slow queries of this tenant wait (less: below zero)."""
+        """Change the number of waiting slow queries of this tenant (fewer: below zero)."""
         self._waiting = max(self._waiting + change, 0)
         tracked = self._tenants.get(tenant) if change < 0 else self._track(tenant)
         if tracked is not None:
@@ -118,7 +116,7 @@
         return found
 
     def snapshot(self, now: int, threshold: float = 0.0) -> Counts:
-        """What is told of it; the heaviest tenants of late by name."""
+        """The counts to report; the tenants with the most recent use by name."""
         halvings = (now - self._decayed_at) / RANK_HALF_LIFE_NS
         if halvings > 0.1:
             self._decayed_at = now
@@ -129,7 +127,7 @@
         )
         by_rank = sorted(self._tenants.items(), key=lambda item: (-item[1].rank, item[0]))
         named = dict(by_rank[: MAX_NAMED_TENANTS - MAX_NAMED_TENANTS // 4])
-        for name, tracked in by_waiting:  # a quarter for those that only wait
+        for name, tracked in by_waiting:  # a quarter of the names is for tenants that only wait
             if len(named) >= MAX_NAMED_TENANTS:
                 break
             named.setdefault(name, tracked)
--- a/quincepath/fleet/load_reports/member_counts.py
+++ b/quincepath/fleet/load_reports/member_counts.py
@@ -1,9 +1,9 @@
-"""What is kept of each member: counts merged by maximum, by (member, boot), and where they stood in the past.
+"""Counts received from each member, merged by maximum per (member, boot), with checkpoints of the past.
 
 Of each name one boot counts at a time. A second one is kept beside it, uncounted, until it takes over: when
-the view names it, or when the first has been silent for a while. A boot that began after the first was last
-heard counts from zero; any other from where it stood when it took over. So a restart loses nothing, and of
-two processes that both go on only one counts at any moment.
+the fleet view names it, or when the first has been silent for a while. A boot that began after the first was
+last heard counts from zero; any other from where it stood when it took over. So a restart loses nothing, and
+of two processes of one name that both go on only one counts at any time.
 """
 
 from bisect import bisect_right
@@ -18,35 +18,35 @@
 from quincepath.fleet.load_reports.types import MAX_NAMED_TENANTS, MS, LoadReportSettings
 
 K = TypeVar("K")
-MAX_MEMBERS = 256  # kept in one place; a group has 16 on average
-MAX_COMPETING = 2  # further boots of a name; the one heard longest ago gives way
+MAX_MEMBERS = 256  # per group; a group has 16 on average
+MAX_COMPETING = 2  # further boots of a name; the one with the oldest report is replaced
 MAX_PREVIOUS_BOOTS = 8  # boots of a name that have counted before: none of them counts from zero again
-MAX_MEMBER_TENANTS = 4 * MAX_NAMED_TENANTS  # tenants of one member; the one heard longest ago gives way
-TAKEOVER_PERIODS = 3  # periods after which a second boot may take over
+MAX_MEMBER_TENANTS = 4 * MAX_NAMED_TENANTS  # tenants of one member; the one reported longest ago is dropped
+TAKEOVER_PERIODS = 3  # periods of silence after which a second boot may take over
 
 
 @dataclass(slots=True)
 class ProcessCounts:
-    """What one process told of itself. ``raw``: by field, the most heard. ``began``: own clock."""
+    """Counts reported by one process. ``highest``: by field, the largest value. ``started_at``: own clock."""
 
     boot: int
     started_at: int
     last_report_at: int
     sequence: int = 0
     highest: dict[int, int] = field(default_factory=dict)
-    tenant_highest: dict[str, int] = field(default_factory=dict)  # by tenant, the most heard
+    tenant_highest: dict[str, int] = field(default_factory=dict)  # by tenant, the largest value
     threshold_permille: int = 0
     waiting: int = 0
     tenant_waiting: dict[str, int] = field(default_factory=dict)
-    regressed: set[int] = field(default_factory=set)  # fields that a newer report had below an older one
-    from_start: bool = (
-        False  # it counts from its beginning: what is heard of a field for the first time is all new
-    )
+    regressed: set[int] = field(
+        default_factory=set
+    )  # fields with a lower value in a newer report than in an older one
+    from_start: bool = False  # counted from its start: the first value of each field is all new
 
 
 @dataclass(slots=True)
 class Checkpoint:
-    """Where the counted totals stood at a time."""
+    """The counted values at one time."""
 
     at: int
     values: dict[int, int]
@@ -55,10 +55,10 @@
 
 @dataclass(slots=True)
 class Member:
-    """One name. ``values`` and ``uses``: what has been counted of all its boots."""
+    """One member name. ``values`` and ``tenant_slot_ms``: what has been counted of all its boots."""
 
     current: ProcessCounts
-    complete_from: int  # a window that begins here or later is known whole; with ``from_zero`` any is
+    complete_from: int  # a window that begins here or later is complete; with ``complete_from_start`` any is
     complete_from_start: bool
     values: dict[int, int] = field(default_factory=dict)
     tenant_slot_ms: dict[str, int] = field(default_factory=dict)
@@ -68,7 +68,7 @@
 
 
 class MemberCounts:
-    """Reports heard, by member. ``causes`` counts what did not count, and why."""
+    """Received counts by member. ``causes`` counts what was not counted, and why."""
 
     def __init__(self, settings: LoadReportSettings, causes: Counter[str]) -> None:
         self._settings, self._causes = settings, causes
@@ -80,9 +80,9 @@
     def apply_report(
         self, now: int, name: str, boot: int, report: Report, live_boot: int | None = None
     ) -> None:
-        """A report. ``believed``: the boot of that name that the view holds for the living one.
+        """Apply a report. ``live_boot``: the boot of that name that the fleet view believes live.
 
-        Raises ValueError where its runs cannot be read; then nothing has changed.
+        Raises ValueError where its runs cannot be decoded; then nothing has changed.
         """
         fields = list(decode_runs(report.runs))
         started_at = now - report.uptime_ms * MS
@@ -124,7 +124,9 @@
         member.competing[old.boot] = old
         if new.boot not in member.previous_boots:
             member.previous_boots.append(new.boot)
-            if new.started_at > old.last_report_at - self._settings.period:  # it began after the other's end
+            if (
+                new.started_at > old.last_report_at - self._settings.period
+            ):  # it began after the other one ended
                 new.from_start = True
                 for number, value in new.highest.items():
                     self._add(member, number, value)
@@ -146,7 +148,7 @@
         for number, value in fields:
             previous = boot.highest.get(number)
             if previous is None and not boot.from_start:
-                previous = value  # where it stood before it was first heard is not known
+                previous = value  # its value before the first report is not known
                 boot.highest[number] = value
             if is_newest and value >= (previous or 0):
                 boot.regressed.discard(number)
@@ -171,7 +173,7 @@
     def _merge_tenants(
         self, member: Member, boot: ProcessCounts, report: Report, is_current: bool, is_newest: bool
     ) -> None:
-        """Tenants: counts that go on from ``base``, the sum of all tenants when this one was last named."""
+        """Tenants: counts continue from ``base_ms``, the use of all tenants when this one was last named."""
         if is_newest and (report.tenants or report.sequence > boot.sequence):
             boot.tenant_waiting = {use.name: use.waiting for use in report.tenants if use.waiting}
         for use in report.tenants:
@@ -205,7 +207,7 @@
         del self._members[name]
 
     def expire(self, now: int) -> None:
-        """Forget whom nobody has heard for so long that nothing of it is in a window."""
+        """Forget members whose last report is so old that nothing of them is in a window."""
         cutoff = now - max(self._settings.window, self._settings.forget)
         for name in [
             name for name, member in self._members.items() if member.current.last_report_at < cutoff
@@ -213,12 +215,12 @@
             self._forget(now, name)
 
     def window_sums(self, now: int) -> Iterator[tuple[str, Sums]]:
-        """What each adds to the window that ends now; ``heard`` is 1 where it is fresh and known whole."""
+        """The growth of each member in the window that ends now; ``reporting`` is 1 where it is fresh and complete."""
         for name, member in self._members.items():
             process = member.current
             recent = now - process.last_report_at <= self._settings.fresh_within
             fresh = recent and not process.regressed
-            # The window ends with the last report; of one that fell silent it goes on, and empties.
+            # The window ends with the last report; for a silent member it moves on and empties.
             window_start = (
                 max(process.last_report_at, now - self._settings.fresh_within) - self._settings.window
             )
@@ -228,7 +230,7 @@
             before = checkpoints[max(index, 0)]
             after = checkpoints[min(index + 1, len(checkpoints) - 1)]
             span = after.at - before.at
-            # Between two reports it is taken to have gone evenly.
+            # Growth between two reports is taken to be linear.
             fraction = (
                 min(max((window_start - before.at) / span, 0.0), 1.0) if span > 0 and index >= 0 else 0.0
             )
@@ -253,7 +255,7 @@
 def _growth_since(
     latest: dict[K, int], before: dict[K, int], after: dict[K, int], fraction: float
 ) -> dict[K, int]:
-    """What came since then, in whole numbers; their roundings add up to less than one, not to a bias."""
+    """Growth since then, in integers; the rounding errors add up to less than one instead of a bias."""
     growth, carried = {}, 0.0
     for key, value in latest.items():
         base = before.get(key, 0)
--- a/quincepath/fleet/load_reports/messages.py
+++ b/quincepath/fleet/load_reports/messages.py
@@ -1,8 +1,9 @@
-"""The ledger's messages: msgpack arrays, versioned, one datagram each (docs/design/ledger.md).
+"""Messages of the load reports: versioned msgpack arrays, one datagram each (docs/design/ledger.md).
 
-The envelope follows quincepath/fleet/messages.py: fields are appended only, ``least`` says who may read it,
-bodies are read apart. ``MARK`` is the first byte, so that they can share a socket with the view's messages,
-which begin with an array's head. No wall clock travels: times are ages in ms.
+The envelope follows quincepath/fleet/messages.py: fields are only appended, ``min_schema`` is the lowest
+schema that can read the message, bodies are decoded separately. ``MAGIC`` is the first byte, so that these
+messages can share a socket with those of the fleet view, which begin with the head of an array. No wall clock
+time is sent: times are ages in ms.
 """
 
 from collections.abc import Iterable, Sequence
@@ -18,7 +19,7 @@
 SCHEMA = 1
 MIN_SCHEMA = 1
 MAGIC = b"\xc1L"  # 0xc1 begins no msgpack value
-MAX_OVERHEAD_BYTES = 176  # bytes that envelope and a body's other fields take at most
+MAX_OVERHEAD_BYTES = 176  # of the envelope and the other fields of a body
 MAX_BODY_BYTES = PACKET - MAX_OVERHEAD_BYTES
 DROP_CAUSES = (
     "unreadable", "too large", "too old", "too new", "wrong fleet", "wrong name", "unknown member",
@@ -33,7 +34,7 @@
 
 
 class TenantUse(msgspec.Struct, array_like=True, frozen=True):
-    """Of one tenant: slot time in ms and what waits; ``base`` as in ``TenantCount``, 0 in sums."""
+    """Of one tenant: slot time in ms and waiting queries; ``base_ms`` as in ``TenantCount``, 0 in sums."""
 
     name: TenantName
     slot_ms: Value
@@ -45,7 +46,7 @@
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Some of the counts of the sender; those not in it are as they were. ``up``: ms since they began."""
+    """Some of the sender's counts; the others are unchanged. ``uptime_ms``: since counting began."""
 
     sequence: Counter
     uptime_ms: Counter
@@ -58,8 +59,9 @@
 class SumMessage(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Sums over a window of a group (``down`` false), or of the fleet (true).
 
-    Of the fields from ``low`` to below ``high`` those not named are zero; of tenants too, unless ``uses``
-    is None. ``lines``: the sum of the lines of those heard, permille. ``groups``: how many groups there are.
+    Fields from ``low`` to below ``high`` that are not named are zero; so are other tenants, unless ``tenants`` is
+    None. ``threshold_total``: the thresholds of the reporting members added up, permille.
+    ``groups``: number of groups.
     """
 
     down: bool
@@ -81,7 +83,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """Around every message."""
+    """Envelope of every message."""
 
     schema: Annotated[int, Meta(ge=0, le=1 << 16)]
     min_schema: Annotated[int, Meta(ge=0, le=1 << 16)]
@@ -98,17 +100,17 @@
 
 
 def encode(body: Body) -> msgspec.Raw:
-    """A body, once for all that it goes to."""
+    """Encode a body once for all its recipients."""
     return msgspec.Raw(_encoder.encode(body))
 
 
 def pack(fleet: str, sender: str, boot: int, recipient: str, raw: msgspec.Raw) -> bytes:
-    """One datagram, ready to go."""
+    """Encode one complete datagram."""
     return MAGIC + _encoder.encode(Envelope(SCHEMA, SCHEMA, fleet, sender, recipient, boot, raw))
 
 
 def unpack(data: bytes, fleet: str, recipient: str) -> tuple[Envelope, Body]:
-    """A message to this member. Raises ``Rejected``."""
+    """Decode a message to this member. Raises ``Rejected``."""
     if len(data) > PACKET:
         raise Rejected("too large")
     if data[: len(MAGIC)] != MAGIC:
@@ -132,7 +134,7 @@
 
 
 def encoded_size(tenant: TenantUse) -> int:
-    """Bytes of a tenant in a message, at most."""
+    """Maximum size of a tenant in a message, bytes."""
     return (
         3
         + len(tenant.name.encode())
@@ -143,7 +145,7 @@
 
 
 def fit_tenants(tenants: Iterable[TenantUse], space: int) -> tuple[TenantUse, ...]:
-    """As many of them as there is room for, in order."""
+    """As many of the tenants, in order, as fit into the space."""
     fitting = []
     for tenant in tenants:
         space -= encoded_size(tenant)
@@ -157,7 +159,7 @@
 
 
 def split_sum(values: dict[int, int], first_space: int) -> list[SumPart]:
-    """Sums cut into ranges that each fit a datagram; the first has so much room. Together they name all."""
+    """Split sums into ranges that each fit a datagram; the first one has less space. Together they name all."""
     parts: list[SumPart] = []
     numbers: list[int] = []
     low, space, next_number = 0, first_space, -1
@@ -175,17 +177,21 @@
 
 
 class ReportBuilder:
-    """Which counts go into the next report: what changed first, the longest untold first among those.
+    """Chooses the counts of the next report: changed ones first, among those the ones sent longest ago.
 
-    A quarter of the room is for the longest untold of all, so that everything comes round whatever changes:
-    of the largest report (2,373 fields of 9 bytes) within 55 periods (15 where half of all change in each),
-    of one that fits its datagrams in every one.
+    A quarter of the space is for the fields sent longest ago, changed or not, so that every field is sent again
+    whatever changes: of the largest report (2,373 fields of 9 bytes) within 55 periods (15 where half of all
+    change in each), of a report that fits its datagrams in every period.
     """
 
     def __init__(self, datagrams: int) -> None:
         self._datagrams = datagrams
-        self._sent: dict[int, tuple[int, int]] = {}  # by number: in which report, and what
-        self._tenants_sent: dict[str, tuple[int, int]] = {}  # by tenant: in which report, and its slot time
+        self._sent: dict[
+            int, tuple[int, int]
+        ] = {}  # by field: sequence of the last report with it, and the value sent
+        self._tenants_sent: dict[
+            str, tuple[int, int]
+        ] = {}  # by tenant: sequence of the last report with it, and the slot time sent
         self._sequence = 0
 
     def _send_order(self, number: int, value: int) -> tuple[bool, int]:
@@ -200,11 +206,11 @@
         threshold_permille: int,
         waiting: int,
     ) -> list[Report]:
-        """What goes out now, one datagram each."""
+        """The datagrams of the next report."""
         self._sequence += 1
         sent = self._sent
         order = sorted(values, key=lambda n: (*self._send_order(n, values[n]), n))
-        # Tenants take at most half of the first datagram where there are more.
+        # Tenants take at most half of the first datagram where there are several.
         by_age = sorted(tenants, key=lambda tenant: self._tenants_sent.get(tenant.name, (-1, -1)))
         named = fit_tenants(by_age, MAX_BODY_BYTES // 2 if self._datagrams > 1 else MAX_BODY_BYTES // 3)
         spaces = [MAX_BODY_BYTES - sum(map(encoded_size, named))] + [MAX_BODY_BYTES] * (self._datagrams - 1)
--- a/quincepath/fleet/load_reports/reporter.py
+++ b/quincepath/fleet/load_reports/reporter.py
@@ -1,7 +1,8 @@
-"""The ledger of one broker as a machine: its own counts and what was heard, in; datagrams and totals, out.
+"""State machine of one broker's load reports: own counts and received datagrams in, datagrams and totals out.
 
-Once a period a broker reports to the summers of its group, a summer sums up what it heard and tells the place
-above, the top tells everybody down the same way. docs/design/ledger.md weighs this against other ways.
+Once a period a broker reports to the aggregators of its group. An aggregator adds up the reports it received
+and sends the sum to the group above; the top sends the fleet's sums down the same way to every member.
+docs/design/ledger.md compares this with other ways.
 """
 
 import random
@@ -36,13 +37,15 @@
 from quincepath.fleet.load_reports.types import MS, Counts, LoadReportSettings
 from quincepath.fleet.messages import Rejected
 
-MAX_RELAYED_SENDERS = 32  # speakers above whose newest number is kept; with more, all are forgotten
-MAX_SMALL_VALUE = 1 << 20  # of what waits, and of an age in ms
-MAX_GROUP_SENDERS = 4  # heard of one place; the one heard longest ago gives way
+MAX_RELAYED_SENDERS = (
+    32  # senders above whose newest sequence number is remembered; with more, all are forgotten
+)
+MAX_SMALL_VALUE = 1 << 20  # of waiting queries, and of an age in ms
+MAX_GROUP_SENDERS = 4  # senders of sums of one group; the one with the oldest sums is replaced
 
 
 class LoadReporter:
-    """One broker's. ``causes`` counts what was dropped or did not count, by a fixed few causes."""
+    """One broker's load reporting. ``causes`` counts what was dropped or not counted, by a fixed set of causes."""
 
     def __init__(
         self, fleet: str, me: str, boot: int, settings: LoadReportSettings, seed: int, now: int = 0
@@ -61,19 +64,19 @@
         self._report_builder = ReportBuilder(settings.report_datagrams)
         self._child_sums: dict[
             tuple[int, int], dict[str, ReceivedSum]
-        ] = {}  # by place below: what its lanes told
-        self._fleet_sums: dict[str, ReceivedSum] = {}  # by lane of the own group
-        self._relayed: dict[tuple[int, str], tuple[int, int]] = {}  # by level and speaker: boot, number
+        ] = {}  # by child group: what its aggregators sent
+        self._fleet_sums: dict[str, ReceivedSum] = {}  # by aggregator of the own group
+        self._relayed: dict[tuple[int, str], tuple[int, int]] = {}  # by level and sender: boot, sequence
         self._sequence = 0
         self._outputs: list[Output] = []
 
     @property
     def due(self) -> int:
-        """When it wants to be called at the latest."""
+        """The latest time of the next call of ``step``."""
         return self._due
 
     def step(self, now: int, inputs: Sequence[Input] = ()) -> list[Output]:
-        """Take what came in; when due, report, sum up and say what the totals are."""
+        """Apply the events; when due, report, sum up and emit the totals."""
         self._outputs = []
         for event in inputs:
             if isinstance(event, OwnCounts):
@@ -89,13 +92,13 @@
             else:
                 self._on_datagram(now, event.data)
         if now >= self._due:
-            # A little apart from the others each time, so that no two stay in step.
+            # Jitter, so that no two members stay in step.
             spread = self._random.randrange(max(self._settings.period // 10, 1))
             self._due = now + self._settings.period - spread
             self._tick(now)
         return self._outputs
 
-    # --- hearing ---
+    # --- receiving ---
 
     def _on_datagram(self, now: int, data: bytes) -> None:
         try:
@@ -161,10 +164,10 @@
         found.apply(now, body)
         table[sender] = found
 
-    # --- telling ---
+    # --- sending ---
 
     def _send(self, now: int, names: Iterable[str], body: Body) -> None:
-        """To members, to itself without a datagram."""
+        """To some members; applied directly where the member is this one."""
         raw = encode(body)
         for name in names:
             if name != self.me:
@@ -214,7 +217,7 @@
         self._emit_totals(now)
 
     def _emit_totals(self, now: int) -> None:
-        """What the lanes of the own group told of the fleet."""
+        """Emit the fleet's totals from what the aggregators of the own group sent."""
         settings, live = self._settings, len(self._tree.live)
         current = [
             received
@@ -229,13 +232,13 @@
         if current:
             for received in current:
                 received.sums.age = now - received.at
-            # Together, all members count for no more than each at its most.
+            # Together, all members contribute no more than each one at its limit.
             median = lower_median([clip([(live, received.sums)], settings)[0][0] for received in current])
             self._outputs.append(to_totals(now - median.age, live, median, settings))
             self._current_fleet = median if fresh else None
 
     def _sum_group(self, now: int, level: int, index: int) -> Sums:
-        """Of a place that this member sums up."""
+        """The sum of a group that this member aggregates."""
         parts: list[tuple[int, Sums]] = []
         keys: list[object] = []
         if level == 0:
@@ -243,9 +246,7 @@
             for name, sums in self._member_counts.window_sums(now):
                 if name not in members_here:
                     sums.reporting = sums.threshold_total = 0
-                if (
-                    self._tree.group_index(name) == index
-                ):  # also of one that is dead, until its window is over
+                if self._tree.group_index(name) == index:  # also of a dead member, until its window is over
                     parts.append((1, sums))
                     keys.append(name)
         else:
@@ -274,7 +275,7 @@
         return add(bounded)
 
     def _sum_messages(self, down: bool, level: int, index: int, sums: Sums) -> list[SumMessage]:
-        """One sum as datagrams: the first in every period, the others by turns."""
+        """One sum as datagrams: the first in every period, the others in rotation."""
         names = sorted(
             {*sums.tenant_slot_ms, *sums.tenant_waiting},
             key=lambda name: (-sums.tenant_slot_ms.get(name, 0), -sums.tenant_waiting.get(name, 0), name),
@@ -312,7 +313,7 @@
         return [body(part) for part in chosen]
 
     def _send_down(self, now: int, lane: int, body: SumMessage) -> None:
-        """From a place to the members under it, by way of the places between."""
+        """From a group to the members in it, by way of the aggregators of the groups between."""
         tree = self._tree
         if body.level == 0:
             self._send(now, tree.members_of(0, body.index), body)
@@ -322,7 +323,7 @@
         self._send(now, [name for name in recipients if name], body)
 
     def _relay(self, now: int, sender: str, boot: int, body: SumMessage) -> None:
-        """What the place above told, to those below."""
+        """Relay what the group above sent to the members below."""
         level = body.level - 1
         lane = self._own_lane(level)
         if lane is None:
--- a/quincepath/fleet/load_reports/sums.py
+++ b/quincepath/fleet/load_reports/sums.py
@@ -1,4 +1,4 @@
-"""Sums over a window: added, the middle of several, and as what consumers read."""
+"""Sums over a window: addition, the median of several, and conversion to totals."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -23,13 +23,16 @@
 )
 
 MIN_RELATIVE_REPORTING = (
-    0.8  # of several sums of the same, those that heard at least so much of the most heard
+    0.8  # sums of the same members with a lower share of the highest number of reporting members are left out
 )
 
 
 @dataclass(slots=True)
 class Sums:
-    """Of one member, a group or the fleet. ``age``: ns, mean of those heard. ``lines``: permille, added."""
+    """Sums of one member, a group or the fleet. ``age``: ns, mean of the reporting members.
+
+    ``threshold_total``: their thresholds added up, permille.
+    """
 
     reporting: int = 0
     age: int = 0
@@ -41,7 +44,7 @@
 
 
 def add(parts: Sequence[Sums]) -> Sums:
-    """Their sum; of tenants the heaviest only."""
+    """The sum of the parts, with the heaviest tenants only."""
     total = Sums()
     for part in parts:
         total.reporting += part.reporting
@@ -61,7 +64,7 @@
 
 
 def keep_heaviest(total: Sums) -> Sums:
-    """Of tenants those that used most, and a quarter of the places for those that wait."""
+    """Keep the tenants with the most use, and a quarter of the places for those with most waiting queries."""
     names = sorted(total.tenant_slot_ms, key=lambda name: (-total.tenant_slot_ms[name], name))[
         : MAX_NAMED_TENANTS * 3 // 4
     ]
@@ -78,9 +81,10 @@
 
 
 def lower_median(candidates: Sequence[Sums]) -> Sums:
-    """Of several sums of the same, field by field the middle one (of two the lower).
+    """The field by field median of several sums of the same members (of two the lower).
 
-    Those that heard much less than the most heard are left out: a summer that has just begun knows little.
+    Sums with far fewer reporting members than the best one are left out: an aggregator that has just started
+    knows little.
     """
     most_reporting = max(sums.reporting for sums in candidates)
     comparable = [sums for sums in candidates if sums.reporting >= MIN_RELATIVE_REPORTING * most_reporting]
@@ -112,7 +116,7 @@
 
 
 def to_totals(at: int, live: int, sums: Sums, settings: LoadReportSettings) -> Totals:
-    """What consumers read."""
+    """The totals that consumers read."""
     rows = [[0.0] * len(Count) for _ in range(MAX_CLASSES)]
     sends, arrivals = [0.0] * len(SendKind), [0.0] * PRIORITY_BANDS
     replica_sets: dict[int, list[float]] = {}
--- a/quincepath/fleet/load_reports/tree.py
+++ b/quincepath/fleet/load_reports/tree.py
@@ -1,9 +1,10 @@
-"""Who sums up whom: groups of members, groups of groups, and in each place a few summers side by side.
+"""The aggregation tree: groups of members, groups of groups, each with a few aggregators side by side.
 
 A member's group follows from a hash of its name and the number of groups, which follows from the number of
-*configured* members: who dies or is cut off changes no group. In each place (level, index) the summers are
-chosen among the living below it by rendezvous hashing, one a lane: when one dies, its lane goes to the next
-and the other lanes stay. A lane's summer speaks to the same lane of the place above and below.
+*configured* members: a member that dies or is cut off changes no group. In each group (level, index) the
+aggregators are chosen by rendezvous hashing among the live members below, one for each lane (0, 1, 2 ...):
+when one dies, its lane goes to the next member and the other lanes stay. An aggregator exchanges sums with
+the same lane of the group above and below.
 """
 
 import hashlib
@@ -17,12 +18,12 @@
 
 @lru_cache(maxsize=1 << 17)
 def stable_hash(salt: str, name: str) -> int:
-    """A number that is the same everywhere."""
+    """A hash that is the same in every process."""
     return int.from_bytes(hashlib.blake2b(f"{salt} {name}".encode(), digest_size=8).digest(), "big")
 
 
 class AggregationTree:
-    """Places as seen by one member. ``boots``: of those believed to live, itself among them."""
+    """The groups as seen by one member. ``live``: names of the members believed live, itself among them."""
 
     def __init__(self, me: str, live: Iterable[str], configured: int, settings: LoadReportSettings) -> None:
         self._settings = settings
@@ -43,15 +44,15 @@
         self._aggregators: dict[tuple[int, int], tuple[str, ...]] = {}
 
     def group_index(self, name: str, level: int = 0) -> int:
-        """Where a name belongs on a level; the top has only place 0."""
+        """The group of a name on a level; the top level has only group 0."""
         return int(stable_hash("group", name) % self.groups // self._settings.group_size**level)
 
     def members_of(self, level: int, index: int) -> list[str]:
-        """The living under it."""
+        """The live members below a group."""
         return self._members.get((level, index), [])
 
     def child_groups(self, level: int, index: int) -> list[int]:
-        """Places of the level beneath, of a level above 0."""
+        """The nonempty groups of the level below that belong to a group."""
         group_size = self._settings.group_size
         return [
             child
@@ -60,7 +61,7 @@
         ]
 
     def aggregators(self, level: int, index: int) -> tuple[str, ...]:
-        """Its summers, lane by lane; fewer where fewer live below it."""
+        """The aggregators of a group by lane; fewer where fewer members live below it."""
         chosen_before = self._aggregators.get((level, index))
         if chosen_before is None:
             chosen: list[str] = []
@@ -74,17 +75,17 @@
         return chosen_before
 
     def lane_of(self, level: int, index: int, name: str) -> int | None:
-        """Which lane of it a member has."""
+        """The lane of a member in a group."""
         members = self.aggregators(level, index)
         return members.index(name) if name in members else None
 
     def child_aggregator(self, level: int, index: int, lane: int) -> str | None:
-        """Whom a lane of the place above speaks to; where there are fewer lanes, they are shared."""
+        """The recipient of a lane of the group above; where this group has fewer lanes, they are shared."""
         members = self.aggregators(level, index)
         return members[lane % len(members)] if members else None
 
     def parent_aggregators(self, level: int, index: int, lane: int) -> list[str]:
-        """Whom a lane tells of its sums: the same lane of the place above, and those that have none here."""
+        """The recipients of a lane's sums: the same lane of the group above, and lanes that this group does not have."""
         parents, lane_count = (
             self.aggregators(level + 1, index // self._settings.group_size),
             len(self.aggregators(level, index)),
--- a/quincepath/fleet/load_reports/types.py
+++ b/quincepath/fleet/load_reports/types.py
@@ -1,11 +1,12 @@
-"""What brokers tell each other of themselves, and what falls out of it: types only.
+"""Types of the load reports: the counts that brokers report and the totals made of them.
 
-A broker counts itself in counts that only grow (``Counts``); they travel with (member, boot) and a sequence
-number, so that losses, doubles, old news and restarts never count twice. What all use are ``Totals``: sums
-over the fleet within a window, with their age and coverage. They are beliefs: a consumer may do less for them
-than its configuration allows it alone, never more (docs/design/ledger.md).
+A broker counts its own work in counters that only grow (``Counts``). They travel with (member, boot) and a
+sequence number, so that lost, duplicated or reordered datagrams and restarts never count anything twice.
+Consumers read ``Totals``: sums over the fleet within a window, with their age and coverage. Totals are
+estimates: on their account a consumer may do less than its configuration allows it alone, never more
+(docs/design/ledger.md).
 
-Times: integer ns of the reader's own clock; no wall clock travels.
+Times: integer ns of the reader's own clock; no wall clock time is sent.
 """
 
 from collections.abc import Mapping
@@ -14,40 +15,40 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-PRIORITY_BANDS = 64  # steps of the one order of queries in which arrivals are counted
-MAX_CLASSES = 32  # classes of query that are told apart
-MAX_REPLICA_SETS = 1024  # replica sets that are told apart
-MAX_NAMED_TENANTS = 32  # heavy tenants named in one report; the others are one rest
+PRIORITY_BANDS = 64  # bands of the priority order in which arrivals are counted
+MAX_CLASSES = 32  # query classes that are counted apart
+MAX_REPLICA_SETS = 1024  # replica sets that are counted apart
+MAX_NAMED_TENANTS = 32  # heavy tenants named in one report; all others are summed as the rest
 
 
 class Count(IntEnum):
-    """What became of a query, by class. ``TAKEN`` counts each that arrived, whatever became of it."""
+    """Outcome of a query, by class. ``TAKEN`` counts every arrival, whatever its outcome."""
 
     TAKEN = 0
-    IN_TIME = 1  # whole or partial within its target
-    LATE = 2  # answered after it
-    REFUSED = 3  # by the module: not expected to finish
-    SHED = 4  # by the fleet's line
-    TURNED_AWAY = 5  # by admission's own bounds, or a slow query's turn that cannot come in time
+    IN_TIME = 1  # a whole or partial answer within its target
+    LATE = 2  # answered after its target
+    REFUSED = 3  # by the decision module: not expected to finish in time
+    SHED = 4  # below the shedding threshold of the fleet
+    TURNED_AWAY = 5  # by admission limits, or a slow query whose turn cannot come in time
     FAILED = 6
-    LEFT = 7  # its client went away
+    LEFT = 7  # its client disconnected
 
 
 class SendKind(IntEnum):
-    """What was sent to holders."""
+    """Kind of a send to storage nodes."""
 
     FIRST = 0  # first attempts of parts
-    FURTHER = 1  # further attempts and copies
-    TRIAL = 2  # sends to a holder that this broker doubts
+    FURTHER = 1  # further attempts and hedged copies
+    TRIAL = 2  # probing sends to a node that this broker suspects
     DIAL = 3  # new connections
 
 
 @dataclass(slots=True)
 class TenantCount:
-    """Of one tenant at one broker: slot time used by slow queries (ns, grows only), and what waits now.
+    """Of one tenant at one broker: slot time used by slow queries (ns, only grows), and how many wait now.
 
-    ``base``: what all tenants of the broker together had used when this one was last taken into its table.
-    ``slot_time`` goes on from there, so that a tenant that fell out of the table and came back still grows.
+    ``base``: what all tenants of the broker together had used when this tenant last entered its table.
+    ``slot_time`` continues from there, so that it still grows for a tenant that was evicted and came back.
     """
 
     slot_time: int = 0
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True)
 class ReplicaSetCount:
-    """Of one replica set at one broker: parts asked for, and refused or turned away; grow only."""
+    """Of one replica set at one broker: parts requested and parts refused or turned away; both only grow."""
 
     demand: int = 0
     refused: int = 0
@@ -65,22 +66,22 @@
 
 @dataclass(slots=True)
 class Counts:
-    """All that a broker counts of itself since its start. All but ``waiting`` and ``line`` only grow."""
+    """All counts of a broker since its start. All but ``waiting`` and ``threshold`` only grow."""
 
     by_class: list[list[int]] = field(default_factory=list)  # [class][Count]
     sends: list[int] = field(default_factory=lambda: [0] * len(SendKind))
-    arrivals: list[int] = field(default_factory=lambda: [0] * PRIORITY_BANDS)  # by place in the one order
+    arrivals: list[int] = field(default_factory=lambda: [0] * PRIORITY_BANDS)  # by band of the priority order
     tenants: dict[str, TenantCount] = field(default_factory=dict)
     replica_sets: dict[int, ReplicaSetCount] = field(default_factory=dict)
-    threshold: float = 0.0  # where this broker has the fleet's line now, 0 (nothing shed) to 1
-    slot_time: int = 0  # ns, of all tenants, also those not named
+    threshold: float = 0.0  # shedding threshold of this broker now, 0 (nothing shed) to 1
+    slot_time: int = 0  # ns, of all tenants, also of those not named
     waiting: int = 0  # slow queries that wait now, of all tenants
-    uptime: int = 0  # ns since it began to count
+    uptime: int = 0  # ns since counting began
 
 
 @dataclass(slots=True, frozen=True)
 class TenantTotal:
-    """Of one tenant, at all brokers heard: slot time within the window (ns), and what waits now."""
+    """Of one tenant, at all reporting brokers: slot time within the window (ns), and how many queries wait."""
 
     slot_time: float
     waiting: float
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaSetTotal:
-    """Of one replica set, at all brokers heard, within the window."""
+    """Of one replica set, at all reporting brokers, within the window."""
 
     demand: float
     refused: float
@@ -96,12 +97,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Totals:
-    """Sums over the brokers heard, within windows that ended at ``at`` (own clock) on the mean of them.
+    """Sums over the reporting brokers, within windows that ended at ``at`` (own clock) on the mean of them.
 
-    Coverage, as it was then: of ``of`` members believed to live, ``heard`` are in it whose reports were
-    no older than ``fresh_within`` and cover the whole window; the others count as far as is known of them.
-    Sums are not scaled up: each consumer says what it does below which coverage. No single broker counts for
-    more than the stated bound of the settings.
+    Coverage at that time: of the ``live`` members (believed live), ``reporting`` ones are included with reports
+    that were no older than ``fresh_within`` and cover the whole window; the others are included as far as is
+    known of them. Sums are not scaled up: each consumer states what it does below which coverage. No single
+    broker contributes more than the bound given by the settings.
     """
 
     at: int
@@ -114,34 +115,36 @@
     tenants: Mapping[str, TenantTotal] = field(default_factory=dict)
     rest: TenantTotal = TenantTotal(0.0, 0.0)  # of all tenants that are not named
     replica_sets: Mapping[int, ReplicaSetTotal] = field(default_factory=dict)
-    threshold: float = 0.0  # mean of the lines of those heard
+    threshold: float = 0.0  # mean threshold of the reporting brokers
 
     @property
     def coverage(self) -> float:
-        """Share of the members believed to live that are in the sums, 0 to 1."""
+        """Share of the live members that are included in the sums, 0 to 1."""
         return min(self.reporting / self.live, 1.0) if self.live else 0.0
 
     def count(self, outcome: Count) -> float:
-        """Over all classes."""
+        """Sum of one outcome over all classes."""
         return sum(row[outcome] for row in self.by_class)
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReportSettings:
-    """How the ledger is kept. Times in ns."""
-
-    period: int = 500 * MS  # between reports of one broker
-    window: int = 5 * SECOND  # that totals are of
-    fresh_within: int = 2 * SECOND  # a report older than that is not in the coverage
-    forget: int = 10 * SECOND  # totals older than that are no knowledge at all
-    most_rate: float = 2000.0  # queries a second that one broker counts for at most; its other counts in step
-    share_most: float = 8.0  # and at most so many times the mean of the others, where three or more are heard
-    free_rate: float = 100.0  # queries a second that count whatever the others have
-    max_sends_per_query: float = 64.0  # sends, and parts asked of replica sets, for each of these queries
-    max_slots: float = 256.0  # slots of slow queries that one broker counts for at most
-    group_size: int = 16  # members, or groups, that are summed up in one place
+    """Settings of the load reports. Times in ns."""
+
+    period: int = 500 * MS  # between two reports of one broker
+    window: int = 5 * SECOND  # of the totals
+    fresh_within: int = 2 * SECOND  # a report older than that does not count as coverage
+    forget: int = 10 * SECOND  # totals older than that are not used at all
+    most_rate: float = (
+        2000.0  # queries a second that one broker contributes at most; its other counts in proportion
+    )
+    share_most: float = 8.0  # and at most so many times the mean of the others, where three or more report
+    free_rate: float = 100.0  # queries a second that always count, whatever the others report
+    max_sends_per_query: float = 64.0  # sends, and parts requested of replica sets, for each of these queries
+    max_slots: float = 256.0  # slots of slow queries that one broker contributes at most
+    group_size: int = 16  # members, or groups, that are summed up by one aggregator
     report_datagrams: int = 2  # datagrams of one report or sum in one period
-    aggregators: int = 3  # members that sum up at the same time
+    aggregators: int = 3  # members that sum up the same group at the same time
 
     def __post_init__(self) -> None:
         minimums = {
--- a/quincepath/fleet/overload/__init__.py
+++ b/quincepath/fleet/overload/__init__.py
@@ -1,4 +1,4 @@
-"""Overload handled by the fleet as one: who is shed, and what each broker may spend."""
+"""Overload control by the fleet as a whole: which queries are shed, and what each broker may send."""
 
 from quincepath.fleet.overload.core import OverloadControl
 from quincepath.fleet.overload.types import (
--- a/quincepath/fleet/overload/adjustment.py
+++ b/quincepath/fleet/overload/adjustment.py
@@ -1,8 +1,8 @@
-"""How a line is moved: from a share to let in, through the histogram of arrivals, to a place and back.
+"""Feedback control of a threshold: from an admitted share, by the histogram of arrivals, to a threshold and back.
 
-What is moved is the share of the arrivals that is let in. Above ``late_share`` of bad ends one move goes down
-to what can be served (``rise`` at most); below ``calm_share`` it gives back ``fall``, the more
-the more calm moves were made in a row; between the two it stands.
+The controlled value is the admitted share of the arrivals. Above ``late_share`` of bad outcomes one update
+reduces it to what can be served (by ``max_decrease`` at most); below ``calm_share`` it increases, by
+``min_increase`` at first and more with each further calm update in a row; between the two it stays.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 def share_above(threshold: float, arrivals: Sequence[float]) -> float:
-    """Share of the arrivals at or above a line, even within a band; 1 - line where nothing arrived."""
+    """Share of the arrivals at or above a threshold, even within a band; 1 - threshold without arrivals."""
     total = sum(arrivals)
     if total <= 0:
         return 1.0 - threshold
@@ -26,7 +26,7 @@
 
 
 def threshold_for(share: float, arrivals: Sequence[float]) -> float:
-    """The line that lets in this share of the arrivals. 0 where all are let in."""
+    """The threshold that admits this share of the arrivals. 0 where all are admitted."""
     total = sum(arrivals)
     if share >= 1:
         return 0.0
@@ -44,11 +44,11 @@
 def next_share(
     share: float, servable_share: float, bad_share: float, calm_steps: int, settings: OverloadSettings
 ) -> tuple[float, int]:
-    """The next share to let in and the calm moves in a row.
+    """The next admitted share and the number of calm updates in a row.
 
-    ``good``: the share that can be served; ``bad``: of what was let in, what was not served well. The way
-    down is to what can be served, not down from where the line is: news that are counted twice, as windows
-    overlap and delays differ, take nothing away twice.
+    ``servable_share``: the share that can be served; ``bad_share``: of the admitted queries, those with a bad
+    outcome. A decrease goes to what can be served instead of down from the present share: totals that are counted
+    twice, because windows overlap and delays differ, reduce nothing twice.
     """
     if bad_share > settings.late_share:
         return max(
--- a/quincepath/fleet/overload/arrival_history.py
+++ b/quincepath/fleet/overload/arrival_history.py
@@ -1,8 +1,8 @@
-"""How arrivals lie over the order when nothing is shed, and where a line was over a window.
+"""Distribution of arrivals over the priority order when nothing is shed, and past values of a threshold.
 
-Clients that were shed come again, some at once and often: while a line is up, what arrives below it counts
-many times over. A share to let in is a share of the undisturbed arrivals, so their shape is kept from when
-nothing was shed, with a little of what arrives now, in case the mix has changed.
+Clients that were shed retry, some of them at once and often: while a threshold is above 0, arrivals below it
+are counted many times. An admitted share is a share of the undisturbed arrivals, so their distribution is kept
+from when nothing was shed, blended with a little of the present arrivals in case the mix has changed.
 """
 
 from collections import deque
@@ -10,9 +10,9 @@
 
 from quincepath.fleet.load_reports.types import PRIORITY_BANDS, SECOND
 
-MAX_STEPS = 64  # moves or news remembered
-TIME_CONSTANT_NS = 10 * SECOND  # the shape follows in this time
-CURRENT_WEIGHT = 0.1  # weight of what arrives now
+MAX_STEPS = 64  # values remembered
+TIME_CONSTANT_NS = 10 * SECOND  # the distribution follows the arrivals in this time
+CURRENT_WEIGHT = 0.1  # weight of the present arrivals
 
 
 class ArrivalDistribution:
@@ -23,7 +23,7 @@
         self._at = 0
 
     def update(self, at: int, arrivals: Sequence[float], threshold: float) -> list[float]:
-        """Take in a histogram; the one to measure shares by."""
+        """Apply a histogram and return the distribution by which shares are measured."""
         total = sum(arrivals)
         current = (
             [count / total for count in arrivals] if total > 0 else [1 / PRIORITY_BANDS] * PRIORITY_BANDS
@@ -43,14 +43,14 @@
 
 
 class StepHistory:
-    """A value that stood from a time on; its mean over a window. Bounded: what is older is forgotten."""
+    """A step function over time and its mean over a window. Of bounded size: the oldest steps are forgotten."""
 
     def __init__(self, initial: float) -> None:
         self._initial = initial
         self._steps: deque[tuple[int, float]] = deque(maxlen=MAX_STEPS)
 
     def record(self, at: int, value: float) -> None:
-        """It is this from now on; what is not newer than the last is left out."""
+        """The value from this time on; one that is not newer than the last is ignored."""
         if self._steps and at <= self._steps[-1][0]:
             return
         if len(self._steps) == MAX_STEPS:
@@ -58,7 +58,7 @@
         self._steps.append((at, value))
 
     def mean(self, start: int, end: int) -> float:
-        """Over a window."""
+        """The mean over a window."""
         total, at, value = 0.0, start, self._initial
         for when, after in self._steps:
             if when > at:
--- a/quincepath/fleet/overload/confidence.py
+++ b/quincepath/fleet/overload/confidence.py
@@ -1,11 +1,11 @@
-"""How much the totals count: their age and coverage as one weight, without a step."""
+"""Weight of the fleet's totals by their age and coverage, without a step."""
 
 from quincepath.fleet.load_reports.types import Totals
 from quincepath.fleet.overload.types import OverloadSettings
 
 
 def confidence(now: int, totals: Totals | None, settings: OverloadSettings) -> float:
-    """1: in full; 0: no knowledge. Falls evenly from ``old`` to ``forget`` and between the two coverages."""
+    """1: in full; 0: not at all. Falls linearly from ``stale_after`` to ``forget`` and between the two coverages."""
     if totals is None or totals.live <= 0:
         return 0.0
     span = max(settings.forget - settings.stale_after, 1)
--- a/quincepath/fleet/overload/core.py
+++ b/quincepath/fleet/overload/core.py
@@ -1,4 +1,4 @@
-"""Overload as one: ``step`` takes totals or own news, ``arrive`` is asked for each query as it comes."""
+"""Overload control: ``step`` takes totals or local statistics, ``on_arrival`` decides on each query."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 class OverloadControl:
-    """One broker's part. ``seed``: of its own source of chance, used for come-back times only."""
+    """Overload control of one broker. ``seed``: of its own random source, used for retry advice only."""
 
     def __init__(self, settings: OverloadSettings, seed: int, now: int) -> None:
         self._settings = settings
@@ -39,9 +39,9 @@
         self.due = now + settings.period
 
     def step(self, now: int, news: Totals | LocalStats | None = None, age: int = 0) -> Decision:
-        """Take news in; move the lines when a move is due. ``age``: of the fleet, ns (its oldest member's).
+        """Apply totals or statistics; update the thresholds when due. ``age``: of the fleet's oldest member, ns.
 
-        Totals that are older than those known are left out.
+        Totals that are older than the known ones are ignored.
         """
         if isinstance(news, Totals) and (self._totals is None or news.at >= self._totals.at):
             self._totals = news
@@ -61,9 +61,9 @@
         )
 
     def on_arrival(self, now: int, arrival: Arrival, priority: float | None = None) -> Shed | None:
-        """Whether a query is shed, and when its client should come back. None: it is let in.
+        """Whether a query is shed, and when its client should retry. None: it is admitted.
 
-        ``place``: where it stands, where that has been asked for.
+        ``priority``: where it has been computed before.
         """
         priority = self.priority(now, arrival) if priority is None else priority
         threshold, confidence = self.threshold(now), self.confidence(now)
@@ -84,7 +84,7 @@
         )
 
     def priority(self, now: int, arrival: Arrival) -> float:
-        """Where a query stands in the one order. A tenant not known to be over its share is not."""
+        """The place of a query in the priority order. A tenant not known to be over its share counts as within it."""
         over = (
             self._over_shares.get(arrival.tenant, 0.0)
             if self._over_shares and self.confidence(now) > 0
@@ -93,16 +93,16 @@
         return ordering.priority(arrival.worth, over, arrival.tenant, arrival.client, self._epoch)
 
     def confidence(self, now: int) -> float:
-        """Weight of the fleet's knowledge, 0 to 1."""
+        """Weight of the fleet's totals, 0 to 1."""
         return confidence(now, self._totals, self._settings)
 
     def threshold(self, now: int) -> float:
-        """The line in force here: the fleet's, fading to the broker's own."""
+        """The effective threshold: the fleet's, fading to the broker's own with the weight of the totals."""
         confidence = self.confidence(now)
         return confidence * self._fleet_threshold.value + (1 - confidence) * self._local_threshold.value
 
     def replica_set_thresholds(self, now: int) -> dict[int, float]:
-        """Lines of full replica sets in force here."""
+        """Effective thresholds of full replica sets."""
         confidence = self.confidence(now)
         return (
             {
@@ -114,7 +114,7 @@
         )
 
     def send_budget(self, now: int) -> SendBudget:
-        """What this broker may spend until the next move but one."""
+        """What this broker may send until the update after the next one."""
         confidence = self.confidence(now)
         count = trial_turns.broker_count(self._totals, confidence, self._settings)
         return SendBudget(
@@ -130,7 +130,7 @@
         if self._totals is not None and confidence > 0:
             self._fleet_threshold.update(self._totals)
             self._replica_set_thresholds.update(now, self._totals)
-            # Its own line waits where the one in force is: without knowledge it goes on from there.
+            # Its own threshold follows the effective one: without totals it continues from there.
             self._local_threshold.value += confidence * (
                 self._fleet_threshold.value - self._local_threshold.value
             )
--- a/quincepath/fleet/overload/extra_sends.py
+++ b/quincepath/fleet/overload/extra_sends.py
@@ -1,9 +1,9 @@
-"""Further sends of all brokers within the fleet's budget, handed out by what each one sends itself."""
+"""Budget of further sends (retries and hedged copies) of the fleet, shared out by each broker's first sends."""
 
 from quincepath.fleet.load_reports.types import SECOND, SendKind, Totals
 from quincepath.fleet.overload.types import LocalStats, OverloadSettings
 
-HANDED_OUT_SHARE = 0.9  # of the ratio is handed out: each broker may have one send saved up
+HANDED_OUT_SHARE = 0.9  # share of the ratio that is handed out: each broker may have one send saved up
 
 
 def extra_send_rate(
@@ -11,13 +11,13 @@
 ) -> float:
     """Further sends a second of this broker.
 
-    Its part of the ratio goes by its own first sends, counted now, and so does its part of the free ones:
-    the sum over the brokers is the budget however load lies on them. Where the totals say that the fleet
-    spends more than that, all are cut by as much. Without knowledge (weight 0): the ratio, and an even share
-    of the free ones. Never more than the broker may spend alone.
+    Its share of the ratio follows its own first sends, counted now, and so does its share of the free ones: the
+    sum over the brokers is the budget, however the load is distributed. Where the totals show that the fleet
+    sends more than that, all brokers are reduced by the same factor. Without totals (confidence 0): the ratio, and
+    an even share of the free ones. Never more than the broker may send alone.
     """
     own = local.first * SECOND / local.window
-    if local.first_rate >= 0:  # after a drop the budget is of what is sent now
+    if local.first_rate >= 0:  # after a drop of the load the budget follows the present sends
         own = min(own, local.first_rate)
     share = 1 / max(settings.brokers, 1)
     reduction = 1.0
--- a/quincepath/fleet/overload/ordering.py
+++ b/quincepath/fleet/overload/ordering.py
@@ -1,9 +1,9 @@
-"""The one order of all queries: worth, then how far the tenant is over its share, then a hash.
+"""The priority order of all queries: worth, then how far the tenant is over its share, then a hash.
 
-``place`` is from 0 (shed first) to below 1. Worth has ``WORTHS`` steps, each split by over-share in ``OVERS``
-steps, each filled evenly by the hash: 64 bands are two to each (worth, over-share).
-The hash is blake2b of the standard library: the same in every process (``hash()`` is not), about a
-microsecond, and no further dependency.
+``priority`` is from 0 (shed first) to below 1. Worth has ``WORTH_STEPS`` steps, each split by over-share into
+``OVER_SHARE_STEPS`` steps, each filled evenly by the hash: of the 64 bands each (worth, over-share) has two.
+The hash is blake2b of the standard library: the same in every process (``hash()`` is not), takes about a
+microsecond, and adds no dependency.
 """
 
 from collections.abc import Mapping
@@ -21,18 +21,18 @@
 
 
 def stable_fraction(tenant: str, client: str, epoch: int) -> float:
-    """0 to below 1, the same at all brokers for an epoch."""
+    """A hash as a number from 0 to below 1, the same at all brokers for an epoch."""
     digest = blake2b(f"{epoch}\0{tenant}\0{client}".encode(), digest_size=6).digest()
     return int.from_bytes(digest) / (1 << 48)
 
 
 def over_share_step(over_share: float) -> int:
-    """0 up to its share, 1 to twice, 2 to four times, 3 beyond; not known (0.0) counts as within."""
+    """0 up to its share, 1 to twice, 2 to four times, 3 beyond; unknown (0.0) counts as within."""
     return 0 if over_share <= 1 else 1 if over_share <= 2 else 2 if over_share <= 4 else 3
 
 
 def priority(worth: float, over_share: float, tenant: str, client: str, epoch: int) -> float:
-    """Where a query stands in the order."""
+    """The place of a query in the order."""
     within = (
         OVER_SHARE_STEPS - 1 - over_share_step(over_share) + stable_fraction(tenant, client, epoch)
     ) / OVER_SHARE_STEPS
@@ -40,14 +40,14 @@
 
 
 def band(priority: float) -> int:
-    """In which step of the histogram of arrivals it is counted."""
+    """The band of the histogram of arrivals that counts this priority."""
     return min(int(priority * PRIORITY_BANDS), PRIORITY_BANDS - 1)
 
 
 def over_shares(totals: Totals, weights: Mapping[str, float], max_tenants: int) -> dict[str, float]:
-    """Slot time of each named tenant over its weighted share; at most so many, the heaviest first.
+    """Slot time of each named tenant relative to its weighted share, for a limited number, the heaviest first.
 
-    The tenants that are not named count together as one of weight 1. With one tenant alone nobody is over.
+    The tenants that are not named count together as one of weight 1. With a single tenant nobody is over.
     """
     named: list[tuple[str, TenantTotal]] = sorted(totals.tenants.items(), key=lambda item: -item[1].slot_time)
     used = sum(total.slot_time for _, total in named) + totals.rest.slot_time
--- a/quincepath/fleet/overload/thresholds.py
+++ b/quincepath/fleet/overload/thresholds.py
@@ -1,9 +1,10 @@
-"""The fleet's line, this broker's own, and one for each replica set that is full.
+"""Shedding thresholds of the fleet, of this broker alone, and of each replica set that is full.
 
-The next move of the fleet's line starts from the mean line of those heard (``Totals.line``): brokers do not
-drift apart, one that comes back starts where the others are, and as that mean is as old as the news, late
-news slow the loop down by itself. A replica set that is full is no reason to shed elsewhere: what ended badly
-counts towards the fleet's line only as far as the middle one of the sets has it, too.
+Each update of the fleet's threshold starts from the mean threshold of the reporting brokers
+(``Totals.threshold``): brokers do not drift apart, a broker that comes back starts where the others are, and as
+that mean is as old as the totals, late totals slow the control loop down by themselves. A full replica set is
+no reason to shed queries to others: bad outcomes count towards the fleet's threshold only as far as the median
+replica set has them, too.
 """
 
 import math
@@ -15,22 +16,22 @@
 
 NOT_ADMITTED = (Count.SHED, Count.TURNED_AWAY, Count.LEFT)
 BAD_OUTCOMES = (Count.LATE, Count.REFUSED, Count.FAILED)
-EARLY_BAD_SHARE = 0.05  # share of bad ends below which an overload is early
-MAX_DECAY_SHARE = 0.3  # share of bad ends by which what the fleet can do fades at most
-SET_FULL_SHARE = 0.15  # bad ends beyond the middle set that make a set full: fewer may be a lost holder
+EARLY_BAD_SHARE = 0.05  # share of bad outcomes below which an overload is early
+MAX_DECAY_SHARE = 0.3  # share of bad outcomes up to which the capacity estimate decays faster
+SET_FULL_SHARE = 0.15  # bad outcomes beyond the median set that make a set full: fewer may be a lost node
 SET_MAX_DECREASE, SET_MIN_ADMITTED = (
     0.4,
     0.2,
-)  # a replica set's line: most of one move, and the least it lets in
-SET_INCREASE_FACTOR = 1.3  # and a calm move lets in so many times as much
-MAX_RECOVERY_FACTOR = 3.0  # one move lets in so many times as much, where less is served than of late
-FULLY_ADMITTED_SHARE = 0.999  # share let in at which a replica set's line is forgotten
+)  # of a replica set: largest decrease of one update, and the smallest admitted share
+SET_INCREASE_FACTOR = 1.3  # a calm update multiplies the admitted share by this
+MAX_RECOVERY_FACTOR = 3.0  # limit of one update's increase where less is served than before
+FULLY_ADMITTED_SHARE = 0.999  # admitted share at which a replica set's threshold is dropped
 
 
 def median_refusals(totals: Totals) -> tuple[float, float]:
-    """Share refused at the middle replica set, and the mean of all by demand; 0, 0 where none are told.
+    """Share refused at the median replica set, and the mean of all by demand; 0, 0 where none report.
 
-    The middle one of the sets, not of the demand: one hot set may have most of that.
+    The median of the sets, not of the demand: one hot set may have most of that.
     """
     reported = [cell for cell in totals.replica_sets.values() if cell.demand > 0]
     if not reported:
@@ -41,23 +42,23 @@
 
 
 def uniformity(totals: Totals) -> float:
-    """How far the middle replica set has what the mean of all has, 0 to 1; 1 where none are told."""
+    """How far the median replica set has the mean refusals of all, 0 to 1; 1 where none report."""
     share, mean = median_refusals(totals)
     return min(share / mean, 1.0) if mean > 0 else 1.0
 
 
 def bad_outcome_share(admitted: float, good: float, bad: float, settings: OverloadSettings) -> float:
-    """Share of what was let in within a window that ended badly, or more was let in than ends.
+    """Share of the queries admitted in a window that ended badly, or were admitted beyond those that ended.
 
-    What is let in beyond what ends shows an overload a target's length before anything is late. Up to
-    ``growth_share`` it is none: after a step of the load as much is on its way.
+    Admissions in excess of completions show an overload one target time before anything is late. Up to
+    ``max_growth_share`` they show none: after a step of the load as many are in flight.
     """
     growth = max(1 - (good + bad) / admitted - settings.max_growth_share, 0.0)
     return min(bad / admitted + growth, 1.0)
 
 
 class FleetThreshold:
-    """Moved by totals; ``value`` is what this broker has now."""
+    """Threshold of the fleet, updated by totals; ``value`` is the present one at this broker."""
 
     def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
@@ -67,9 +68,10 @@
         self._distribution, self._share_history = ArrivalDistribution(), StepHistory(1.0)
 
     def update(self, totals: Totals) -> None:
-        """One move, from the mean line of the fleet. With too short a window it follows the mean.
+        """One update, from the mean threshold of the fleet. With too short a window it follows the mean.
 
-        With too little let in to go by, the line opens unless something ended badly: it is never stuck.
+        With too few admitted queries to judge by, the threshold comes down unless something ended badly, so that it
+        never gets stuck.
         """
         distribution = self._distribution.update(totals.at, totals.arrivals, totals.threshold)
         share = share_above(totals.threshold, distribution)
@@ -94,7 +96,7 @@
         capacity = self._estimate_capacity(totals.at, rate, bad, early)
         servable_share = (
             mean_share * capacity * totals.window / SECOND / admitted
-        )  # the share that lets in as much as can be done
+        )  # the share that admits as much as can be served
         previous_share = share
         share, self._calm_steps = next_share(share, servable_share, bad, self._calm_steps, self._settings)
         if bad < 2 * self._settings.late_share and rate < self._settings.capacity_margin * capacity:
@@ -102,12 +104,12 @@
         self.value = threshold_for(share, distribution)
 
     def _estimate_capacity(self, at: int, rate: float, bad: float, early: bool) -> float:
-        """What the fleet can do, queries a second: the best that it served of late.
+        """The capacity of the fleet, queries a second: the highest recent rate of queries served in time.
 
-        Late ends tell of what was let in a target's length ago, and a fleet whose queues are full serves
-        nothing in time for a while: neither says how much to let in, the best served before does. It fades by
-        what ends badly, as capacity may be gone, and never below what is served. ``early``: more is let in
-        than ends, and little ended badly as yet: then what is served is what can be.
+        Late outcomes describe what was admitted one target time ago, and a fleet whose queues are full serves nothing
+        in time for a while: neither says how much to admit, the highest rate before does. It decays with the bad
+        outcomes, as capacity may be lost, and never below the present rate. ``early``: more is admitted than ends, and
+        little has ended badly yet: then the present rate is the capacity.
         """
         if at > self._capacity_at:
             age = (at - self._capacity_at) / self._settings.capacity_decay if self._capacity_at >= 0 else 0.0
@@ -119,7 +121,7 @@
 
 
 class LocalThreshold:
-    """Moved by what this broker saw itself: all that is left without knowledge of the others."""
+    """Threshold by this broker's own statistics: all that is left without totals."""
 
     def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
@@ -128,7 +130,7 @@
         self._distribution, self._share_history = ArrivalDistribution(), StepHistory(1.0)
 
     def update(self, now: int, local: LocalStats) -> None:
-        """One move; held to the configured share of queries a second, if there is one."""
+        """One update; held to the configured share of queries a second, if there is one."""
         distribution = self._distribution.update(now, local.arrivals, self.value)
         share = share_above(self.value, distribution)
         self._share_history.record(now, share)
@@ -143,17 +145,17 @@
         self.value = threshold_for(min(share, self.max_share(local)), distribution)
 
     def max_share(self, local: LocalStats) -> float:
-        """Share of what arrives here that the configuration lets in."""
+        """Share of the arrivals at this broker that the configuration admits."""
         rate = sum(local.arrivals) * 1e9 / local.window
         return min(self._settings.alone_share / rate, 1.0) if self._settings.alone_share and rate else 1.0
 
 
 class ReplicaSetThresholds:
-    """Lines of full replica sets, by the fleet's totals of demand and refusals there. Bounded.
+    """Thresholds of full replica sets, by the fleet's totals of demand and refusals there. Bounded in number.
 
-    What all sets have in common is left to the fleet's line: only refusals beyond the middle set's count.
-    No mean of these lines is told: brokers that see the same totals move alike, and each calm move takes a
-    difference between them back.
+    What all sets have in common is left to the fleet's threshold: only refusals beyond the median set's count.
+    No mean of these thresholds is reported: brokers with the same totals update alike, and each calm update
+    reduces a difference between them.
     """
 
     def __init__(self, settings: OverloadSettings) -> None:
@@ -164,7 +166,7 @@
         self.values: dict[int, float] = {}
 
     def update(self, now: int, totals: Totals) -> None:
-        """One move of each. ``demand`` is what passed the fleet's line, shed for the set or not."""
+        """One update of each. ``demand`` is what passed the fleet's threshold, shed for the set or not."""
         median_share = median_refusals(totals)[0]
         for replica_set, total in totals.replica_sets.items():
             refused = max(total.refused / total.demand - median_share, 0.0) if total.demand else 0.0
@@ -177,7 +179,7 @@
             mean_share = self._share_history[replica_set].mean(totals.at - totals.window, totals.at)
             bad = min(refused / max(mean_share, self._settings.min_admitted_share), 1.0)
             if bad > SET_FULL_SHARE:
-                # What a cut did is not seen before a whole window has passed since.
+                # The effect of a decrease is not visible before a whole window has passed since.
                 if totals.at < self._reduced_at.get(replica_set, totals.at - totals.window) + totals.window:
                     continue
                 self._reduced_at[replica_set] = now
@@ -200,7 +202,7 @@
 
 
 def admitted_histogram(totals: Totals) -> list[float]:
-    """The histogram of what passed the fleet's line."""
+    """The histogram of the arrivals that passed the fleet's threshold."""
     size = len(totals.arrivals)
     at = totals.threshold * size
     return [count * min(max(number + 1 - at, 0.0), 1.0) for number, count in enumerate(totals.arrivals)]
--- a/quincepath/fleet/overload/trial_turns.py
+++ b/quincepath/fleet/overload/trial_turns.py
@@ -1,8 +1,9 @@
-"""Trials and dials of all brokers at one holder, in turns: the sum stays under a rate however many they are.
+"""Turns of all brokers for trial sends and new connections to one node, so that their sum stays below a rate.
 
-There is no common clock, so a turn is a length, not an instant: each broker has one every ``living / rate``,
-from a beginning that a hash of broker and holder draws within that length. Turns of different holders at one
-broker, and of different brokers at one holder, do not fall together. What a trial shows is the broker's own.
+There is no common clock, so a turn is an interval, not a time: each broker has one turn in every
+``broker count / rate``, with a phase within it that is a hash of broker and node. Turns for different nodes at
+one broker, and of different brokers for one node, do not coincide. The result of a trial is used by the broker
+that made it.
 """
 
 from hashlib import blake2b
@@ -12,8 +13,9 @@
 
 
 def broker_count(totals: Totals | None, confidence: float, settings: OverloadSettings) -> float:
-    """Brokers that take turns; as configured without knowledge. A belief never makes it fewer than half
-    of those configured: who hears few must not take the turns of all the others."""
+    """Brokers that take turns; as configured where the totals are not known. An estimate never makes it fewer
+    than half of those configured: a broker that hears few others must not take the turns of all the others.
+    """
     if totals is None or confidence <= 0:
         return float(max(settings.brokers, 1))
     live = max(totals.live, 1, settings.brokers / 2)
@@ -21,17 +23,17 @@
 
 
 def trial_rate(count: float, settings: OverloadSettings) -> float:
-    """Sends a second of this broker to one doubted, cold or returned holder."""
+    """Trial sends a second of this broker to one suspected, cold or returned node."""
     return min(settings.trial_rate / max(count, 1.0), settings.alone_trials)
 
 
 def dial_rate(count: float, settings: OverloadSettings) -> float:
-    """New connections a second of this broker to one holder."""
+    """New connections a second of this broker to one node."""
     return min(settings.dial_rate / max(count, 1.0), settings.alone_dials)
 
 
 def next_turn(now: int, since: int, broker: str, holder: str, rate: float) -> int:
-    """When this broker's next turn at a holder begins, ns: the first after ``now``."""
+    """When this broker's next turn for a node begins, ns: the first after ``now``."""
     if rate <= 0:
         return now + 3600 * SECOND
     interval = max(int(SECOND / rate), 1)
--- a/quincepath/fleet/overload/types.py
+++ b/quincepath/fleet/overload/types.py
@@ -1,8 +1,8 @@
-"""One order of all queries and what a broker may spend: types only (docs/design/overload.md).
+"""Types of overload control: the priority order of queries and what a broker may send (docs/design/overload.md).
 
-The *place* of a query in the order is a number from 0 (shed first) to below 1 (shed last): its worth first,
-then how far its tenant is over its share, then a hash of tenant and client that stays the same for a while.
-A query shed here would be shed at any other broker, too. A *line* is a place: what is below it is shed.
+The *priority* of a query is a number from 0 (shed first) to below 1 (shed last): its worth first, then how far
+its tenant is over its share, then a hash of tenant and client that stays the same for a while. A query shed
+here would be shed at any other broker, too. A *threshold* is a priority: queries below it are shed.
 """
 
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A query as it comes, before any part is sent. ``cells``: the replica sets that it touches."""
+    """A query on arrival, before any part is sent. ``replica_sets``: the ones it needs."""
 
     kind: int
     worth: float  # of its class, 0 to 1
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Shed:
-    """It is refused at once. ``retry_in``: ns until its client should come back, spread; 0: no advice."""
+    """The query is refused at once. ``retry_in``: ns until its client should retry, spread; 0: no advice."""
 
     reason: ShedReason
     priority: float
@@ -45,10 +45,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SendBudget:
-    """What this broker may spend until a time: becomes the module's ``Allowance``.
+    """What this broker may send until a time: becomes the ``Allowance`` of the decision module.
 
-    ``extras``: further sends a second; ``trials``: sends a second to any one doubted or cold holder;
-    ``dials``: new connections a second to any one holder. Never more than it may do alone by configuration.
+    ``extras``: further sends a second; ``trials``: sends a second to any one suspected or cold node; ``dials``:
+    new connections a second to any one node. Never more than the configuration allows it alone.
     """
 
     extras: float
@@ -59,12 +59,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LocalStats:
-    """What this broker saw itself within a window (ns) that ended now: news that no network can take away.
+    """This broker's own statistics of a window (ns) that ended now; they are known whatever the network loses.
 
-    ``arrivals``: by band of the order; ``let``: queries that passed the lines; ``ended``: of those, the ones
-    whose end is known; ``bad``: of those, late, refused by the module or failed; ``refused``: shed, refused
-    or turned away; ``first``: first sends of parts, and ``first_rate`` those a second within the last period
-    (less than 0: not told).
+    ``arrivals``: by band of the priority order; ``admitted``: queries that passed the thresholds; ``ended``: of
+    those, the ones with a known outcome; ``bad``: of those, late, refused by the decision module or failed;
+    ``refused``: shed, refused or turned away; ``first``: first sends of parts, and ``first_rate`` those a second
+    within the last period (less than 0: not known).
     """
 
     window: int
@@ -79,54 +79,58 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """What one step decided. ``line``: for ``Counts.line``; ``trust``: weight of the fleet's line, 0 to 1."""
+    """The result of a step. ``threshold``: for ``Counts.threshold``; ``confidence``: weight of the totals, 0 to 1."""
 
     threshold: float
     confidence: float
     replica_set_thresholds: dict[int, float]
     send_budget: SendBudget
-    retry_window: int  # advice is drawn over this time, ns
+    retry_window: int  # retry advice is spread over this time, ns
 
 
 @dataclass(slots=True, frozen=True)
 class OverloadSettings:
-    """How the lines move and what is handed out. Times in ns."""
+    """How thresholds are updated and what brokers may send. Times in ns."""
 
-    period: int = 500 * MS  # between moves of a line
-    late_share: float = 0.03  # late, refused and failed of those let in: above it a line goes up
-    calm_share: float = 0.01  # and below this one it comes down: between the two it stands (hysteresis)
-    max_growth_share: float = 0.08  # of what is let in that may be on its way beyond what ends
-    max_decrease: float = 0.8  # most of the let-in work that one move takes away
+    period: int = 500 * MS  # between updates of a threshold
+    late_share: float = 0.03  # late, refused and failed of those admitted: above it a threshold goes up
+    calm_share: float = 0.01  # and below this one it comes down: between the two it stays (hysteresis)
+    max_growth_share: float = 0.08  # of the admitted queries: as many may be in flight beyond those that end
+    max_decrease: float = 0.8  # largest relative decrease of the admitted share in one update
     min_increase: float = (
-        0.02  # and gives back at first; each calm move in a row gives back 1.4 times as much,
+        0.02  # and its increase at first; each calm update in a row increases 1.4 times as much,
     )
     max_increase: float = 0.2  # up to this
     capacity_decay: int = (
         8 * SECOND
-    )  # what the fleet can do fades to 1/e in this time over the share of bad ends
+    )  # the capacity estimate decays to 1/e in this time over the share of bad outcomes
     capacity_margin: float = (
-        0.85  # of it: while less is served and nothing ends badly, the line opens quickly
+        0.85  # of it: while less is served and nothing ends badly, the threshold comes down quickly
     )
-    min_admitted_share: float = 0.02  # share of the arrivals that is let in at least: the way back stays open
-    min_window: int = 2 * SECOND  # shorter windows move no line: what is on its way is too much of them
-    min_sample: float = 20.0  # ended queries that a move needs to go by
-    min_coverage: float = 0.4  # of the fleet that has to be heard for the fleet's line to count at all,
-    full_coverage: float = 0.6  # and to count in full: between the two its weight grows evenly
+    min_admitted_share: float = (
+        0.02  # share of the arrivals that is always admitted, so that recovery stays possible
+    )
+    min_window: int = 2 * SECOND  # shorter windows update no threshold: too much of them is in flight
+    min_sample: float = 20.0  # ended queries needed for an update
+    min_coverage: float = 0.4  # of the fleet that has to report for the fleet's threshold to count at all,
+    full_coverage: float = 0.6  # and to count in full: in between its weight grows linearly
     stale_after: int = 2 * SECOND  # totals older than that fade to the configured share, until ``forget``
     forget: int = 10 * SECOND
-    budget_ratio: float = 0.1  # further sends of all brokers for each first one
-    budget_free: float = 1.0  # and a second for the whole fleet besides
-    trial_rate: float = 2.0  # sends a second of all brokers at one doubted, cold or returned holder
-    dial_rate: float = 10.0  # new connections a second of all brokers to one holder
-    brokers: int = 1  # as configured: what is shared out while the number of the living is not known
-    alone_share: float = 0.0  # queries a second that this broker lets in at most; 0: as many as come
-    alone_extras: float = 0.25  # further sends for each first one that it may spend alone
-    alone_trials: float = 0.25  # sends a second to one doubted holder that it may spend alone
+    budget_ratio: float = 0.1  # further sends of all brokers for each first send
+    budget_free: float = 1.0  # and a second for the whole fleet in addition
+    trial_rate: float = 2.0  # sends a second of all brokers to one suspected, cold or returned node
+    dial_rate: float = 10.0  # new connections a second of all brokers to one node
+    brokers: int = 1  # as configured: budgets are divided by it while the number of live brokers is not known
+    alone_share: float = 0.0  # queries a second that this broker admits at most; 0: no limit
+    alone_extras: float = 0.25  # further sends for each first send that it may make alone
+    alone_trials: float = 0.25  # sends a second to one suspected node that it may make alone
     alone_dials: float = 10.0  # and new connections
-    epoch: int = 3600 * SECOND  # of the fleet's age: so long the order among equals stays
-    min_retry_after: int = 250 * MS  # advice: at least, and at most
+    epoch: int = 3600 * SECOND  # of the fleet's age: the order among equals stays the same for so long
+    min_retry_after: int = 250 * MS  # retry advice: at least, and at most
     max_retry_after: int = 10 * SECOND
-    retry_share: float = 0.5  # marked retries taken of a tenant for each of its first tries, while shedding
+    retry_share: float = (
+        0.5  # marked retries admitted of a tenant for each of its first tries, while shedding
+    )
     max_tenants: int = 256  # tenants told apart; the others are one
-    max_replica_sets: int = 1024  # replica sets that may have a line; further ones have none
+    max_replica_sets: int = 1024  # replica sets that may have a threshold; further ones have none
     weights: dict[str, float] = field(default_factory=dict)  # of tenants; 1 where not named
