--- a/quincepath/fleet/budget.py
+++ b/quincepath/fleet/budget.py
@@ -1,8 +1,8 @@
-"""How many may be out at once: a function of who is out and why, small enough to be read aloud.
+"""Limits how many brokers and nodes may be out of service at once, by who is out and why.
 
-What is out counts whatever the reason. Limits are by replica set (holders that are ready and warm), by zone
-and in total, for brokers and holders apart, in numbers and in shares of the configured number. Where the
-budget is overdrawn by nature, nothing new is granted; a limit that is broken is named with who is out.
+Whoever is out counts, whatever the reason. Limits are by replica set (nodes that are ready and warm), by zone
+and in total, for brokers and nodes separately, as numbers and as shares of the configured number. Where the
+budget is already exceeded by failures, nothing new is granted; a violated limit is reported with who is out.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,7 +15,7 @@
 
 
 class Reason(Enum):
-    """Why one is out; the first that holds is told."""
+    """Why one is out; the first reason that applies is reported."""
 
     PERMITTED = "permitted"
     OVERDUE = "permitted and overdue"
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Unit:
-    """One broker or holder, as configured. ``sets``: replica sets that a holder is of."""
+    """One broker or node, as configured. ``sets``: replica sets of a node."""
 
     name: str
     kind: str  # "broker" or "holder"
@@ -45,7 +45,7 @@
     least: int = 1
 
     def maximum(self, configured: int) -> int:
-        """Of so many; the smaller one where both are stated, all where neither is."""
+        """The limit for a configured number; the smaller one where both are given, all where neither is."""
         maximum = configured if self.number is None else self.number
         if self.share is not None:
             maximum = min(maximum, max(int(self.share * configured + 1e-9), self.least))
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Of one kind. ``ready_least``: holders of each replica set that must stay ready and warm."""
+    """Limits of one kind. ``ready_least``: nodes of each replica set that must stay ready and warm."""
 
     total: Limit = Limit(number=1)
     zone: Limit = Limit(number=1)
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """One limit that stands in the way: its name, its figure, what it would come to, and who is out."""
+    """One violated limit: its name, its value, what the number would become, and who is out."""
 
     limit: str
     most: int
@@ -78,7 +78,7 @@
 
 
 class Check(msgspec.Struct, frozen=True):
-    """One limit as it stands for one unit: of these members at most so many may be out."""
+    """One limit as it applies to one unit: of these members at most so many may be out."""
 
     limit: str
     most: int
@@ -86,7 +86,7 @@
 
 
 def checks(wanted: str, units: Mapping[str, Unit], limits: Mapping[str, Limits]) -> tuple[Check, ...]:
-    """All limits that one more going out must keep. Raises ``KeyError`` for a name that is not configured."""
+    """All limits that apply when one more goes out. Raises ``KeyError`` for a name that is not configured."""
     unit = units[wanted]
     own_limits = limits[unit.kind]
     same = [one for one in units.values() if one.kind == unit.kind]
@@ -102,10 +102,10 @@
 
 
 def refusals(wanted: str, checks: Iterable[Check], out: Mapping[str, Reason]) -> list[Refusal]:
-    """What stands in the way of one more going out; empty where nothing does.
+    """The limits that forbid one more to go out; empty where there are none.
 
-    One that is out already, for whatever reason, adds nothing: what is broken may be taken into repair, as
-    long as the limits hold as things are.
+    One that is out already, for whatever reason, adds nothing: a failed unit may be taken into repair, as
+    long as the limits hold in the present state.
     """
     found = []
     for check in checks:
--- a/quincepath/fleet/drains.py
+++ b/quincepath/fleet/drains.py
@@ -1,7 +1,7 @@
-"""How far agreed drains have come: done when every broker that may send has applied it and has nothing out.
+"""Progress of agreed drains: done when every broker that may send has applied it and has nothing in flight.
 
-Pure. A broker that is believed dead may be cut off and may still send: it is waited for until it reports, or
-has left. That is a belief's worth: it may delay, and permits nothing.
+A pure state machine. A broker that is believed dead may be cut off and may still send: the drain waits until
+it reports, or has left. The belief alone may delay a drain, and permits nothing.
 """
 
 from collections.abc import Iterable
@@ -9,23 +9,24 @@
 
 from quincepath.fleet.permits import Permit
 
-REPORT_LIFETIME_NS = 2_500_000_000  # ns that a report counts for
+REPORT_LIFETIME_NS = 2_500_000_000  # a report counts for so long
 
 
 @dataclass(slots=True)
 class DrainProgress:
-    """Reports of all brokers, as this one has them."""
+    """The reports of all brokers, as received by this one."""
 
-    reports: dict[str, tuple[int, int, dict[str, int]]] = field(default_factory=dict)  # at, applied, out
+    # By broker: received at, applied, in flight.
+    reports: dict[str, tuple[int, int, dict[str, int]]] = field(default_factory=dict)
 
     def apply_report(self, name: str, now: int, applied: int, out: dict[str, int]) -> None:
-        """One broker's report; an older one of another connection changes nothing back."""
+        """Apply one broker's report; an older one from another connection does not replace a newer one."""
         known = self.reports.get(name)
         if known is None or applied >= known[1]:
             self.reports[name] = (now, applied, dict(out))
 
     def waits_for(self, permit: Permit, brokers: Iterable[str], left: set[str], now: int) -> dict[str, str]:
-        """By broker, why a drain is not done yet; empty where it is."""
+        """By broker, why a drain is not done yet; empty where it is done."""
         waiting = {}
         for name in brokers:
             if name in left:
--- a/quincepath/fleet/load_control/__init__.py
+++ b/quincepath/fleet/load_control/__init__.py
@@ -1,7 +1,7 @@
-"""One broker's share in the fleet's ledger and what is made of it: counts in, datagrams and decisions out.
+"""Load control of one broker: load reports of the fleet and overload control, without clock or socket.
 
-``Sharing`` puts the ledger, the one order with its lines, and the windows of this broker's own counts
-together, as a machine without clock or socket. The running broker and the laboratory hold the same one.
+``LoadControl`` combines the load reporter, overload control and windows of this broker's own counts into one
+state machine: counts in, datagrams and decisions out. The running broker and the laboratory use the same one.
 """
 
 from quincepath.fleet.load_control.core import LoadControl, StepResult
--- a/quincepath/fleet/load_control/core.py
+++ b/quincepath/fleet/load_control/core.py
@@ -1,4 +1,4 @@
-"""The machine of one broker's share: ``arrive`` for each query, ``step`` when something came or is due."""
+"""State machine of load control: ``on_arrival`` for each query, ``step`` for events and when due."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StepResult:
-    """What one step came to. ``packets`` go out; ``out`` is set when lines or spending may have changed."""
+    """The result of a step. ``packets`` are to be sent; ``decision`` is set when it may have changed."""
 
     packets: tuple[Packet, ...] = ()
     totals: Totals | None = None
@@ -23,7 +23,7 @@
 
 
 class LoadControl:
-    """``overload`` None: the ledger alone, nothing is shed and nothing handed out."""
+    """Load control of one broker. ``overload`` None: load reports only, nothing is shed or limited."""
 
     def __init__(
         self,
@@ -45,12 +45,12 @@
 
     @property
     def due(self) -> int:
-        """When ``step`` must be called at the latest."""
+        """The latest time of the next call of ``step``."""
         own = self._counted_at + self._period
         return min(own, self.reporter.due, self.overload.due if self.overload is not None else own)
 
     def on_arrival(self, now: int, arrival: Arrival) -> Shed | None:
-        """A query, before any part of it goes out; it is counted. None: it is let in."""
+        """Count a query before any part of it is sent, and decide on it. None: it is admitted."""
         if self.overload is None:
             self.counter.count_arrival(arrival.kind, arrival.worth * 0.999)
             return None
@@ -61,7 +61,8 @@
             self.counter.count_outcome(
                 arrival.kind, Count.TURNED_AWAY if shed.reason is ShedReason.RETRY else Count.SHED
             )
-        if shed is None or shed.reason is ShedReason.CELL:  # a set's demand is what passed the fleet's line
+        # The demand of a replica set is what passed the fleet's threshold.
+        if shed is None or shed.reason is ShedReason.CELL:
             for replica_set in arrival.replica_sets:
                 self.counter.count_replica_set(replica_set, 1, 0)
         return shed
@@ -69,7 +70,7 @@
     def step(
         self, now: int, data: Sequence[bytes] = (), live: LiveMembers | None = None, age: int = 0
     ) -> StepResult:
-        """Datagrams that came, and who lives where that changed. ``age``: ns, about the same at all."""
+        """Apply datagrams, and the live members if they changed. ``age``: ns, similar at all brokers."""
         self._age = max(age, self._age)
         inputs: list[Input] = [] if live is None else [live]
         inputs += [DatagramReceived(item) for item in data]
--- a/quincepath/fleet/load_control/count_window.py
+++ b/quincepath/fleet/load_control/count_window.py
@@ -1,4 +1,4 @@
-"""What a broker saw itself within a window, as differences of its own counts."""
+"""Statistics of one broker within a window, as differences of its own counts."""
 
 from collections import deque
 
@@ -15,20 +15,20 @@
 
 
 class CountWindow:
-    """Keeps counts of some ages: those of the last ``window`` ns and one older, at most ``most`` of them."""
+    """Keeps snapshots of the counts: those of the last ``window`` ns and one older, limited in number."""
 
     def __init__(self, window: int, max_snapshots: int = 64) -> None:
         self.window = window
         self._snapshots: deque[tuple[int, Counts]] = deque(maxlen=max_snapshots)
 
     def add(self, now: int, counts: Counts) -> None:
-        """The counts as they are now; they must not be changed later."""
+        """Add the present counts; they must not be changed later."""
         self._snapshots.append((now, counts))
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= now - self.window:
             self._snapshots.popleft()
 
     def stats(self) -> LocalStats | None:
-        """From the oldest counts kept to the newest; None before there are two."""
+        """From the oldest snapshot to the newest; None before there are two."""
         if len(self._snapshots) < 2:
             return None
         (started_at, first), (ended_at, last) = self._snapshots[0], self._snapshots[-1]
@@ -36,7 +36,7 @@
         def growth(*outcomes: Count) -> float:
             return float(_over_classes(last, outcomes) - _over_classes(first, outcomes))
 
-        bad, first_sends = growth(*BAD_OUTCOMES), SendKind.FIRST
+        bad, first_kind = growth(*BAD_OUTCOMES), SendKind.FIRST
         previous_at, previous = self._snapshots[-2]
         return LocalStats(
             window=max(ended_at - started_at, 1),
@@ -47,14 +47,14 @@
             ended=growth(Count.IN_TIME) + bad,
             bad=bad,
             refused=growth(*REFUSED_OUTCOMES),
-            first=float(last.sends[first_sends] - first.sends[first_sends]),
-            first_rate=(last.sends[first_sends] - previous.sends[first_sends])
+            first=float(last.sends[first_kind] - first.sends[first_kind]),
+            first_rate=(last.sends[first_kind] - previous.sends[first_kind])
             * SECOND
             / max(ended_at - previous_at, 1),
         )
 
     def slot_time(self) -> dict[str, int]:
-        """Slot time (ns) of each named tenant in the window; what one used before it was named counts not."""
+        """Slot time (ns) of each named tenant in the window, without what it used before it was named."""
         if len(self._snapshots) < 2:
             return {}
         first, last = self._snapshots[0][1], self._snapshots[-1][1]
--- a/quincepath/fleet/load_control/failure_attribution.py
+++ b/quincepath/fleet/load_control/failure_attribution.py
@@ -1,54 +1,54 @@
-"""Which replica sets a query that was refused or failed met in vain."""
+"""Attributes a refused or failed query to the replica sets that caused it."""
 
 from collections.abc import Iterable, Mapping
 
-EWMA_WEIGHT = 0.1  # weight of one attempt, or of one query of a set alone, in a set's share of bad ones
-FULL_SHARE = 0.5  # beyond this share of bad ends a set counts as full
-SINGLE_SET_MIN_SHARE = 0.2  # share of refused ones among a set's own queries from which it is told apart,
-SINGLE_SET_RELATIVE_SHARE = 0.5  # with all sets that have at least so much of the worst one's
-MAX_REPLICA_SETS = 1024  # remembered; the one told of longest ago gives way
+EWMA_WEIGHT = 0.1  # of one attempt, or of one single-set query, in a set's moving average of failures
+FULL_SHARE = 0.5  # with a higher share of failures a set counts as full
+SINGLE_SET_MIN_SHARE = 0.2  # of refusals among a set's single-set queries, from which it is singled out,
+SINGLE_SET_RELATIVE_SHARE = 0.5  # together with all sets that have at least this fraction of the worst share
+MAX_REPLICA_SETS = 1024  # remembered; the one updated longest ago is dropped
 
 
 class FailureShares:
-    """A share of bad ends by replica set, of late."""
+    """Moving average of the share of failures by replica set."""
 
     def __init__(self) -> None:
         self._shares: dict[int, float] = {}
 
     def record(self, replica_set: int, bad: bool) -> None:
-        """One more end."""
+        """Record one result."""
         share = self._shares.pop(replica_set, 0.0)
         self._shares[replica_set] = share + EWMA_WEIGHT * (bad - share)
         if len(self._shares) > MAX_REPLICA_SETS:
             del self._shares[next(iter(self._shares))]
 
     def share(self, replica_set: int) -> float:
-        """0 where nothing is known."""
+        """The share of failures, 0 where nothing is known."""
         return self._shares.get(replica_set, 0.0)
 
 
 class FailureAttribution:
-    """Of this broker's own traffic: how attempts at a set ended, and queries that asked it alone."""
+    """From this broker's own traffic: results of attempts at a set, and of queries that need a single set."""
 
     def __init__(self) -> None:
         self._attempts, self._single_set = FailureShares(), FailureShares()
 
     def record_attempt(self, replica_set: int, bad: bool) -> None:
-        """An attempt at a set has ended."""
+        """Record the result of an attempt at a set."""
         self._attempts.record(replica_set, bad)
 
     def record_query(self, parts: Iterable[int], bad: bool) -> None:
-        """A query has ended. Refused before anything was sent, it tells of its set where it has but one."""
+        """Record a query's result. Refused before any send, it counts for a set only if it needs no other."""
         asked = set(parts)
         if len(asked) == 1:
             self._single_set.record(asked.pop(), bad)
 
     def sets_at_fault(self, parts: Iterable[int], answered: Mapping[int, int]) -> set[int]:
-        """The sets to blame. ``parts``: the set of each part asked for; ``came``: by set, how many came in.
+        """The sets at fault. ``parts``: the set of each requested part; ``answered``: parts answered, by set.
 
-        Where some parts came, the sets of those that did not; where none did, the sets that mostly fail, or
-        those whose own queries are refused far more than other sets'; where nothing tells them apart, all:
-        what all have in common counts for the fleet.
+        Where some parts were answered, the sets of the others; where none was, the sets that mostly fail, or
+        those whose single-set queries are refused far more than other sets'; where nothing tells them apart,
+        all: what all sets have in common counts for the fleet.
         """
         asked: dict[int, int] = {}
         for replica_set in parts:
--- a/quincepath/fleet/load_control/remote_slot_time.py
+++ b/quincepath/fleet/load_control/remote_slot_time.py
@@ -1,26 +1,26 @@
-"""Slot time that tenants got at other brokers, as one count a tenant that only grows.
+"""Slot time that tenants used at other brokers, as one count per tenant that only grows.
 
-The ledger tells sums over windows that overlap; a fair queue needs to know how much came since it last
-looked. Each news adds what its rate comes to over the time since the news before. A window told twice, or one
-that is missed, never counts twice: the count may lag by a window and does not run ahead of what was told.
+Totals are sums over windows that overlap; fair queueing needs the growth since it last looked. Each update
+adds the rate of the totals times the time since the update before. A window that is received twice, or one
+that is missed, is never counted twice: the count may lag by a window and is never ahead of the totals.
 """
 
 from collections.abc import Mapping
 
 from quincepath.fleet.load_reports.types import Totals
 
-MAX_TENANTS = 512  # kept; beyond it those go that grew longest ago
+MAX_TENANTS = 512  # beyond it the tenants that grew longest ago are dropped
 
 
 class RemoteSlotTime:
-    """One a broker."""
+    """Remote slot time as seen by one broker."""
 
     def __init__(self) -> None:
         self.by_tenant: dict[str, int] = {}
         self._updated_at: int | None = None
 
     def update(self, totals: Totals, own: Mapping[str, int]) -> Mapping[str, int]:
-        """``own``: slot time (ns) of this broker's tenants in a window as long, which is taken off."""
+        """Apply totals. ``own``: this broker's slot time (ns) by tenant in a window as long, to subtract."""
         previous, self._updated_at = self._updated_at, max(totals.at, self._updated_at or totals.at)
         if previous is None or totals.at <= previous:
             return self.by_tenant
@@ -28,7 +28,7 @@
         for name, total in totals.tenants.items():
             increase = int(max(total.slot_time - own.get(name, 0), 0.0) * share)
             if increase:
-                self.by_tenant[name] = self.by_tenant.pop(name, 0) + increase  # the last to grow stands last
+                self.by_tenant[name] = self.by_tenant.pop(name, 0) + increase  # the last one to grow is last
         while len(self.by_tenant) > MAX_TENANTS:
             del self.by_tenant[next(iter(self.by_tenant))]
         return self.by_tenant
--- a/quincepath/fleet/load_reports/clipping.py
+++ b/quincepath/fleet/load_reports/clipping.py
@@ -21,9 +21,7 @@
 from quincepath.fleet.load_reports.types import MS, SECOND, LoadReportSettings
 
 MIN_OTHER_PARTS = 3  # reliable parts needed to compare with their mean
-MAX_TRACKED_KEYS = (
-    512  # whose contribution to the fleet's sums is remembered; for further ones the fleet's mean is not used
-)
+MAX_TRACKED_KEYS = 512  # remembered contributors to the fleet's sums; for others the fleet's mean is not used
 
 
 def family_bounds(settings: LoadReportSettings) -> list[tuple[float, float]]:
@@ -51,17 +49,16 @@
 
 
 class ContributionHistory:
-    """Recent contributions by member or group, to subtract from the fleet's sums for the mean of the *others*.
+    """Recent contributions by member or group, subtracted from the fleet's sums for the mean of the *others*.
 
-    The maximum of the last ``forget`` is kept, or at least of half of it: the fleet's sums, which are a little
-    older, contain no more of it.
+    The maximum of the last ``forget`` is kept, or at least of half of it: the fleet's sums, which are a
+    little older, contain no more of it.
     """
 
     def __init__(self, settings: LoadReportSettings) -> None:
         self._settings = settings
-        self._recent: dict[
-            object, tuple[int, list[int], list[int]]
-        ] = {}  # since when, the maximum since then, the maximum before
+        # By contributor: since when, the maximum since then, the maximum before.
+        self._recent: dict[object, tuple[int, list[int], list[int]]] = {}
 
     def others_means(self, fleet: Sums | None, key: object, members: int) -> list[float]:
         """By family the mean of the fleet's other members; 0 where it is not known."""
--- a/quincepath/fleet/load_reports/member_counts.py
+++ b/quincepath/fleet/load_reports/member_counts.py
@@ -215,7 +215,7 @@
             self._forget(now, name)
 
     def window_sums(self, now: int) -> Iterator[tuple[str, Sums]]:
-        """The growth of each member in the window that ends now; ``reporting`` is 1 where it is fresh and complete."""
+        """Each member's growth in the window ending now; ``reporting`` is 1 if it is fresh and complete."""
         for name, member in self._members.items():
             process = member.current
             recent = now - process.last_report_at <= self._settings.fresh_within
--- a/quincepath/fleet/load_reports/messages.py
+++ b/quincepath/fleet/load_reports/messages.py
@@ -59,8 +59,8 @@
 class SumMessage(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Sums over a window of a group (``down`` false), or of the fleet (true).
 
-    Fields from ``low`` to below ``high`` that are not named are zero; so are other tenants, unless ``tenants`` is
-    None. ``threshold_total``: the thresholds of the reporting members added up, permille.
+    Fields from ``low`` to below ``high`` that are not named are zero; so are other tenants, unless
+    ``tenants`` is None. ``threshold_total``: the thresholds of the reporting members added up, permille.
     ``groups``: number of groups.
     """
 
@@ -159,7 +159,7 @@
 
 
 def split_sum(values: dict[int, int], first_space: int) -> list[SumPart]:
-    """Split sums into ranges that each fit a datagram; the first one has less space. Together they name all."""
+    """Split sums into ranges that each fit a datagram, the first in less space. Together they name all."""
     parts: list[SumPart] = []
     numbers: list[int] = []
     low, space, next_number = 0, first_space, -1
@@ -179,9 +179,9 @@
 class ReportBuilder:
     """Chooses the counts of the next report: changed ones first, among those the ones sent longest ago.
 
-    A quarter of the space is for the fields sent longest ago, changed or not, so that every field is sent again
-    whatever changes: of the largest report (2,373 fields of 9 bytes) within 55 periods (15 where half of all
-    change in each), of a report that fits its datagrams in every period.
+    A quarter of the space is for the fields sent longest ago, changed or not, so that every field is sent
+    again whatever changes: of the largest report (2,373 fields of 9 bytes) within 55 periods (15 where half
+    of all change in each), of a report that fits its datagrams in every period.
     """
 
     def __init__(self, datagrams: int) -> None:
--- a/quincepath/fleet/load_reports/reporter.py
+++ b/quincepath/fleet/load_reports/reporter.py
@@ -45,7 +45,7 @@
 
 
 class LoadReporter:
-    """One broker's load reporting. ``causes`` counts what was dropped or not counted, by a fixed set of causes."""
+    """One broker's load reporting. ``causes`` counts what was dropped or not counted, by fixed causes."""
 
     def __init__(
         self, fleet: str, me: str, boot: int, settings: LoadReportSettings, seed: int, now: int = 0
--- a/quincepath/fleet/load_reports/tree.py
+++ b/quincepath/fleet/load_reports/tree.py
@@ -85,7 +85,7 @@
         return members[lane % len(members)] if members else None
 
     def parent_aggregators(self, level: int, index: int, lane: int) -> list[str]:
-        """The recipients of a lane's sums: the same lane of the group above, and lanes that this group does not have."""
+        """Recipients of a lane's sums: the same lane of the group above, and lanes that this group lacks."""
         parents, lane_count = (
             self.aggregators(level + 1, index // self._settings.group_size),
             len(self.aggregators(level, index)),
--- a/quincepath/fleet/load_reports/types.py
+++ b/quincepath/fleet/load_reports/types.py
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantTotal:
-    """Of one tenant, at all reporting brokers: slot time within the window (ns), and how many queries wait."""
+    """Of one tenant at all reporting brokers: slot time within the window (ns) and waiting queries."""
 
     slot_time: float
     waiting: float
@@ -99,10 +99,10 @@
 class Totals:
     """Sums over the reporting brokers, within windows that ended at ``at`` (own clock) on the mean of them.
 
-    Coverage at that time: of the ``live`` members (believed live), ``reporting`` ones are included with reports
-    that were no older than ``fresh_within`` and cover the whole window; the others are included as far as is
-    known of them. Sums are not scaled up: each consumer states what it does below which coverage. No single
-    broker contributes more than the bound given by the settings.
+    Coverage at that time: of the ``live`` members (believed live), ``reporting`` ones are included with
+    reports that were no older than ``fresh_within`` and cover the whole window; the others are included as
+    far as is known of them. Sums are not scaled up: each consumer states what it does below which coverage.
+    No single broker contributes more than the bound given by the settings.
     """
 
     at: int
@@ -135,9 +135,7 @@
     window: int = 5 * SECOND  # of the totals
     fresh_within: int = 2 * SECOND  # a report older than that does not count as coverage
     forget: int = 10 * SECOND  # totals older than that are not used at all
-    most_rate: float = (
-        2000.0  # queries a second that one broker contributes at most; its other counts in proportion
-    )
+    most_rate: float = 2000.0  # queries a second that one broker contributes at most; others in proportion
     share_most: float = 8.0  # and at most so many times the mean of the others, where three or more report
     free_rate: float = 100.0  # queries a second that always count, whatever the others report
     max_sends_per_query: float = 64.0  # sends, and parts requested of replica sets, for each of these queries
--- a/quincepath/fleet/load_service.py
+++ b/quincepath/fleet/load_service.py
@@ -1,8 +1,8 @@
-"""The ledger and overload as one, on the loop: timers, datagrams, log lines and metrics around ``Sharing``.
+"""Load control on the event loop: timers, datagrams, log lines and metrics around ``LoadControl``.
 
-It has a timer of its own, and what comes in waits for that or for ``BURST`` datagrams, so that its work a
-second is bounded however much comes. Timers run in every turn, and a turn reads each socket once: a broker
-full of queries still reports in its time.
+It has its own timer; received datagrams wait for it or until there are ``MAX_WAITING_DATAGRAMS``, so that the
+work a second is bounded, however many arrive. Timers run in every turn of the loop, and a turn reads each
+socket once: a broker full of queries still reports in time.
 """
 
 from collections import Counter as Counts
@@ -21,13 +21,13 @@
 from quincepath.fleet.view.core import View
 from quincepath.net.loop import Loop, Timer
 
-MAX_WAITING_DATAGRAMS = 64  # datagrams that wait at most; with more, the machine is called at once
-MIN_THRESHOLD = 1e-6  # a line below that sheds nothing
-MIN_KNOWN_COVERAGE = 0.5  # coverage from which the fleet's figures are called known, for the log
+MAX_WAITING_DATAGRAMS = 64  # with more waiting, the state machine is called at once
+MIN_THRESHOLD = 1e-6  # a threshold below that sheds nothing
+MIN_KNOWN_COVERAGE = 0.5  # coverage from which the log calls the fleet's totals known
 
 
 def load_report_settings(entry: LedgerEntry) -> LoadReportSettings:
-    """As configured; reports are fresh for four periods."""
+    """Settings from the configuration; reports are fresh for four periods."""
     fresh = min(4 * entry.period, entry.window)
     return LoadReportSettings(
         period=entry.period, window=entry.window, fresh_within=fresh, forget=entry.forget,
@@ -36,7 +36,7 @@
 
 
 def overload_settings(config: Config, entry: FleetEntry) -> OverloadSettings | None:
-    """As configured; None where each broker is alone."""
+    """Settings from the configuration; None where each broker controls overload alone."""
     section = entry.overload
     if section is None:
         return None
@@ -50,7 +50,7 @@
 
 
 class LoadService:
-    """One broker's. ``on_out`` gets what is decided, ``on_totals`` what is known of the fleet."""
+    """One broker's load control. ``on_decision`` gets each decision, ``on_totals`` the fleet's totals."""
 
     def __init__(
         self, config: Config, entry: FleetEntry, loop: Loop, view: View, edge: Edge, seed: int,
@@ -102,13 +102,13 @@
     # --- queries ---
 
     def on_arrival(self, arrival: Arrival) -> Shed | None:
-        """A query before any part goes out."""
+        """Decide on a query before any part is sent."""
         shed = self.control.on_arrival(self.loop.now, arrival)
         if shed is not None:
             self.shed.labels(shed.reason.name.lower()).inc()
         return shed
 
-    # --- the machine ---
+    # --- state machine ---
 
     def _on_datagram(self, data: bytes) -> None:
         self._datagrams.append(data)
@@ -116,7 +116,7 @@
             self._step()
 
     def _live_members(self) -> LiveMembers | None:
-        """Who lives, where it changed."""
+        """The live members, if they changed."""
         boots = {member.name: member.boot for member in self.view.table.all() if member.living}
         boots[self.view.settings.name] = self.view.own.boot
         if boots == self._live_boots:
@@ -129,7 +129,7 @@
             return
         now = self.loop.clock()
         data, self._datagrams = self._datagrams, []
-        # The order among equals changes with the hour of the wall clock; a clock that is off changes no more.
+        # The order among equals changes with the hour of the wall clock; a wrong clock changes nothing else.
         result = self.control.step(now, data, self._live_members(), self.loop.system.wall_ns())
         for packet in result.packets:
             self.edge.post(packet.to, packet.data)
@@ -144,7 +144,7 @@
         self._timer = self.loop.call_at(max(self.control.due, now + 1), self._step)
 
     def _export(self, now: int) -> None:
-        """Figures and lines for people; a line in the log where a state begins or ends."""
+        """Export metrics; log a line where a state begins or ends."""
         totals, decision = self.control.totals, self.decision
         coverage = 0.0
         if totals is not None:
@@ -167,24 +167,24 @@
                 self.spending.labels(what).set(getattr(decision.send_budget, what))
         states = (coverage >= MIN_KNOWN_COVERAGE, shedding)
         if states[0] != self._states[0]:
-            state = "known" if states[0] else "unknown: each broker goes by its own share"
+            state = "known" if states[0] else "unknown; using this broker's own share"
             reporting, live = (
                 (totals.reporting, totals.live) if totals is not None else (0, len(self._live_boots))
             )
-            self.log.info(f"ledger: the fleet's figures are {state}", heard=reporting, of=live)
+            self.log.info(f"load reports: totals of the fleet are {state}", heard=reporting, of=live)
         if states[1] != self._states[1]:
             if shedding and decision is not None:
                 self.log.warning(
-                    "overload: the fleet sheds", line=round(decision.threshold, 3),
+                    "overload: the fleet is shedding load", line=round(decision.threshold, 3),
                     full_sets=sorted(decision.replica_set_thresholds)[:16],
                     trust=round(decision.confidence, 2),
                 )  # fmt: skip
             else:
-                self.log.info("overload: over, nothing is shed")
+                self.log.info("overload: ended, nothing is shed")
         self._states = states
 
     def close(self) -> None:
-        """No more timers; the sockets are the edge's."""
+        """Stop the timer; the sockets belong to the edge."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
--- a/quincepath/fleet/overload/adjustment.py
+++ b/quincepath/fleet/overload/adjustment.py
@@ -1,4 +1,4 @@
-"""Feedback control of a threshold: from an admitted share, by the histogram of arrivals, to a threshold and back.
+"""Feedback control of a threshold, with conversions between it and the admitted share of the arrivals.
 
 The controlled value is the admitted share of the arrivals. Above ``late_share`` of bad outcomes one update
 reduces it to what can be served (by ``max_decrease`` at most); below ``calm_share`` it increases, by
@@ -47,8 +47,8 @@
     """The next admitted share and the number of calm updates in a row.
 
     ``servable_share``: the share that can be served; ``bad_share``: of the admitted queries, those with a bad
-    outcome. A decrease goes to what can be served instead of down from the present share: totals that are counted
-    twice, because windows overlap and delays differ, reduce nothing twice.
+    outcome. A decrease goes to what can be served instead of down from the present share: totals that are
+    counted twice, because windows overlap and delays differ, reduce nothing twice.
     """
     if bad_share > settings.late_share:
         return max(
--- a/quincepath/fleet/overload/arrival_history.py
+++ b/quincepath/fleet/overload/arrival_history.py
@@ -1,8 +1,8 @@
 """Distribution of arrivals over the priority order when nothing is shed, and past values of a threshold.
 
 Clients that were shed retry, some of them at once and often: while a threshold is above 0, arrivals below it
-are counted many times. An admitted share is a share of the undisturbed arrivals, so their distribution is kept
-from when nothing was shed, blended with a little of the present arrivals in case the mix has changed.
+are counted many times. An admitted share is a share of the undisturbed arrivals, so their distribution is
+kept from when nothing was shed, blended with a little of the present arrivals in case the mix has changed.
 """
 
 from collections import deque
@@ -43,7 +43,7 @@
 
 
 class StepHistory:
-    """A step function over time and its mean over a window. Of bounded size: the oldest steps are forgotten."""
+    """A step function over time and its mean over a window. Bounded: the oldest steps are forgotten."""
 
     def __init__(self, initial: float) -> None:
         self._initial = initial
--- a/quincepath/fleet/overload/confidence.py
+++ b/quincepath/fleet/overload/confidence.py
@@ -5,7 +5,7 @@
 
 
 def confidence(now: int, totals: Totals | None, settings: OverloadSettings) -> float:
-    """1: in full; 0: not at all. Falls linearly from ``stale_after`` to ``forget`` and between the two coverages."""
+    """1: in full; 0: not at all. Linear from ``stale_after`` to ``forget`` and between the two coverages."""
     if totals is None or totals.live <= 0:
         return 0.0
     span = max(settings.forget - settings.stale_after, 1)
--- a/quincepath/fleet/overload/core.py
+++ b/quincepath/fleet/overload/core.py
@@ -39,7 +39,7 @@
         self.due = now + settings.period
 
     def step(self, now: int, news: Totals | LocalStats | None = None, age: int = 0) -> Decision:
-        """Apply totals or statistics; update the thresholds when due. ``age``: of the fleet's oldest member, ns.
+        """Apply totals or statistics; update thresholds when due. ``age``: of the fleet's oldest member, ns.
 
         Totals that are older than the known ones are ignored.
         """
@@ -84,7 +84,7 @@
         )
 
     def priority(self, now: int, arrival: Arrival) -> float:
-        """The place of a query in the priority order. A tenant not known to be over its share counts as within it."""
+        """The priority of a query. A tenant that is not known to be over its share counts as within it."""
         over = (
             self._over_shares.get(arrival.tenant, 0.0)
             if self._over_shares and self.confidence(now) > 0
--- a/quincepath/fleet/overload/extra_sends.py
+++ b/quincepath/fleet/overload/extra_sends.py
@@ -1,4 +1,4 @@
-"""Budget of further sends (retries and hedged copies) of the fleet, shared out by each broker's first sends."""
+"""The fleet's budget of further sends (retries and hedges), shared out by each broker's first sends."""
 
 from quincepath.fleet.load_reports.types import SECOND, SendKind, Totals
 from quincepath.fleet.overload.types import LocalStats, OverloadSettings
@@ -11,10 +11,10 @@
 ) -> float:
     """Further sends a second of this broker.
 
-    Its share of the ratio follows its own first sends, counted now, and so does its share of the free ones: the
-    sum over the brokers is the budget, however the load is distributed. Where the totals show that the fleet
-    sends more than that, all brokers are reduced by the same factor. Without totals (confidence 0): the ratio, and
-    an even share of the free ones. Never more than the broker may send alone.
+    Its share of the ratio follows its own first sends, counted now, and so does its share of the free ones:
+    the sum over the brokers is the budget, however the load is distributed. Where the totals show that the
+    fleet sends more than that, all brokers are reduced by the same factor. Without totals (confidence 0): the
+    ratio, and an even share of the free ones. Never more than the broker may send alone.
     """
     own = local.first * SECOND / local.window
     if local.first_rate >= 0:  # after a drop of the load the budget follows the present sends
--- a/quincepath/fleet/overload/ordering.py
+++ b/quincepath/fleet/overload/ordering.py
@@ -45,7 +45,7 @@
 
 
 def over_shares(totals: Totals, weights: Mapping[str, float], max_tenants: int) -> dict[str, float]:
-    """Slot time of each named tenant relative to its weighted share, for a limited number, the heaviest first.
+    """Slot time of each named tenant relative to its weighted share, for the heaviest ``max_tenants``.
 
     The tenants that are not named count together as one of weight 1. With a single tenant nobody is over.
     """
--- a/quincepath/fleet/overload/retry_advice.py
+++ b/quincepath/fleet/overload/retry_advice.py
@@ -39,14 +39,14 @@
 
 
 class RetryQuota:
-    """Marked retries in proportion to first tries, by tenant; tenants beyond the table's limit share one entry."""
+    """Marked retries in proportion to first tries, by tenant; beyond the limit tenants share one entry."""
 
     def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
         self._saved: dict[str, float] = {}
 
     def admit(self, tenant: str, marked: bool) -> bool:
-        """Count a try; False: a marked retry beyond the tenant's quota. Called only while the threshold is above 0."""
+        """Count a try; False: a marked retry beyond the quota. Called only while the threshold is above 0."""
         if tenant not in self._saved and len(self._saved) >= self._settings.max_tenants:
             tenant = OTHER_TENANTS
         saved = self._saved.get(tenant, MAX_SAVED_RETRIES)
--- a/quincepath/fleet/overload/thresholds.py
+++ b/quincepath/fleet/overload/thresholds.py
@@ -1,10 +1,10 @@
 """Shedding thresholds of the fleet, of this broker alone, and of each replica set that is full.
 
 Each update of the fleet's threshold starts from the mean threshold of the reporting brokers
-(``Totals.threshold``): brokers do not drift apart, a broker that comes back starts where the others are, and as
-that mean is as old as the totals, late totals slow the control loop down by themselves. A full replica set is
-no reason to shed queries to others: bad outcomes count towards the fleet's threshold only as far as the median
-replica set has them, too.
+(``Totals.threshold``): brokers do not drift apart, a broker that comes back starts where the others are, and
+as that mean is as old as the totals, late totals slow the control loop down by themselves. A full replica set
+is no reason to shed queries to others: bad outcomes count towards the fleet's threshold only as far as the
+median replica set has them, too.
 """
 
 import math
@@ -19,10 +19,8 @@
 EARLY_BAD_SHARE = 0.05  # share of bad outcomes below which an overload is early
 MAX_DECAY_SHARE = 0.3  # share of bad outcomes up to which the capacity estimate decays faster
 SET_FULL_SHARE = 0.15  # bad outcomes beyond the median set that make a set full: fewer may be a lost node
-SET_MAX_DECREASE, SET_MIN_ADMITTED = (
-    0.4,
-    0.2,
-)  # of a replica set: largest decrease of one update, and the smallest admitted share
+# Of a replica set: largest decrease of one update, and the smallest admitted share.
+SET_MAX_DECREASE, SET_MIN_ADMITTED = 0.4, 0.2
 SET_INCREASE_FACTOR = 1.3  # a calm update multiplies the admitted share by this
 MAX_RECOVERY_FACTOR = 3.0  # limit of one update's increase where less is served than before
 FULLY_ADMITTED_SHARE = 0.999  # admitted share at which a replica set's threshold is dropped
@@ -33,11 +31,11 @@
 
     The median of the sets, not of the demand: one hot set may have most of that.
     """
-    reported = [cell for cell in totals.replica_sets.values() if cell.demand > 0]
+    reported = [each for each in totals.replica_sets.values() if each.demand > 0]
     if not reported:
         return 0.0, 0.0
-    shares = sorted(cell.refused / cell.demand for cell in reported)
-    mean = sum(cell.refused for cell in reported) / sum(cell.demand for cell in reported)
+    shares = sorted(each.refused / each.demand for each in reported)
+    mean = sum(each.refused for each in reported) / sum(each.demand for each in reported)
     return shares[(len(shares) - 1) // 2], mean
 
 
@@ -70,8 +68,8 @@
     def update(self, totals: Totals) -> None:
         """One update, from the mean threshold of the fleet. With too short a window it follows the mean.
 
-        With too few admitted queries to judge by, the threshold comes down unless something ended badly, so that it
-        never gets stuck.
+        With too few admitted queries to judge by, the threshold comes down unless something ended badly, so
+        that it never gets stuck.
         """
         distribution = self._distribution.update(totals.at, totals.arrivals, totals.threshold)
         share = share_above(totals.threshold, distribution)
@@ -94,9 +92,8 @@
         rate = served * SECOND / totals.window
         early = bad > self._settings.late_share and ended < EARLY_BAD_SHARE * admitted
         capacity = self._estimate_capacity(totals.at, rate, bad, early)
-        servable_share = (
-            mean_share * capacity * totals.window / SECOND / admitted
-        )  # the share that admits as much as can be served
+        # The share that admits as much as can be served.
+        servable_share = mean_share * capacity * totals.window / SECOND / admitted
         previous_share = share
         share, self._calm_steps = next_share(share, servable_share, bad, self._calm_steps, self._settings)
         if bad < 2 * self._settings.late_share and rate < self._settings.capacity_margin * capacity:
@@ -106,10 +103,10 @@
     def _estimate_capacity(self, at: int, rate: float, bad: float, early: bool) -> float:
         """The capacity of the fleet, queries a second: the highest recent rate of queries served in time.
 
-        Late outcomes describe what was admitted one target time ago, and a fleet whose queues are full serves nothing
-        in time for a while: neither says how much to admit, the highest rate before does. It decays with the bad
-        outcomes, as capacity may be lost, and never below the present rate. ``early``: more is admitted than ends, and
-        little has ended badly yet: then the present rate is the capacity.
+        Late outcomes describe what was admitted one target time ago, and a fleet whose queues are full serves
+        nothing in time for a while: neither says how much to admit, the highest rate before does. It decays
+        with the bad outcomes, as capacity may be lost, and never below the present rate. ``early``: more is
+        admitted than ends, and little has ended badly yet: then the present rate is the capacity.
         """
         if at > self._capacity_at:
             age = (at - self._capacity_at) / self._settings.capacity_decay if self._capacity_at >= 0 else 0.0
@@ -153,9 +150,9 @@
 class ReplicaSetThresholds:
     """Thresholds of full replica sets, by the fleet's totals of demand and refusals there. Bounded in number.
 
-    What all sets have in common is left to the fleet's threshold: only refusals beyond the median set's count.
-    No mean of these thresholds is reported: brokers with the same totals update alike, and each calm update
-    reduces a difference between them.
+    What all sets have in common is left to the fleet's threshold: only refusals beyond the median set's
+    count. No mean of these thresholds is reported: brokers with the same totals update alike, and each calm
+    update reduces a difference between them.
     """
 
     def __init__(self, settings: OverloadSettings) -> None:
--- a/quincepath/fleet/overload/trial_turns.py
+++ b/quincepath/fleet/overload/trial_turns.py
@@ -1,8 +1,8 @@
 """Turns of all brokers for trial sends and new connections to one node, so that their sum stays below a rate.
 
-There is no common clock, so a turn is an interval, not a time: each broker has one turn in every
-``broker count / rate``, with a phase within it that is a hash of broker and node. Turns for different nodes at
-one broker, and of different brokers for one node, do not coincide. The result of a trial is used by the broker
+There is no common clock, so a turn is an interval, not a time: each broker has one turn in every ``broker
+count / rate``, with a phase within it that is a hash of broker and node. Turns for different nodes at one
+broker, and of different brokers for one node, do not coincide. The result of a trial is used by the broker
 that made it.
 """
 
@@ -32,11 +32,11 @@
     return min(settings.dial_rate / max(count, 1.0), settings.alone_dials)
 
 
-def next_turn(now: int, since: int, broker: str, holder: str, rate: float) -> int:
+def next_turn(now: int, since: int, broker: str, node: str, rate: float) -> int:
     """When this broker's next turn for a node begins, ns: the first after ``now``."""
     if rate <= 0:
         return now + 3600 * SECOND
     interval = max(int(SECOND / rate), 1)
-    digest = blake2b(f"{broker}\0{holder}".encode(), digest_size=6).digest()
+    digest = blake2b(f"{broker}\0{node}".encode(), digest_size=6).digest()
     first = since + (int.from_bytes(digest) * interval >> 48)
     return first if first > now else first + ((now - first) // interval + 1) * interval
--- a/quincepath/fleet/overload/types.py
+++ b/quincepath/fleet/overload/types.py
@@ -1,8 +1,8 @@
-"""Types of overload control: the priority order of queries and what a broker may send (docs/design/overload.md).
+"""Types of overload control: priorities of queries and what a broker may send (docs/design/overload.md).
 
-The *priority* of a query is a number from 0 (shed first) to below 1 (shed last): its worth first, then how far
-its tenant is over its share, then a hash of tenant and client that stays the same for a while. A query shed
-here would be shed at any other broker, too. A *threshold* is a priority: queries below it are shed.
+The *priority* of a query is a number from 0 (shed first) to below 1 (shed last): its worth first, then how
+far its tenant is over its share, then a hash of tenant and client that stays the same for a while. A query
+shed here would be shed at any other broker, too. A *threshold* is a priority: queries below it are shed.
 """
 
 from dataclasses import dataclass, field
@@ -47,8 +47,8 @@
 class SendBudget:
     """What this broker may send until a time: becomes the ``Allowance`` of the decision module.
 
-    ``extras``: further sends a second; ``trials``: sends a second to any one suspected or cold node; ``dials``:
-    new connections a second to any one node. Never more than the configuration allows it alone.
+    ``extras``: further sends a second; ``trials``: sends a second to any one suspected or cold node;
+    ``dials``: new connections a second to any one node. Never more than the configuration allows it alone.
     """
 
     extras: float
@@ -59,12 +59,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LocalStats:
-    """This broker's own statistics of a window (ns) that ended now; they are known whatever the network loses.
+    """This broker's own statistics of a window (ns) that ended now, known whatever the network loses.
 
-    ``arrivals``: by band of the priority order; ``admitted``: queries that passed the thresholds; ``ended``: of
-    those, the ones with a known outcome; ``bad``: of those, late, refused by the decision module or failed;
-    ``refused``: shed, refused or turned away; ``first``: first sends of parts, and ``first_rate`` those a second
-    within the last period (less than 0: not known).
+    ``arrivals``: by band of the priority order; ``admitted``: queries that passed the thresholds; ``ended``:
+    of those, the ones with a known outcome; ``bad``: of those, late, refused by the decision module or
+    failed; ``refused``: shed, refused or turned away; ``first``: first sends of parts, and ``first_rate``
+    those a second within the last period (less than 0: not known).
     """
 
     window: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """The result of a step. ``threshold``: for ``Counts.threshold``; ``confidence``: weight of the totals, 0 to 1."""
+    """Result of a step. ``threshold``: for ``Counts``; ``confidence``: weight of the totals, 0 to 1."""
 
     threshold: float
     confidence: float
@@ -97,19 +97,11 @@
     calm_share: float = 0.01  # and below this one it comes down: between the two it stays (hysteresis)
     max_growth_share: float = 0.08  # of the admitted queries: as many may be in flight beyond those that end
     max_decrease: float = 0.8  # largest relative decrease of the admitted share in one update
-    min_increase: float = (
-        0.02  # and its increase at first; each calm update in a row increases 1.4 times as much,
-    )
+    min_increase: float = 0.02  # and its increase at first; each calm update in a row 1.4 times as much,
     max_increase: float = 0.2  # up to this
-    capacity_decay: int = (
-        8 * SECOND
-    )  # the capacity estimate decays to 1/e in this time over the share of bad outcomes
-    capacity_margin: float = (
-        0.85  # of it: while less is served and nothing ends badly, the threshold comes down quickly
-    )
-    min_admitted_share: float = (
-        0.02  # share of the arrivals that is always admitted, so that recovery stays possible
-    )
+    capacity_decay: int = 8 * SECOND  # over the share of bad outcomes: the capacity estimate decays to 1/e
+    capacity_margin: float = 0.85  # of it: below, and with nothing ending badly, the threshold falls quickly
+    min_admitted_share: float = 0.02  # of the arrivals, always admitted: recovery stays possible
     min_window: int = 2 * SECOND  # shorter windows update no threshold: too much of them is in flight
     min_sample: float = 20.0  # ended queries needed for an update
     min_coverage: float = 0.4  # of the fleet that has to report for the fleet's threshold to count at all,
@@ -128,9 +120,7 @@
     epoch: int = 3600 * SECOND  # of the fleet's age: the order among equals stays the same for so long
     min_retry_after: int = 250 * MS  # retry advice: at least, and at most
     max_retry_after: int = 10 * SECOND
-    retry_share: float = (
-        0.5  # marked retries admitted of a tenant for each of its first tries, while shedding
-    )
+    retry_share: float = 0.5  # marked retries admitted of a tenant for each first try, while shedding
     max_tenants: int = 256  # tenants told apart; the others are one
     max_replica_sets: int = 1024  # replica sets that may have a threshold; further ones have none
     weights: dict[str, float] = field(default_factory=dict)  # of tenants; 1 where not named
--- a/quincepath/fleet/permits.py
+++ b/quincepath/fleet/permits.py
@@ -1,9 +1,10 @@
-"""Who may be out, as agreed: what the entries of the keepers' log come to. Pure: same entries, same state.
+"""Permits to be out of service, a state machine fed by the replicated log. Pure: same entries, same state.
 
-The leader judges a request by the budget, with what it believes of the fleet, and proposes a grant that names
-who was out by belief. The entry is judged once more when it is applied, by what is committed then, so that
-two grants on their way at once cannot overdraw it together. A permit never runs out by itself: only *back* or
-a *close* by hand frees its place, since one that is cut off may have begun. What is overdue halts everything.
+The leader checks a request against the budget, with its beliefs of the fleet, and proposes a grant that names
+who was out by belief. The entry is checked again when it is applied, by what is committed then, so that two
+concurrent grants cannot exceed the budget together. A permit never expires by itself: only *back* or a
+*close* by an operator frees its place, since a holder that is cut off may have begun. An overdue permit
+blocks all new grants.
 """
 
 from typing import Any
@@ -18,16 +19,16 @@
 from quincepath.fleet.messages import Millis, Name, Text
 
 MAX_HISTORY = 2000
-MAX_RESULTS = 4000  # commands remembered, so that a repeat does nothing twice
-SCHEMA = 3  # 1: without maps, 2: without a configuration; read as one that has none
-DRAIN = "drain"  # the purpose of a permit by which all brokers drain its holder
+MAX_RESULTS = 4000  # results remembered, so that a repeated command does nothing twice
+SCHEMA = 3  # 1: without maps, 2: without a configuration; read as a state that has none
+DRAIN = "drain"  # purpose of a permit for which all brokers drain the node
 
 
 class Grant(msgspec.Struct, tag="grant", frozen=True):
-    """Let one go out, for a drain or a release, at most until ``overdue_at`` (ms of the asker's wall clock).
+    """Let one go out, for a drain or a release, until ``overdue_at`` (ms of the requester's wall clock).
 
-    ``checks`` are the limits as the leader's configuration states them, so that the entry means the same on
-    every broker; ``out``: who else was out by the leader's belief, and why (names of ``Reason``).
+    ``checks`` are the limits by the leader's configuration, so that the entry means the same on every broker;
+    ``out``: who else was out by the leader's belief, and why (names of ``Reason``).
     """
 
     id: Text
@@ -59,7 +60,7 @@
 
 
 class Close(msgspec.Struct, tag="close", frozen=True):
-    """By hand: its place is free, whatever became of it."""
+    """By an operator: its place is free, whatever became of it."""
 
     id: Text
     by: Text
@@ -78,7 +79,7 @@
 
 
 class Resume(msgspec.Struct, tag="resume", frozen=True):
-    """Grants are made again; what is overdue halts again unless it was closed."""
+    """Grants are possible again; an overdue permit still blocks them unless it was closed."""
 
     id: Text
     by: Text
@@ -89,7 +90,7 @@
 
 
 class Permit(msgspec.Struct):
-    """One that may be out, or is."""
+    """A permit of one that may be out, or is."""
 
     name: str
     purpose: str
@@ -101,7 +102,7 @@
 
 
 class Line(msgspec.Struct):
-    """What was asked, by whom, when, and what came of it."""
+    """Entry of the history: what was requested, by whom, when, and the result."""
 
     index: int
     at: int
@@ -112,15 +113,15 @@
 
 
 class State(msgspec.Struct):
-    """All that a snapshot holds."""
+    """All that a snapshot contains."""
 
     schema: int = SCHEMA
     permits: dict[str, Permit] = {}
-    halted: str = ""  # why; empty: not halted
+    halted: str = ""  # reason; empty: not halted
     history: list[Line] = []
-    results: dict[str, str] = {}  # by command's id; empty text: done
+    results: dict[str, str] = {}  # by id of the command; empty text: done
     topology: Topology = msgspec.field(default_factory=Topology)
-    configuration: bytes = b""  # as ``History.dump`` writes it; nothing was ever changed: empty
+    configuration: bytes = b""  # as written by ``History.dump``; empty: never changed
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -129,28 +130,28 @@
 
 
 def encode(command: Command) -> bytes:
-    """For the log."""
+    """Encode a command for the log."""
     return _encoder.encode(command)
 
 
 class Permits:
-    """The machine of the keepers' log."""
+    """The state machine of the replicated log."""
 
     def __init__(self) -> None:
         self.state = State()
         self.configuration = History()
 
-    # --- the log ---
+    # --- log ---
 
     def apply(self, entry: Entry) -> None:
-        """One committed entry. What cannot be read changes nothing, and stands in the history."""
+        """Apply one committed entry. An unreadable one changes nothing but is recorded in the history."""
         try:
             command = _command_decoder.decode(entry.data)
         except msgspec.MsgspecError as error:
             self._note(entry.index, 0, "unknown", "unreadable", "", f"refused: {error}"[:200])
             return
         if command.id in self.state.results:
-            return  # asked again: it was done, or refused, before
+            return  # a repeat: it was done, or refused, before
         result = self._execute(command, entry.index)
         self.state.results[command.id] = result
         while len(self.state.results) > MAX_RESULTS:
@@ -164,7 +165,7 @@
         del self.state.history[:-MAX_HISTORY]
 
     def _execute(self, command: Command, index: int) -> str:
-        """What stands in its way; empty where it is done."""
+        """Execute a command and return the reason of a refusal; empty where it is done."""
         permits, topology = self.state.permits, self.state.topology
         if isinstance(command, MAP_COMMANDS):
             return do(topology, command, index, self.map_change_blocker())[:400]
@@ -196,47 +197,47 @@
         return ""
 
     def map_change_blocker(self) -> str:
-        """Of a change of the shard map: it and what is out do not go together."""
+        """What forbids a change of the shard map: it and a unit that is out do not go together."""
         if self.state.halted:
             return f"halted: {self.state.halted}"
         names = sorted(self.state.permits)
         return f"open: the permit of {', '.join(names[:5])}" if names else ""
 
     def dump(self) -> bytes:
-        """For a snapshot."""
+        """Encode the state for a snapshot."""
         changed = self.configuration.revision or self.configuration.answers
         self.state.configuration = self.configuration.dump() if changed else b""
         return _encoder.encode(self.state)
 
     def load(self, data: bytes) -> None:
-        """From a snapshot; nothing is the beginning. Raises ``ValueError`` for another schema."""
+        """Load a snapshot; no data is the initial state. Raises ``ValueError`` for another schema."""
         self.state = _state_decoder.decode(data) if data else State()
         if not 1 <= self.state.schema <= SCHEMA:
             raise ValueError(f"permits of schema {self.state.schema}, this program reads 1 to {SCHEMA}")
         self.state.schema = SCHEMA
         self.configuration.load(self.state.configuration)
         if self.state.topology.record:
-            from quincepath.fleet.forecast import record_of  # a large library comes with it
+            from quincepath.fleet.forecast import record_of  # imports a large library
 
             record_of(self.state.topology.record)
 
-    # --- judging ---
+    # --- checks ---
 
     def out(self, believed: dict[str, Reason], now: int) -> dict[str, Reason]:
-        """Everybody who is out: by permit, or by belief. ``now``: ms of a wall clock."""
+        """Everyone who is out: by permit, or by belief. ``now``: ms of a wall clock."""
         found = dict(believed)
         for name, permit in self.state.permits.items():
             found[name] = Reason.OVERDUE if now > permit.overdue_at else Reason.PERMITTED
         return found
 
     def overdue(self, now: int) -> list[str]:
-        """Those with a permit whose time is over: they may be out still."""
+        """Those whose permit is past its time: they may still be out."""
         return sorted(name for name, permit in self.state.permits.items() if now > permit.overdue_at)
 
     def grant_refusals(
         self, name: str, checks: tuple[Check, ...], believed: dict[str, Reason], now: int
     ) -> list[str]:
-        """What stands in the way of a grant; empty where nothing does."""
+        """The reasons to refuse a grant; empty where there are none."""
         if not checks:
             return [f"{name} is none of the configured brokers and holders"]
         if name in self.state.permits:
@@ -251,11 +252,11 @@
         return [str(one) for one in refusals(name, checks, self.out(believed, now))]
 
     def drained(self) -> set[str]:
-        """Those that are to be drained by all."""
+        """The names that all brokers are to drain."""
         return {name for name, permit in self.state.permits.items() if permit.purpose == DRAIN}
 
     def status(self, now: int) -> dict[str, Any]:
-        """For people."""
+        """The state for operators."""
         return {
             "halted": self.state.halted,
             "overdue": self.overdue(now),
