--- a/benchmarks/capacity/scale/load.py
+++ b/benchmarks/capacity/scale/load.py
@@ -55,9 +55,8 @@
         number, tally = self._number, self._shared.control.counter
         kind, cell = number % CLASSES, number * 7 % SETS
         self._shared.on_arrival(Arrival(kind, number * GOLDEN % 1.0, "", "", (cell,), 0))
-        tally.count_replica_set(
-            cell, PARTS - 1, int(number % REFUSED_ONE_IN == 0)
-        )  # one part is counted on arrival
+        # One part is counted on arrival.
+        tally.count_replica_set(cell, PARTS - 1, int(number % REFUSED_ONE_IN == 0))
         tally.count_sends(SendKind.FIRST, PARTS)
         if number % FURTHER_ONE_IN == 0:
             tally.count_sends(SendKind.FURTHER)
--- a/quincepath/fleet/load_reports/member_counts.py
+++ b/quincepath/fleet/load_reports/member_counts.py
@@ -38,9 +38,8 @@
     threshold_permille: int = 0
     waiting: int = 0
     tenant_waiting: dict[str, int] = field(default_factory=dict)
-    regressed: set[int] = field(
-        default_factory=set
-    )  # fields with a lower value in a newer report than in an older one
+    # Fields with a lower value in a newer report than in an older one.
+    regressed: set[int] = field(default_factory=set)
     from_start: bool = False  # counted from its start: the first value of each field is all new
 
 
@@ -124,9 +123,8 @@
         member.competing[old.boot] = old
         if new.boot not in member.previous_boots:
             member.previous_boots.append(new.boot)
-            if (
-                new.started_at > old.last_report_at - self._settings.period
-            ):  # it began after the other one ended
+            # It began after the other one ended.
+            if new.started_at > old.last_report_at - self._settings.period:
                 new.from_start = True
                 for number, value in new.highest.items():
                     self._add(member, number, value)
@@ -137,58 +135,58 @@
         member.values[number] = member.values.get(number, 0) + increase
 
     def _merge(
-        self, now: int, member: Member, boot: ProcessCounts, report: Report, fields: list[tuple[int, int]]
+        self, now: int, member: Member, process: ProcessCounts, report: Report, fields: list[tuple[int, int]]
     ) -> None:
-        is_current = boot is member.current
-        is_newest = report.sequence >= boot.sequence
+        is_current = process is member.current
+        is_newest = report.sequence >= process.sequence
         if not is_newest:
             self._causes["older"] += 1
-        self._merge_tenants(member, boot, report, is_current, is_newest)
+        self._merge_tenants(member, process, report, is_current, is_newest)
         new_queries = 0
         for number, value in fields:
-            previous = boot.highest.get(number)
-            if previous is None and not boot.from_start:
+            previous = process.highest.get(number)
+            if previous is None and not process.from_start:
                 previous = value  # its value before the first report is not known
-                boot.highest[number] = value
+                process.highest[number] = value
             if is_newest and value >= (previous or 0):
-                boot.regressed.discard(number)
+                process.regressed.discard(number)
             if value > (previous or 0):
-                boot.highest[number] = value
+                process.highest[number] = value
                 if is_current:
                     self._add(member, number, value - (previous or 0))
                     new_queries += value - (previous or 0) if FAMILY_BY_FIELD[number] == TAKEN else 0
-            elif report.sequence > boot.sequence and previous is not None and value < previous:
-                boot.regressed.add(number)
-        if boot.regressed and is_newest:
+            elif report.sequence > process.sequence and previous is not None and value < previous:
+                process.regressed.add(number)
+        if process.regressed and is_newest:
             self._causes["backwards"] += 1
-        elapsed = max(now - boot.last_report_at, self._settings.period)
+        elapsed = max(now - process.last_report_at, self._settings.period)
         if new_queries * 1_000_000_000 > 2 * self._settings.most_rate * elapsed:
             self._causes["jump"] += 1
         if is_newest:
-            boot.sequence, boot.last_report_at = report.sequence, now
-            boot.threshold_permille, boot.waiting = report.threshold_permille, report.waiting
+            process.sequence, process.last_report_at = report.sequence, now
+            process.threshold_permille, process.waiting = report.threshold_permille, report.waiting
         if is_current:
             self._add_checkpoint(now, member)
 
     def _merge_tenants(
-        self, member: Member, boot: ProcessCounts, report: Report, is_current: bool, is_newest: bool
+        self, member: Member, process: ProcessCounts, report: Report, is_current: bool, is_newest: bool
     ) -> None:
         """Tenants: counts continue from ``base_ms``, the use of all tenants when this one was last named."""
-        if is_newest and (report.tenants or report.sequence > boot.sequence):
-            boot.tenant_waiting = {use.name: use.waiting for use in report.tenants if use.waiting}
+        if is_newest and (report.tenants or report.sequence > process.sequence):
+            process.tenant_waiting = {use.name: use.waiting for use in report.tenants if use.waiting}
         for use in report.tenants:
-            previous = boot.tenant_highest.pop(use.name, None)
+            previous = process.tenant_highest.pop(use.name, None)
             if previous is None:  # at most all that was used since the last report
                 previous = (
                     0
-                    if boot.from_start and not boot.sequence
-                    else boot.highest.get(SLOT_TIME_FIELD, use.slot_ms)
+                    if process.from_start and not process.sequence
+                    else process.highest.get(SLOT_TIME_FIELD, use.slot_ms)
                 )
             increase = use.slot_ms - max(previous, use.base_ms)
-            boot.tenant_highest[use.name] = max(previous, use.slot_ms)
+            process.tenant_highest[use.name] = max(previous, use.slot_ms)
             if increase > 0 and is_current:
                 member.tenant_slot_ms[use.name] = member.tenant_slot_ms.pop(use.name, 0) + increase
-        for table in (boot.tenant_highest, member.tenant_slot_ms):
+        for table in (process.tenant_highest, member.tenant_slot_ms):
             while len(table) > MAX_MEMBER_TENANTS:
                 del table[next(iter(table))]
 
--- a/quincepath/fleet/load_reports/reporter.py
+++ b/quincepath/fleet/load_reports/reporter.py
@@ -62,9 +62,8 @@
         self._current_fleet: Sums | None = None
         self._member_counts = MemberCounts(settings, self.causes)
         self._report_builder = ReportBuilder(settings.report_datagrams)
-        self._child_sums: dict[
-            tuple[int, int], dict[str, ReceivedSum]
-        ] = {}  # by child group: what its aggregators sent
+        # By child group: what its aggregators sent.
+        self._child_sums: dict[tuple[int, int], dict[str, ReceivedSum]] = {}
         self._fleet_sums: dict[str, ReceivedSum] = {}  # by aggregator of the own group
         self._relayed: dict[tuple[int, str], tuple[int, int]] = {}  # by level and sender: boot, sequence
         self._sequence = 0
--- a/tests/conformance/run_ledger.py
+++ b/tests/conformance/run_ledger.py
@@ -1,7 +1,7 @@
-"""Rows of the ledger: reports as one reader hears them -> its totals, their age and coverage.
+"""Rows of the load reports: reports as one reader receives them -> its totals, their age and coverage.
 
-All are in one group, which the reader sums up. Times in ms of the reader's clock; ``up``: ms that the sender
-has been counting; without it, it began at 0. The reader itself counts nothing.
+All are in one group, which the reader aggregates. Times in ms of the reader's clock; ``up``: uptime of the
+sender in ms; without it, the sender started at 0. The reader itself counts nothing.
 """
 
 from typing import Any
@@ -36,38 +36,38 @@
 @runner("ledger")
 def run(given: dict[str, Any]) -> dict[str, Any]:
     settings = LoadReportSettings(**{"aggregators": 5, **given.get("settings", {})})
-    ledger = LoadReporter("f", "reader", 1, settings, 0)
+    reporter = LoadReporter("f", "reader", 1, settings, 0)
     boots = {"reader": 1, **given["living"]}
     events = [(message["at"], message) for message in given["messages"]]
     events += [(entry["at"], entry) for entry in given.get("views", [])]
-    last: Totals | None = None
+    totals: Totals | None = None
 
     def until(when: int) -> None:
-        nonlocal last
-        while ledger.due <= when:
-            for out in ledger.step(ledger.due):
-                last = out if isinstance(out, Totals) else last
+        nonlocal totals
+        while reporter.due <= when:
+            for out in reporter.step(reporter.due):
+                totals = out if isinstance(out, Totals) else totals
 
-    # With as many summers as members the reader is one of them; the others tell it nothing.
-    ledger.step(0, [LiveMembers(boots, len(boots))])
+    # With as many aggregators as members the reader is one of them; the others send it nothing.
+    reporter.step(0, [LiveMembers(boots, len(boots))])
     for at, event in sorted(events, key=lambda one: one[0]):
         until(at * MS)
         if "living" in event:
-            ledger.step(at * MS, [LiveMembers({"reader": 1, **event["living"]}, len(boots))])
+            reporter.step(at * MS, [LiveMembers({"reader": 1, **event["living"]}, len(boots))])
         else:
             raw = encode(report(event))
             data = pack(event.get("fleet", "f"), event["from"], event["boot"], "reader", raw)
-            ledger.step(at * MS, [DatagramReceived(data)] * event.get("times", 1))
+            reporter.step(at * MS, [DatagramReceived(data)] * event.get("times", 1))
     until(given["read"] * MS)
-    assert last is not None
+    assert totals is not None
     return {
-        "taken": last.count(Count.TAKEN),
-        "late": last.count(Count.LATE),
-        "heard": last.reporting,
-        "of": last.live,
-        "line": last.threshold,
-        "tenants": {n: [one.slot_time / MS, one.waiting] for n, one in last.tenants.items()},
-        "rest": last.rest.slot_time / MS,
-        "causes": {cause: many for cause, many in ledger.causes.items() if many},
-        "old": given["read"] * MS - last.at > settings.fresh_within,
+        "taken": totals.count(Count.TAKEN),
+        "late": totals.count(Count.LATE),
+        "heard": totals.reporting,
+        "of": totals.live,
+        "line": totals.threshold,
+        "tenants": {n: [one.slot_time / MS, one.waiting] for n, one in totals.tenants.items()},
+        "rest": totals.rest.slot_time / MS,
+        "causes": {cause: count for cause, count in reporter.causes.items() if count},
+        "old": given["read"] * MS - totals.at > settings.fresh_within,
     }
--- a/tests/conformance/run_overload.py
+++ b/tests/conformance/run_overload.py
@@ -1,6 +1,6 @@
-"""Rows of overload as one: totals, own news and an arrival given -> line, shed or not, spending.
+"""Rows of overload control: totals, local statistics and an arrival -> threshold, shed or not, send budget.
 
-Totals are of a window of 2 s and of 10 brokers, arrivals lie evenly over the bands. Lines and rates come out
+Totals are of a window of 2 s and of 10 brokers, arrivals are uniform over the bands. Thresholds and rates are
 rounded to a thousandth.
 """
 
@@ -14,23 +14,23 @@
 NOW = 20 * SECOND
 
 
-def totals(told: dict[str, Any]) -> Totals:
-    """Totals as a row tells them."""
-    one = [0.0] * len(Count)
+def totals(row: dict[str, Any]) -> Totals:
+    """Totals as given in a row."""
+    counts = [0.0] * len(Count)
     for name in ("taken", "in_time", "late", "refused", "shed"):
-        one[Count[name.upper()]] = float(told.get(name, 0))
+        counts[Count[name.upper()]] = float(row.get(name, 0))
     sends = [0.0] * len(SendKind)
     sends[SendKind.FIRST], sends[SendKind.FURTHER] = (
-        float(told.get("first", 0)),
-        float(told.get("further", 0)),
+        float(row.get("first", 0)),
+        float(row.get("further", 0)),
     )
     return Totals(
-        at=NOW - int(told.get("age", 0.5) * SECOND), window=2 * SECOND, reporting=told.get("heard", 10),
-        live=told.get("of", 10), by_class=(tuple(one),),
+        at=NOW - int(row.get("age", 0.5) * SECOND), window=2 * SECOND, reporting=row.get("heard", 10),
+        live=row.get("of", 10), by_class=(tuple(counts),),
         sends=tuple(sends),
-        arrivals=(told.get("taken", 0) / PRIORITY_BANDS,) * PRIORITY_BANDS, threshold=told.get("line", 0.0),
+        arrivals=(row.get("taken", 0) / PRIORITY_BANDS,) * PRIORITY_BANDS, threshold=row.get("line", 0.0),
         replica_sets={
-            cell: ReplicaSetTotal(*map(float, pair)) for cell, pair in told.get("cells", {}).items()
+            cell: ReplicaSetTotal(*map(float, pair)) for cell, pair in row.get("cells", {}).items()
         },
     )  # fmt: skip
 
@@ -45,8 +45,8 @@
     for name in ("extras", "trials", "dials"):
         found[name] = round(getattr(out.send_budget, name), 3)
     if "arrival" in given:
-        told = given["arrival"]
-        arrival = Arrival(0, told["worth"], "t", "c", tuple(told.get("cells", ())), SECOND)
+        arrival_row = given["arrival"]
+        arrival = Arrival(0, arrival_row["worth"], "t", "c", tuple(arrival_row.get("cells", ())), SECOND)
         shed = core.on_arrival(NOW, arrival)
         found["shed"] = shed.reason.value if shed else "none"
     return found
--- a/tests/fleet/load_reports/test_member_counts.py
+++ b/tests/fleet/load_reports/test_member_counts.py
@@ -1,4 +1,4 @@
-"""What is kept of a member: every order, loss and doubling of few reports; two planted bugs are found."""
+"""Counts of members under every order, loss and duplication of a few reports; finds two planted bugs."""
 
 import itertools
 import random
@@ -39,15 +39,15 @@
 from quincepath.fleet.messages import PACKET, Rejected
 
 LONG = LoadReportSettings(window=1000 * SECOND, forget=1000 * SECOND)
-# (boot, number, ms that it has counted, queries taken); the second boot began at 2.0 s, after the first ended
+# (boot, sequence, uptime in ms, queries taken); the second boot began at 2.0 s, after the first ended
 SENT = [(1, 1, 500, 2), (1, 2, 1000, 5), (1, 3, 1500, 9), (2, 1, 400, 1), (2, 2, 900, 4)]
 STARTED = {1: 0, 2: 2000}
-CLONES = {1: 0, 2: 100}  # or it runs beside it
-DELAYED: dict[int, int] = {}  # or what is heard is as old as can be
+CONCURRENT = {1: 0, 2: 100}  # or it runs beside the first
+OLDEST: dict[int, int] = {}  # or the reports are as old as possible
 
 
 def mutant(name: str, *changes: tuple[str, str]) -> Any:
-    """The module with some of its lines changed."""
+    """The module with some of its source lines replaced."""
     source = Path(str(member_counts.__file__)).read_text()
     for old, new in changes:
         assert source.count(old) == 1, old
@@ -58,34 +58,34 @@
     return module
 
 
-def play(
+def deliver(
     module: Any, sent: list[tuple[int, ...]], started: dict[int, int], views: list[int | None]
 ) -> list[str]:
-    """Deliver in this order, one every 100 ms from 3 s on; what was found wrong."""
-    kept = module.MemberCounts(LONG, Counter())
-    most: dict[int, int] = {}
-    last, wrong = 0, []
-    for step, ((boot, number, told, taken), believed) in enumerate(zip(sent, views, strict=True)):
+    """Deliver the reports in this order, one every 100 ms from 3 s on; returns the violations found."""
+    counts = module.MemberCounts(LONG, Counter())
+    highest: dict[int, int] = {}
+    previous, findings = 0, []
+    for step, ((boot, number, uptime, queries), live_boot) in enumerate(zip(sent, views, strict=True)):
         now = 3000 + 100 * step
-        up = now - started[boot] if started else told
-        kept.apply_report(now * MS, "a", boot, Report(number, up, 0, 0, (0, 1, taken)), believed)
-        most[boot] = max(most.get(boot, 0), taken)
-        [(_, sums)] = kept.window_sums(now * MS)
+        up = now - started[boot] if started else uptime
+        counts.apply_report(now * MS, "a", boot, Report(number, up, 0, 0, (0, 1, queries)), live_boot)
+        highest[boot] = max(highest.get(boot, 0), queries)
+        [(_, sums)] = counts.window_sums(now * MS)
         found = sums.values.get(0, 0)
-        if found > sum(most.values()):
-            wrong.append(f"{found} of {most} at most")
-        if found < last:
-            wrong.append(f"{found} after {last}")
-        if len(most) == 1 and found != most[boot]:
-            wrong.append(f"{found}, not {most}")
-        last = found
-    return wrong
-
-
-def explored(module: Any, depth: int) -> tuple[int, list[str]]:
-    """Every sequence of reports, each lost, once or more than once, with three views; and views that turn."""
-    plays, wrong = 0, []
-    turning: list[list[int | None]] = [
+        if found > sum(highest.values()):
+            findings.append(f"{found} of {highest} at most")
+        if found < previous:
+            findings.append(f"{found} after {previous}")
+        if len(highest) == 1 and found != highest[boot]:
+            findings.append(f"{found}, not {highest}")
+        previous = found
+    return findings
+
+
+def explore_deliveries(module: Any, depth: int) -> tuple[int, list[str]]:
+    """Every sequence of reports, each lost, once or more often, with three constant and two changing views."""
+    deliveries, findings = 0, []
+    view_sequences: list[list[int | None]] = [
         [None] * depth,
         [1] * depth,
         [2] * depth,
@@ -94,16 +94,16 @@
     ]
     for length in range(1, depth + 1):
         for order in itertools.product(SENT, repeat=length):
-            for views, started in itertools.product(turning, (STARTED, CLONES, DELAYED)):
-                plays += 1
-                wrong += play(module, list(order), started, views[:length])
-    return plays, wrong
+            for views, started in itertools.product(view_sequences, (STARTED, CONCURRENT, OLDEST)):
+                deliveries += 1
+                findings += deliver(module, list(order), started, views[:length])
+    return deliveries, findings
 
 
-def test_no_order_loss_or_doubling_counts_anything_twice_or_takes_it_back() -> None:
-    plays, wrong = explored(member_counts, 4)
-    assert plays == 15 * (5 + 25 + 125 + 625)
-    assert wrong == []
+def test_no_reordering_loss_or_duplication_counts_twice_or_decreases() -> None:
+    deliveries, findings = explore_deliveries(member_counts, 4)
+    assert deliveries == 15 * (5 + 25 + 125 + 625)
+    assert findings == []
 
 
 @pytest.mark.parametrize(
@@ -120,25 +120,31 @@
     ],
 )  # fmt: skip
 def test_planted_bugs_are_found(changes: list[tuple[str, str]]) -> None:
-    assert explored(mutant("member_counts_planted", *changes), 3)[1]
-
-
-def test_a_clean_restart_counts_both_boots_whole() -> None:
-    kept = member_counts.MemberCounts(LONG, Counter())
-    for now, boot, up, taken, believed in [(500, 1, 500, 9, 1), (2400, 2, 400, 1, 1), (2900, 2, 900, 4, 2)]:
-        kept.apply_report(now * MS, "a", boot, Report(now, up, 0, 0, (0, 1, taken)), believed)
-    [(_, sums)] = kept.window_sums(2900 * MS)
+    assert explore_deliveries(mutant("member_counts_planted", *changes), 3)[1]
+
+
+def test_a_clean_restart_counts_both_boots_completely() -> None:
+    counts = member_counts.MemberCounts(LONG, Counter())
+    for now, boot, up, queries, live_boot in [
+        (500, 1, 500, 9, 1),
+        (2400, 2, 400, 1, 1),
+        (2900, 2, 900, 4, 2),
+    ]:
+        counts.apply_report(now * MS, "a", boot, Report(now, up, 0, 0, (0, 1, queries)), live_boot)
+    [(_, sums)] = counts.window_sums(2900 * MS)
     assert sums.values == {0: 13}
 
 
-def test_what_is_kept_is_bounded() -> None:
-    kept = member_counts.MemberCounts(LoadReportSettings(), Counter())
+def test_memory_is_bounded() -> None:
+    counts = member_counts.MemberCounts(LoadReportSettings(), Counter())
     for step in range(3000):
         now = step * 10 * MS
         uses = (TenantUse(f"tenant-{step}", step),)
-        kept.apply_report(now, f"b{step % 300}", step % 7, Report(step, step, 0, 0, (0, 1, step), uses), None)
-    assert len(kept) == member_counts.MAX_MEMBERS
-    for member in kept._members.values():
+        counts.apply_report(
+            now, f"b{step % 300}", step % 7, Report(step, step, 0, 0, (0, 1, step), uses), None
+        )
+    assert len(counts) == member_counts.MAX_MEMBERS
+    for member in counts._members.values():
         assert (
             len(member.competing) <= member_counts.MAX_COMPETING
             and len(member.previous_boots) <= member_counts.MAX_PREVIOUS_BOOTS
@@ -159,45 +165,47 @@
 
 
 @pytest.mark.parametrize("runs", [(0,), (0, 2, 1), (FIELD_COUNT, 1, 1), (5, 0), (FIELD_COUNT - 1, 2, 1, 1)])
-def test_runs_that_cannot_be_read_change_nothing(runs: tuple[int, ...]) -> None:
-    kept = member_counts.MemberCounts(LoadReportSettings(), Counter())
+def test_malformed_runs_change_nothing(runs: tuple[int, ...]) -> None:
+    counts = member_counts.MemberCounts(LoadReportSettings(), Counter())
     with pytest.raises(ValueError, match="runs"):
-        kept.apply_report(0, "a", 1, Report(1, 0, 0, 0, runs), None)
-    assert len(kept) == 0
+        counts.apply_report(0, "a", 1, Report(1, 0, 0, 0, runs), None)
+    assert len(counts) == 0
 
 
-# --- the tally and the wire ---
+# --- load counter and messages ---
 
 
-def test_a_hundred_thousand_names_and_the_heavy_ones_are_still_named() -> None:
-    tally, source = LoadCounter(0), random.Random(1)
+def test_heavy_tenants_are_named_among_a_hundred_thousand_names() -> None:
+    counter, rng = LoadCounter(0), random.Random(1)
     used: Counter[str] = Counter()
     before: dict[str, int] = {}
     for step in range(100_000):
-        name = f"loud-{step // 2 % 8}" if step % 2 else f"invented-{source.randrange(100_000)}"
-        tally.add_slot_time(name, 10 * MS)
+        name = f"loud-{step // 2 % 8}" if step % 2 else f"invented-{rng.randrange(100_000)}"
+        counter.add_slot_time(name, 10 * MS)
         used[name] += 10 * MS
         if step % 5000 == 4999:
-            counts = tally.snapshot(step * MS)
-            assert len(counts.tenants) <= MAX_NAMED_TENANTS and len(tally._tenants) <= MAX_TRACKED_TENANTS
+            counts = counter.snapshot(step * MS)
+            assert len(counts.tenants) <= MAX_NAMED_TENANTS and len(counter._tenants) <= MAX_TRACKED_TENANTS
             assert {f"loud-{place}" for place in range(8)} <= set(counts.tenants)
             for tenant, count in counts.tenants.items():
-                assert count.slot_time - count.base <= used[tenant]  # never more than it used
+                assert count.slot_time - count.base <= used[tenant]  # never more than was used
                 assert count.slot_time >= before.get(tenant, 0)  # and it only grows
                 before[tenant] = count.slot_time
     assert counts.slot_time == sum(used.values())
 
 
-def test_classes_and_replica_sets_beyond_the_bounds_are_counted_as_such() -> None:
-    tally = LoadCounter(0)
-    tally.count_arrival(99, 0.5)
-    tally.count_replica_set(5000, demand=1)
-    tally.add_slot_time("x" * 65, MS)
-    tally.count_outcome(0, Count.LATE)
-    counts = tally.snapshot(SECOND)
-    assert tally.uncounted == 2 and not counts.replica_sets and not counts.tenants and counts.slot_time == MS
+def test_classes_and_replica_sets_beyond_the_limits_are_counted_as_uncounted() -> None:
+    counter = LoadCounter(0)
+    counter.count_arrival(99, 0.5)
+    counter.count_replica_set(5000, demand=1)
+    counter.add_slot_time("x" * 65, MS)
+    counter.count_outcome(0, Count.LATE)
+    counts = counter.snapshot(SECOND)
+    assert (
+        counter.uncounted == 2 and not counts.replica_sets and not counts.tenants and counts.slot_time == MS
+    )
     with pytest.raises(ValueError, match="TAKEN"):
-        tally.count_outcome(0, Count.TAKEN)
+        counter.count_outcome(0, Count.TAKEN)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -205,41 +213,43 @@
     st.dictionaries(st.integers(0, FIELD_COUNT - 1), st.integers(1, (1 << 53) - 1), max_size=400),
     st.integers(0, 1 << 30),
 )
-def test_reports_fit_datagrams_and_everything_comes_round(values: dict[int, int], seed: int) -> None:
-    source, telling = random.Random(seed), ReportBuilder(2)
-    heard: dict[int, int] = {}
+def test_reports_fit_datagrams_and_every_field_is_sent(values: dict[int, int], seed: int) -> None:
+    rng, builder = random.Random(seed), ReportBuilder(2)
+    received: dict[int, int] = {}
     uses = [TenantUse("t" * 60 + str(place), 1 << 40, 9, 1 << 40) for place in range(MAX_NAMED_TENANTS)]
     named = set()
     for _ in range(41):
-        for number in source.sample(sorted(values), len(values) // 2):  # half of all change each time
+        for number in rng.sample(sorted(values), len(values) // 2):  # half of all change each time
             values[number] = min(values[number] + 1, (1 << 53) - 1)
-        reports = telling.build(values, uses, 1 << 40, 1000, 1 << 20)
+        reports = builder.build(values, uses, 1 << 40, 1000, 1 << 20)
         assert 1 <= len(reports) <= 2
         for report in reports:
             data = pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(report))
             assert len(data) <= PACKET
             assert unpack(data, "f" * 32, "t" * 32)[1] == report
-            heard.update(decode_runs(report.runs))
+            received.update(decode_runs(report.runs))
             named |= {use.name for use in report.tenants}
-    assert set(heard) == set(values) and len(named) == MAX_NAMED_TENANTS
+    assert set(received) == set(values) and len(named) == MAX_NAMED_TENANTS
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.dictionaries(st.integers(0, FIELD_COUNT - 1), st.integers(1, (1 << 53) - 1), max_size=900))
-def test_sums_are_cut_so_that_the_parts_name_all_and_fit(values: dict[int, int]) -> None:
-    cuts = split_sum(values, MAX_BODY_BYTES // 2)
-    assert [low for low, _, _ in cuts[1:]] == [high for _, high, _ in cuts[:-1]]
-    assert cuts[0][0] == 0 and cuts[-1][1] == FIELD_COUNT
-    assert dict(pair for _, _, runs in cuts for pair in decode_runs(runs)) == values
-    for low, high, runs in cuts:
+def test_sums_are_split_into_parts_that_fit_and_name_all_fields(values: dict[int, int]) -> None:
+    parts = split_sum(values, MAX_BODY_BYTES // 2)
+    assert [low for low, _, _ in parts[1:]] == [high for _, high, _ in parts[:-1]]
+    assert parts[0][0] == 0 and parts[-1][1] == FIELD_COUNT
+    assert dict(pair for _, _, runs in parts for pair in decode_runs(runs)) == values
+    for low, high, runs in parts:
         assert all(low <= number < high for number, _ in decode_runs(runs))
         uses = (
             fit_tenants((TenantUse("t" * 64, 1 << 40, 1 << 20) for _ in range(32)), MAX_BODY_BYTES // 2)
             if not low
             else None
         )
-        most = 1 << 20
-        body = SumMessage(True, 4, 1024, 1024, 1 << 40, most, most, most, most, low, high, runs, uses)
+        highest = 1 << 20
+        body = SumMessage(
+            True, 4, 1024, 1024, 1 << 40, highest, highest, highest, highest, low, high, runs, uses
+        )
         assert len(pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(body))) <= PACKET
 
 
@@ -257,13 +267,13 @@
         (b"\xc1L" + bytes([0x97, 1, 1, 0xA1]) + b"f\xa1a\xa2me\x01\x91\x63", "unknown kind"),
     ],
 )
-def test_messages_that_are_dropped(data: bytes, cause: str) -> None:
+def test_invalid_messages_are_dropped(data: bytes, cause: str) -> None:
     with pytest.raises(Rejected) as found:
         unpack(data, "f", "me")
     assert found.value.cause == cause
 
 
-def test_a_newer_program_s_longer_message_is_read() -> None:
+def test_a_longer_message_of_a_newer_version_is_decoded() -> None:
     values = flatten(LoadCounter(0).snapshot(SECOND))
     assert values == {} and encode_runs(
         {SLOT_TIME_FIELD: 7, FIRST_REPLICA_SET_FIELD: 1}, [SLOT_TIME_FIELD, FIRST_REPLICA_SET_FIELD]
--- a/tests/fleet/overload/test_core.py
+++ b/tests/fleet/overload/test_core.py
@@ -1,4 +1,4 @@
-"""The core of overload as one: the order, the lines, extras, turns and advice, case by case."""
+"""Units of overload control: priorities, thresholds, further sends, turns and retry advice."""
 
 import random
 from dataclasses import replace
@@ -50,20 +50,20 @@
 OVERLOADED = totals(at=SECOND, taken=6000, in_time=2000, refused=4000)
 
 
-def test_worth_comes_first_then_the_share_then_chance() -> None:
+def test_priority_orders_by_worth_then_share_then_hash() -> None:
     places = [ordering.priority(w, o, "t", "c", 0) for w in (0.0, 0.5, 1.0) for o in (9.0, 3.0, 1.5, 1.0)]
     assert places == sorted(places) and 0 <= places[0] and places[-1] < 1
     assert ordering.priority(0.5, 9.0, "t", "c", 0) < ordering.priority(0.5, 1.0, "a", "b", 0)
 
 
-def test_the_hash_is_even_the_same_everywhere_and_new_in_each_epoch() -> None:
+def test_the_hash_is_uniform_and_changes_with_the_epoch_only() -> None:
     drawn = [ordering.stable_fraction("t", f"c{n}", 0) for n in range(4000)]
     assert all(abs(sum(k / 8 <= d < (k + 1) / 8 for d in drawn) - 500) < 100 for k in range(8))
     assert ordering.stable_fraction("t", "c0", 0) == drawn[0] != ordering.stable_fraction("t", "c0", 1)
 
 
-def test_all_brokers_place_a_query_alike() -> None:
-    """A query that is shed at one broker is shed at every other: asking elsewhere gains nothing."""
+def test_all_brokers_give_a_query_the_same_priority() -> None:
+    """A query that is shed at one broker is shed at every other: asking another broker gains nothing."""
     cores = [OverloadControl(SETTINGS, seed, 0) for seed in range(20)]
     for core in cores:
         core.step(SECOND, replace(OVERLOADED, at=SECOND))
@@ -75,15 +75,15 @@
 
 def test_over_share_counts_weights_and_needs_two_tenants() -> None:
     used = {"a": TenantTotal(60.0, 0), "b": TenantTotal(20.0, 0)}
-    told = replace(totals(), tenants=used)
-    assert ordering.over_shares(told, {}, 9) == {"a": 1.5, "b": 0.5}
-    assert ordering.over_shares(told, {"a": 3.0}, 9) == {"a": 1.0, "b": 1.0}
-    assert ordering.over_shares(told, {}, 1) == {"a": 1.5}
+    reported = replace(totals(), tenants=used)
+    assert ordering.over_shares(reported, {}, 9) == {"a": 1.5, "b": 0.5}
+    assert ordering.over_shares(reported, {"a": 3.0}, 9) == {"a": 1.0, "b": 1.0}
+    assert ordering.over_shares(reported, {}, 1) == {"a": 1.5}
     assert ordering.over_shares(replace(totals(), tenants={"a": used["a"]}), {}, 9) == {}
 
 
 @pytest.mark.parametrize("share", [0.0, 0.013, 0.2, 0.5, 0.999, 1.0])
-def test_a_line_lets_in_the_share_that_it_is_for(share: float) -> None:
+def test_a_threshold_admits_its_share(share: float) -> None:
     uneven = [float(n % 7) for n in range(PRIORITY_BANDS)]
     assert share_above(threshold_for(share, uneven), uneven) == pytest.approx(share, abs=1e-9)
 
@@ -101,20 +101,20 @@
         (1, 6, 1.0),
     ],
 )
-def test_knowledge_fades_without_a_step(age: int, heard: int, expected: float) -> None:
+def test_confidence_fades_without_a_step(age: int, heard: int, expected: float) -> None:
     assert confidence(age * SECOND, totals(0, heard), SETTINGS) == pytest.approx(expected)
 
 
-def test_the_line_in_force_fades_to_the_brokers_own() -> None:
+def test_the_effective_threshold_fades_to_the_brokers_own() -> None:
     core = OverloadControl(SETTINGS, 1, 0)
     core.step(SECOND, replace(OVERLOADED, at=SECOND))
-    lines = [core.threshold(at * SECOND // 10) for at in range(10, 130)]
-    assert lines[0] > 0.5 and lines[-1] == core._local_threshold.value
-    assert max(abs(one - other) for one, other in zip(lines, lines[1:], strict=False)) < 0.02
+    effective = [core.threshold(at * SECOND // 10) for at in range(10, 130)]
+    assert effective[0] > 0.5 and effective[-1] == core._local_threshold.value
+    assert max(abs(one - other) for one, other in zip(effective, effective[1:], strict=False)) < 0.02
 
 
-def test_coverage_that_is_not_heard_moves_no_line() -> None:
-    """Four of ten heard: their sums say nothing of the fleet, whatever they say."""
+def test_totals_with_low_coverage_change_no_threshold() -> None:
+    """Four of ten report: their sums say nothing of the fleet, whatever their values."""
     core = OverloadControl(SETTINGS, 1, 0)
     for step in range(1, 20):
         at = step * SECOND // 2
@@ -123,43 +123,47 @@
     assert core.on_arrival(10 * SECOND, query(0.0)) is None
 
 
-def test_late_news_counted_again_take_nothing_away_again() -> None:
-    line = FleetThreshold(SETTINGS)
-    line.update(OVERLOADED)
-    first = line.value
+def test_totals_that_are_counted_twice_reduce_nothing_twice() -> None:
+    threshold = FleetThreshold(SETTINGS)
+    threshold.update(OVERLOADED)
+    first = threshold.value
     for _ in range(10):
-        line.update(OVERLOADED)
-    assert line.value == pytest.approx(first) and 0.6 < first < 0.72
+        threshold.update(OVERLOADED)
+    assert threshold.value == pytest.approx(first) and 0.6 < first < 0.72
 
 
-def test_a_line_comes_down_after_the_overload_and_ends_at_nothing() -> None:
-    line, moves = FleetThreshold(SETTINGS), 0
-    line.update(OVERLOADED)
-    while line.value and moves < 40:
-        moves += 1
-        share = share_above(line.value, OVERLOADED.arrivals)
+def test_a_threshold_returns_to_zero_after_the_overload() -> None:
+    threshold, updates = FleetThreshold(SETTINGS), 0
+    threshold.update(OVERLOADED)
+    while threshold.value and updates < 40:
+        updates += 1
+        share = share_above(threshold.value, OVERLOADED.arrivals)
         now = totals(
-            at=moves * SECOND, threshold=line.value, taken=2000, shed=2000 * (1 - share), in_time=2000 * share
+            at=updates * SECOND,
+            threshold=threshold.value,
+            taken=2000,
+            shed=2000 * (1 - share),
+            in_time=2000 * share,
         )
-        line.update(now)
-    assert line.value == 0 and 2 <= moves <= 20
+        threshold.update(now)
+    assert threshold.value == 0 and 2 <= updates <= 20
 
 
-def test_a_line_is_not_stuck_where_little_comes() -> None:
+def test_a_threshold_is_not_stuck_with_few_arrivals() -> None:
     core, at = OverloadControl(SETTINGS, 1, 0), 0
     for step in range(1, 60):
         at = step * SECOND
-        line = core.threshold(at) if step > 1 else 0.9
-        core.step(at, totals(at=at, threshold=line, taken=10, shed=9, in_time=1))
+        threshold = core.threshold(at) if step > 1 else 0.9
+        core.step(at, totals(at=at, threshold=threshold, taken=10, shed=9, in_time=1))
     assert core.threshold(at) == 0
 
 
-def test_a_full_set_is_no_reason_to_shed_elsewhere() -> None:
+def test_a_full_replica_set_sheds_only_its_own_queries() -> None:
     cells = {n: ReplicaSetTotal(1000.0, 600.0 if n == 0 else 0.0) for n in range(8)}
-    told = replace(totals(at=SECOND, taken=8000, in_time=7400, refused=600), replica_sets=cells)
-    assert uniformity(told) == 0 and uniformity(OVERLOADED) == 1
+    reported = replace(totals(at=SECOND, taken=8000, in_time=7400, refused=600), replica_sets=cells)
+    assert uniformity(reported) == 0 and uniformity(OVERLOADED) == 1
     core = OverloadControl(SETTINGS, 1, 0)
-    out = core.step(SECOND, told)
+    out = core.step(SECOND, reported)
     assert out.threshold == 0 and list(out.replica_set_thresholds) == [0]
     shed = core.on_arrival(SECOND, query(0.0, cells=(3, 0)))
     assert shed is not None and shed.reason is ShedReason.CELL
@@ -167,17 +171,17 @@
     assert core.on_arrival(SECOND, query(1.0, cells=(3, 0))) is None
 
 
-def test_lines_of_sets_are_bounded_and_go_when_the_set_goes() -> None:
-    lines = ReplicaSetThresholds(replace(SETTINGS, max_replica_sets=3))
+def test_replica_set_thresholds_are_bounded_and_dropped_with_the_set() -> None:
+    thresholds = ReplicaSetThresholds(replace(SETTINGS, max_replica_sets=3))
     full = {n: ReplicaSetTotal(100.0, 50.0 if n < 9 else 0.0) for n in range(20)}
-    lines.update(SECOND, replace(totals(at=SECOND), replica_sets=full))
-    assert len(lines.values) == 3
+    thresholds.update(SECOND, replace(totals(at=SECOND), replica_sets=full))
+    assert len(thresholds.values) == 3
     for step in range(2, 40):
-        lines.update(step * SECOND, totals(at=step * SECOND))
-    assert not lines.values
+        thresholds.update(step * SECOND, totals(at=step * SECOND))
+    assert not thresholds.values
 
 
-def test_extras_are_the_budget_however_load_lies() -> None:
+def test_further_sends_add_up_to_the_budget_for_any_load_distribution() -> None:
     for loads in ([100.0] * 10, [1000.0] + [0.0] * 9, [500.0, 300.0, 200.0] + [0.0] * 7):
         known = replace(totals(), sends=tuple(sum(loads) if s is SendKind.FIRST else 0.0 for s in SendKind))
         sent = 0.0
@@ -189,7 +193,7 @@
         assert 0.85 * budget <= sent <= budget
 
 
-def test_no_belief_raises_a_broker_above_what_it_may_do_alone() -> None:
+def test_no_totals_raise_a_broker_above_its_own_limits() -> None:
     draw = random.Random(1)
     for _ in range(300):
         first = draw.random() * 100
@@ -203,7 +207,7 @@
 
 
 @pytest.mark.parametrize("brokers", [20, 200])
-def test_turns_of_all_brokers_at_one_holder_keep_to_the_rate(brokers: int) -> None:
+def test_turns_of_all_brokers_for_one_node_keep_to_the_rate(brokers: int) -> None:
     settings = replace(SETTINGS, brokers=brokers, trial_rate=4.0)
     rate = trial_turns.trial_rate(trial_turns.broker_count(None, 0.0, settings), settings)
     counts = [0] * 100
@@ -216,16 +220,16 @@
     assert max(counts) <= 14
 
 
-def test_who_hears_few_does_not_take_all_turns() -> None:
+def test_a_broker_that_hears_few_does_not_take_all_turns() -> None:
     assert trial_turns.broker_count(totals(reporting=1, live=1), 1.0, replace(SETTINGS, brokers=200)) == 100
 
 
-def test_advice_spreads_what_was_refused_over_what_can_be_taken() -> None:
+def test_retry_advice_spreads_refused_queries_over_the_spare_capacity() -> None:
     calm, busy = totals(taken=2000, in_time=2000), totals(taken=4000, in_time=2000, shed=2000)
     local = LocalStats(2 * SECOND, (0.0,) * PRIORITY_BANDS)
     spreads = [
-        retry_advice.retry_window(local, told, 1.0, SETTINGS)
-        for told in (calm, totals(taken=2100, in_time=2000, shed=100), busy)
+        retry_advice.retry_window(local, reported, 1.0, SETTINGS)
+        for reported in (calm, totals(taken=2100, in_time=2000, shed=100), busy)
     ]
     assert spreads[0] == SETTINGS.min_retry_after and spreads == sorted(spreads) and spreads[2] > SECOND
     draw = random.Random(1)
@@ -237,22 +241,22 @@
     assert min(steps) > 400
 
 
-def test_marked_retries_are_bounded_against_first_tries() -> None:
+def test_marked_retries_are_limited_by_first_tries() -> None:
     retries = retry_advice.RetryQuota(replace(SETTINGS, max_tenants=2))
-    firsts = sum(retries.admit("a", False) for _ in range(100))
+    admitted_firsts = sum(retries.admit("a", False) for _ in range(100))
     taken = sum(retries.admit("a", True) for _ in range(200))
-    assert firsts == 100 and taken == 5  # what may be saved up
-    took = 0
+    assert admitted_firsts == 100 and taken == 5  # retries that may be saved up
+    admitted = 0
     for _ in range(100):
         retries.admit("a", False)
-        took += retries.admit("a", True) + retries.admit("a", True)
-    assert took == 50
+        admitted += retries.admit("a", True) + retries.admit("a", True)
+    assert admitted == 50
     for number in range(1000):
         retries.admit(f"invented{number}", False)
     assert len(retries._saved) <= 3
 
 
-def test_older_totals_are_left_out() -> None:
+def test_older_totals_are_ignored() -> None:
     core = OverloadControl(SETTINGS, 1, 0)
     core.step(5 * SECOND, totals(at=5 * SECOND, taken=2000, in_time=2000))
     assert core.step(6 * SECOND, replace(OVERLOADED, at=4 * SECOND)).threshold == 0
--- a/tests/fleet/overload/test_world.py
+++ b/tests/fleet/overload/test_world.py
@@ -1,4 +1,4 @@
-"""The hard cases in small worlds, in virtual time: 20 brokers, 20 holders, the same verdict each time."""
+"""Failure cases of overload control in small simulations in virtual time: 20 brokers, 20 nodes."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
     return replace(plan, length=28 * SECOND)
 
 
-def kept(plan: Plan, record: Record, start: int = SETTLED) -> float:
+def goodput_of(plan: Plan, record: Record, start: int = SETTLED) -> float:
     return figures.goodput(plan, record, start, plan.length)
 
 
@@ -29,22 +29,24 @@
 def test_goodput_under_load(times: float) -> None:
     plan = short(scenes.step(SMALL, times))
     record = play(plan)
-    assert kept(plan, record) > 0.9
+    assert goodput_of(plan, record) > 0.9
     assert figures.out_of_order(record, SETTLED, plan.length) < 0.05
 
 
-def test_nothing_is_shed_at_90_percent() -> None:
+def test_nothing_is_shed_at_90_percent_load() -> None:
     plan = short(scenes.calm(SMALL))
     record = play(plan)
     assert sum(record.shed) <= 0.001 * sum(record.tries)
 
 
-def test_one_full_set_costs_the_others_nothing() -> None:
+def test_one_full_replica_set_does_not_affect_the_others() -> None:
     plan = short(scenes.one_set(replace(SMALL, holders=40)))
     record = play(plan)
     cells = record.shed_cells
     assert cells[0] > 1000
-    alone = {cell: count for cell, count in cells.items() if cell > 0}  # shed for another set, or with set 0
+    alone = {
+        cell: count for cell, count in cells.items() if cell > 0
+    }  # shed for another set, or together with set 0
     tries = {cell: record.let_cells[cell] for cell in range(1, 8)}
     assert all(alone.get(cell, 0) < 0.3 * tries[cell] for cell in tries)
     assert cells.get(-1, 0) < 0.02 * sum(record.tries)
@@ -57,22 +59,22 @@
 
 
 @pytest.mark.parametrize("scene", [scenes.few_brokers, scenes.halves, scenes.ignored])
-def test_goodput_through_trouble(scene: object) -> None:
+def test_goodput_during_failures(scene: object) -> None:
     plan = short(scene(SMALL))  # type: ignore[operator]
-    assert kept(plan, play(plan), scenes.LOST_AT + 5 * SECOND) > 0.9
+    assert goodput_of(plan, play(plan), scenes.LOST_AT + 5 * SECOND) > 0.9
 
 
-def test_late_news_make_no_swings() -> None:
+def test_late_totals_cause_no_oscillation() -> None:
     plan = short(scenes.late_news(SMALL))
     record = play(plan)
-    assert kept(plan, record) > 0.9
+    assert goodput_of(plan, record) > 0.9
 
 
-def test_the_fleet_comes_back_after_a_third_of_the_holders_was_lost() -> None:
+def test_the_fleet_recovers_after_the_loss_of_a_third_of_the_nodes() -> None:
     plan = replace(scenes.trigger(scenes.base(20, 40)), length=50 * SECOND)
     record = play(plan)
-    back = scenes.LOST_AT + scenes.LOST_FOR
-    assert figures.usual_again(record, back, plan.length) <= 20
+    recovered_at = scenes.LOST_AT + scenes.LOST_FOR
+    assert figures.usual_again(record, recovered_at, plan.length) <= 20
 
 
 def test_further_sends_keep_to_the_fleets_budget() -> None:
@@ -82,19 +84,19 @@
     assert sum(record.further) <= scenes.BUDGET_RATIO * sum(record.first) + scenes.BUDGET_FREE * 28
 
 
-def test_a_hash_drawn_by_broker_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    from tests.fleet.overload.test_core import test_all_brokers_place_a_query_alike as check
+def test_a_planted_hash_per_broker_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    from tests.fleet.overload.test_core import test_all_brokers_give_a_query_the_same_priority as check
 
-    def own(self: OverloadControl, now: int, arrival: Arrival) -> float:
+    def per_broker_priority(self: OverloadControl, now: int, arrival: Arrival) -> float:
         return ordering.priority(arrival.worth, 0.0, arrival.tenant, arrival.client, id(self))
 
-    monkeypatch.setattr(OverloadControl, "priority", own)
+    monkeypatch.setattr(OverloadControl, "priority", per_broker_priority)
     with pytest.raises(AssertionError):
         check()
 
 
-def test_a_line_moved_by_unheard_coverage_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    from tests.fleet.overload.test_core import test_coverage_that_is_not_heard_moves_no_line as check
+def test_a_planted_use_of_low_coverage_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    from tests.fleet.overload.test_core import test_totals_with_low_coverage_change_no_threshold as check
 
     monkeypatch.setattr(core, "confidence", lambda now, totals, settings: 1.0 if totals else 0.0)
     with pytest.raises(AssertionError):
--- a/tests/fleet/test_load_control.py
+++ b/tests/fleet/test_load_control.py
@@ -1,4 +1,4 @@
-"""Brokers that tell each other of their load, over sockets of loopback in virtual time."""
+"""Brokers that exchange load reports, over loopback sockets in virtual time."""
 
 import socket
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 from quincepath.standins.data import BEGIN_MS
 from tests.world import World, values
 
-WAITS = 120.0  # seconds of virtual time that something may take at most
+TIMEOUT_S = 120.0  # seconds of virtual time
 
 
 def ports(count: int) -> list[int]:
@@ -25,7 +25,7 @@
 
 
 class Fleet:
-    """Brokers of one fleet around the holders of a world; ``b0`` first. All on one virtual loop."""
+    """Brokers of one fleet in front of the nodes of a world; ``b0`` first. All on one virtual loop."""
 
     def __init__(
         self, folder: Path, count: int = 3, fleet: dict[str, Any] | None = None, **more: Any
@@ -44,30 +44,31 @@
             config["broker"] = {"seed": 5 + number, "number": number, "brokers": count}
             self.brokers.append(Broker(Config.model_validate(config), self.loop, folder))
             self.clients.append(Client(self.loop, self.brokers[-1].url))
-        self.ends: list[Seen] = []
-        self.asked = 0
+        self.results: list[Seen] = []
+        self.sent_queries = 0
 
     def metric(self, number: int, name: str, **labels: str) -> float:
         found = self.brokers[number].metrics.registry.get_sample_value(name, labels)
         return 0.0 if found is None else found
 
-    def until(self, true: Any) -> None:
-        assert self.loop.run_until(true, WAITS), "it did not come about in time"
+    def wait_until(self, true: Any) -> None:
+        assert self.loop.run_until(true, TIMEOUT_S), "it did not come about in time"
 
-    def all_known(self) -> bool:
+    def full_coverage(self) -> bool:
         return all(
-            self.metric(n, "quincepath_ledger_coverage") == 1.0 and len(self.living(n)) == len(self.brokers)
+            self.metric(n, "quincepath_ledger_coverage") == 1.0
+            and len(self.live_boots(n)) == len(self.brokers)
             for n in range(len(self.brokers))
         )
 
-    def living(self, number: int) -> dict[str, int]:
+    def live_boots(self, number: int) -> dict[str, int]:
         fleet = self.brokers[number].fleet
         assert fleet is not None and fleet.shared is not None
         return fleet.shared._live_boots
 
     def ask(self, number: int, kind: str = "hours-report") -> None:
-        self.asked += 1
-        self.clients[number].ask(f"q{self.asked}", self.world.plan(kind), self.ends.append)
+        self.sent_queries += 1
+        self.clients[number].ask(f"q{self.sent_queries}", self.world.plan(kind), self.results.append)
 
     def close(self) -> None:
         for client in self.clients:
@@ -84,101 +85,110 @@
     found.close()
 
 
-def test_all_know_what_one_took_and_what_became_of_it(fleet: Fleet) -> None:
-    fleet.until(fleet.all_known)
+def test_all_brokers_know_the_queries_and_outcomes_of_each(fleet: Fleet) -> None:
+    fleet.wait_until(fleet.full_coverage)
     for turn in range(40):
         fleet.ask(0 if turn % 4 else 1)
         fleet.loop.run_until(lambda: False, 0.05)
-    fleet.until(lambda: len(fleet.ends) == 40)
-    assert all(end.status == 200 for end in fleet.ends)
+    fleet.wait_until(lambda: len(fleet.results) == 40)
+    assert all(result.status == 200 for result in fleet.results)
     rate = 40 / 5  # all within the window of 5 s
-    fleet.until(
+    fleet.wait_until(
         lambda: all(
             fleet.metric(n, "quincepath_ledger_queries", how=how) == pytest.approx(rate, rel=0.25)
             for n in range(3)
             for how in ("taken", "in_time")
         )
     )
-    fleet.until(lambda: all(fleet.metric(n, "quincepath_ledger_queries", how="taken") == 0 for n in range(3)))
+    fleet.wait_until(
+        lambda: all(fleet.metric(n, "quincepath_ledger_queries", how="taken") == 0 for n in range(3))
+    )
 
 
-def test_a_broker_that_ends_leaves_the_sums_and_the_others_go_on(fleet: Fleet) -> None:
-    fleet.until(fleet.all_known)
+def test_a_stopped_broker_leaves_the_sums_and_the_others_continue(fleet: Fleet) -> None:
+    fleet.wait_until(fleet.full_coverage)
     fleet.brokers[2].close()
-    fleet.until(lambda: all(len(fleet.living(n)) == 2 for n in range(2)))
-    fleet.until(lambda: all(fleet.metric(n, "quincepath_ledger_coverage") == 1.0 for n in range(2)))
+    fleet.wait_until(lambda: all(len(fleet.live_boots(n)) == 2 for n in range(2)))
+    fleet.wait_until(lambda: all(fleet.metric(n, "quincepath_ledger_coverage") == 1.0 for n in range(2)))
 
 
-def test_the_module_is_told_what_it_may_spend_and_before_that_nothing(fleet: Fleet) -> None:
-    fleet.until(lambda: fleet.metric(0, "quincepath_overload_spending", what="trials") > 0)
+def test_the_decision_module_gets_its_allowance(fleet: Fleet) -> None:
+    fleet.wait_until(lambda: fleet.metric(0, "quincepath_overload_spending", what="trials") > 0)
     module: Any = fleet.brokers[0].driver.module
-    fleet.until(lambda: module.fleet_allowance.allowance.until > fleet.loop.now)
+    fleet.wait_until(lambda: module.fleet_allowance.allowance.until > fleet.loop.now)
     assert module.fleet_allowance.allowance.extras > 0
 
 
-def test_a_query_that_is_shed_reaches_no_holder_and_is_told_when_to_come_back(fleet: Fleet) -> None:
-    fleet.until(fleet.all_known)
-    shared = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
-    assert shared is not None and shared.control.overload is not None
-    shared.control.overload._fleet_threshold.value = shared.control.overload._local_threshold.value = (
-        1.0  # all is below the line
+def test_a_shed_query_reaches_no_node_and_gets_retry_advice(fleet: Fleet) -> None:
+    fleet.wait_until(fleet.full_coverage)
+    service = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
+    assert service is not None and service.control.overload is not None
+    service.control.overload._fleet_threshold.value = service.control.overload._local_threshold.value = (
+        1.0  # everything is below the threshold
     )
     fleet.ask(0)
-    fleet.until(lambda: len(fleet.ends) == 1)
-    end = fleet.ends[0]
-    assert end.status == 503 and end.response is not None
-    assert float(end.response.headers["retry-after"]) > 0 and b"the fleet is overloaded" in end.response.body
+    fleet.wait_until(lambda: len(fleet.results) == 1)
+    result = fleet.results[0]
+    assert result.status == 503 and result.response is not None
+    assert (
+        float(result.response.headers["retry-after"]) > 0
+        and b"the fleet is overloaded" in result.response.body
+    )
     assert sum(fleet.metric(0, "quincepath_overload_shed_total", why=w) for w in ("fleet", "share")) == 1
     assert sum(leaf.requests for leaf in fleet.world.leaves.values()) == 0
-    shared.control.overload._fleet_threshold.value = shared.control.overload._local_threshold.value = 0.0
+    service.control.overload._fleet_threshold.value = service.control.overload._local_threshold.value = 0.0
     fleet.ask(0)
-    fleet.until(lambda: len(fleet.ends) == 2)
-    assert fleet.ends[1].status == 200
-    assert sum(leaf.requests for leaf in fleet.world.leaves.values()) >= 3  # what the count above would see
+    fleet.wait_until(lambda: len(fleet.results) == 2)
+    assert fleet.results[1].status == 200
+    assert (
+        sum(leaf.requests for leaf in fleet.world.leaves.values()) >= 3
+    )  # the count above would have included it
 
 
-def test_queries_of_one_address_are_spread_over_the_order_and_one_stays_where_it_is(fleet: Fleet) -> None:
-    fleet.until(fleet.all_known)
-    shared = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
-    assert shared is not None and shared.control.overload is not None
+def test_queries_of_one_address_get_distinct_but_stable_priorities(fleet: Fleet) -> None:
+    fleet.wait_until(fleet.full_coverage)
+    service = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
+    assert service is not None and service.control.overload is not None
     places: list[float] = []
-    arrive = shared.control.on_arrival
+    arrive = service.control.on_arrival
 
-    def noted(now: int, arrival: Any) -> Any:
-        places.append(shared.control.overload.priority(now, arrival))  # type: ignore[union-attr]
+    def recorded(now: int, arrival: Any) -> Any:
+        places.append(service.control.overload.priority(now, arrival))  # type: ignore[union-attr]
         return arrive(now, arrival)
 
-    shared.control.on_arrival = noted  # type: ignore[method-assign]
+    service.control.on_arrival = recorded  # type: ignore[method-assign]
     plans = [fleet.world.plan("hours-report", end=BEGIN_MS + 600_000 + n) for n in range(40)]
     for number, plan in enumerate([*plans, *plans]):
-        fleet.clients[0].ask(f"p{number}", plan, fleet.ends.append)
-    fleet.until(lambda: len(fleet.ends) == 80)
+        fleet.clients[0].ask(f"p{number}", plan, fleet.results.append)
+    fleet.wait_until(lambda: len(fleet.results) == 80)
     assert places[:40] == places[40:] and len(set(places)) == 40
-    assert max(places) - min(places) > 0.02  # of 1/32 that queries of one worth and share have
+    assert max(places) - min(places) > 0.02  # of 1/32 that queries of one worth and over-share have
 
 
 @pytest.mark.parametrize("fleet_section", [{"ledger": None, "overload": None}, {"overload": None}])
-def test_without_its_sections_nothing_is_shed_or_told(tmp_path: Path, fleet_section: dict[str, Any]) -> None:
+def test_without_the_sections_nothing_is_shed_or_reported(
+    tmp_path: Path, fleet_section: dict[str, Any]
+) -> None:
     found = Fleet(tmp_path, 2, fleet_section)
-    found.until(lambda: all(b.fleet is not None and not b.fleet.view.unsettled() for b in found.brokers))
+    found.wait_until(lambda: all(b.fleet is not None and not b.fleet.view.unsettled() for b in found.brokers))
     found.ask(0)
-    found.until(lambda: len(found.ends) == 1)
+    found.wait_until(lambda: len(found.results) == 1)
     module: Any = found.brokers[0].driver.module
-    assert found.ends[0].status == 200 and module.fleet_allowance.allowance.until == 0
+    assert found.results[0].status == 200 and module.fleet_allowance.allowance.until == 0
     fleet = found.brokers[0].fleet
     assert fleet is not None and (fleet.shared is None) == ("ledger" in fleet_section)
     found.close()
 
 
-def test_what_admission_turns_away_is_counted_once(tmp_path: Path) -> None:
+def test_queries_turned_away_by_admission_are_counted_once(tmp_path: Path) -> None:
     found = Fleet(tmp_path, 2, limits={"max_asks": 1})
-    found.until(found.all_known)
+    found.wait_until(found.full_coverage)
     for _ in range(3):
         found.ask(0)
-    found.until(lambda: len(found.ends) == 3)
-    shared = found.brokers[0].fleet.shared  # type: ignore[union-attr]
-    assert shared is not None
-    row = shared.control.counter.snapshot(found.loop.now).by_class[0]
-    kinds = [sum(r) for r in zip(*shared.control.counter.snapshot(found.loop.now).by_class, strict=True)]
+    found.wait_until(lambda: len(found.results) == 3)
+    service = found.brokers[0].fleet.shared  # type: ignore[union-attr]
+    assert service is not None
+    row = service.control.counter.snapshot(found.loop.now).by_class[0]
+    kinds = [sum(r) for r in zip(*service.control.counter.snapshot(found.loop.now).by_class, strict=True)]
     assert kinds[0] == 3 == sum(kinds[1:]), row
     found.close()
--- a/tests/test_fleet_drains.py
+++ b/tests/test_fleet_drains.py
@@ -1,4 +1,4 @@
-"""Drains agreed across real broker processes: within limits, told when done, in force whoever leads."""
+"""Drains agreed between real broker processes: within limits, reported when done, whoever leads."""
 
 import json
 import signal
@@ -22,11 +22,13 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-AFTER = 1500 * MS  # a commit is known everywhere within 500 ms; then the grace of 500 ms, and transit
+SETTLE_NS = (
+    1500 * MS
+)  # a commit is known everywhere within 500 ms; then the drain grace of 500 ms, and transit
 
 
-class Agreeing:
-    """Brokers that keep the log, holders with records, and a load on the first broker."""
+class BrokerCluster:
+    """Brokers with a replicated log, nodes with records, and load generators."""
 
     def __init__(self, folder: Path, brokers: int, keepers: int) -> None:
         self.folder = folder
@@ -53,18 +55,18 @@
             self.start(name)
         try:
             for name in names:
-                self.up(name)
+                self.wait_started(name)
         except BaseException:
-            self.stop()  # no child is left where one does not come up
+            self.stop()  # no child process is left where one does not start
             raise
 
     def start(self, name: str) -> None:
         self.children[name].start(["serve", "-c", str(self.folder / f"{name}.yaml")])
 
-    def up(self, name: str) -> None:
-        said = self.children[name].said()
-        self.metrics[name] = said["metrics"].removesuffix("/metrics")
-        self.urls[name] = said["remote_read"]
+    def wait_started(self, name: str) -> None:
+        text = self.children[name].said()
+        self.metrics[name] = text["metrics"].removesuffix("/metrics")
+        self.urls[name] = text["remote_read"]
 
     def load(self, name: str, seconds: int) -> Child:
         child = Child("load", self.folder / "load.log")
@@ -74,8 +76,8 @@
         )  # fmt: skip
         return child
 
-    def got(self, holder: str) -> list[int]:
-        """When parts came in at a holder."""
+    def arrivals(self, holder: str) -> list[int]:
+        """Arrival times of parts at a node."""
         path = self.folder / f"holder-{holder}.jsonl"
         return [line.at for _, line in read(path) if isinstance(line, Got)]
 
@@ -90,14 +92,14 @@
 
 
 @pytest.fixture
-def agreeing(tmp_path: Path) -> Iterator[Agreeing]:
-    world = Agreeing(tmp_path, 4, 3)
+def cluster(tmp_path: Path) -> Iterator[BrokerCluster]:
+    world = BrokerCluster(tmp_path, 4, 3)
     yield world
     world.stop()
 
 
-def settled_ask(*words: str) -> tuple[int, str]:
-    """Ask until the leader's view is settled: a broker that ran late for a moment is no finding."""
+def ask_until_settled(*words: str) -> tuple[int, str]:
+    """Repeat until the leader's view is settled: a broker that was late for a moment is no failure."""
     found: list[tuple[int, str]] = []
 
     def answered() -> bool:
@@ -108,27 +110,27 @@
     return found[-1]
 
 
-def test_a_drain_is_agreed_kept_by_all_and_ended_whoever_leads(agreeing: Agreeing) -> None:
-    world = agreeing
-    at = world.metrics["m3"]  # no keeper: it passes commands on
+def test_a_drain_is_agreed_and_survives_a_change_of_leader(cluster: BrokerCluster) -> None:
+    world = cluster
+    at = world.metrics["m3"]  # no voter: it forwards commands
     until(lambda: ask("view", "--at", at)[0] == 0 and bool(world.status("m0")["leader"]))
     loads = [world.load(name, 40) for name in ("m0", "m3")]
-    until(lambda: len(world.got("a0")) > 20)
-    code, said = settled_ask("drain", "a0", "--at", at, "--by", "ann", "--key", "first")
-    assert (code, said) == (0, "drain a0: agreed\n")
+    until(lambda: len(world.arrivals("a0")) > 20)
+    code, text = ask_until_settled("drain", "a0", "--at", at, "--by", "ann", "--key", "first")
+    assert (code, text) == (0, "drain a0: agreed\n")
     agreed = time.monotonic_ns()
     assert (
         ask("drain", "a0", "--at", at, "--by", "ann", "--key", "first")[0] == 0
     )  # a repeat does nothing twice
-    code, said = settled_ask("drain", "a1", "--at", world.metrics["m1"])
+    code, text = ask_until_settled("drain", "a1", "--at", world.metrics["m1"])
     assert (
-        code == 1 and "holders of replica set 'a': at most 1 out, would be 2; out now: a0 (permitted)" in said
+        code == 1 and "holders of replica set 'a': at most 1 out, would be 2; out now: a0 (permitted)" in text
     )
     until(lambda: ask("status", "--at", world.metrics["m0"])[0] == 0)
     assert "a0: drained" in ask("status", "--at", world.metrics["m0"])[1]
-    # Enough goes by for somebody who has not heard to be seen, however long it takes.
-    until(lambda: sum(one > agreed + AFTER for one in world.got("a1")) > 60)
-    assert [one for one in world.got("a0") if one > agreed + AFTER] == []
+    # Enough parts that a broker which missed the drain would be seen, however long it takes.
+    until(lambda: sum(one > agreed + SETTLE_NS for one in world.arrivals("a1")) > 60)
+    assert [one for one in world.arrivals("a0") if one > agreed + SETTLE_NS] == []
 
     leader = world.status("m0")["leader"]
     world.children[leader].kill()
@@ -138,36 +140,36 @@
     assert [one["name"] for one in world.status(other)["drains"]] == ["a0"]  # in force, whoever leads
     until(lambda: phases(world.metrics[other]).get(leader) == "dead")
     another = next(name for name in ("m0", "m1", "m2") if name not in (leader, other))
-    code, said = settled_ask("drain", another, "--at", world.metrics[other])
-    assert code == 1 and "at most 1 out, would be 2" in said and leader in said, said  # it is out already
-    code, said = ask("undrain", "a0", "--at", at)
-    assert (code, said) == (0, "undrain a0: agreed\n")
-    until(lambda: any(one > killed for one in world.got("a0")))
-    first = next(one for one in world.got("a0") if one > killed)
-    assert [one for one in world.got("a0") if agreed + AFTER < one < first] == []
+    code, text = ask_until_settled("drain", another, "--at", world.metrics[other])
+    assert code == 1 and "at most 1 out, would be 2" in text and leader in text, text  # it is out already
+    code, text = ask("undrain", "a0", "--at", at)
+    assert (code, text) == (0, "undrain a0: agreed\n")
+    until(lambda: any(one > killed for one in world.arrivals("a0")))
+    first = next(one for one in world.arrivals("a0") if one > killed)
+    assert [one for one in world.arrivals("a0") if agreed + SETTLE_NS < one < first] == []
 
     world.start(leader)
-    world.up(leader)
+    world.wait_started(leader)
     until(lambda: world.status(leader)["applied"] == world.status(other)["applied"])
     assert world.status(leader)["permits"] == [] and world.status(leader)["store"] == "sound"
     for load in loads:
         load.stop()
 
 
-def test_without_a_majority_nothing_is_agreed_and_it_is_said_in_time(agreeing: Agreeing) -> None:
-    world = agreeing
+def test_without_a_majority_a_drain_fails_in_time(cluster: BrokerCluster) -> None:
+    world = cluster
     until(lambda: ask("view", "--at", world.metrics["m0"])[0] == 0 and bool(world.status("m0")["leader"]))
     leader = world.status("m0")["leader"]
     for name in ("m0", "m1", "m2"):
         if name != leader:
             world.children[name].signal(signal.SIGSTOP)
-    code, said = ask("drain", "a0", "--at", world.metrics[leader])
-    assert code == 1 and ("not known to be done" in said or "not settled" in said)
+    code, text = ask("drain", "a0", "--at", world.metrics[leader])
+    assert code == 1 and ("not known to be done" in text or "not settled" in text)
     for name in ("m0", "m1", "m2"):
         world.children[name].signal(signal.SIGCONT)
 
 
-# --- how far a drain is ---
+# --- progress of a drain ---
 
 
 def test_a_drain_waits_for_every_broker_that_may_still_send() -> None:
@@ -181,12 +183,12 @@
     assert progress.waits_for(permit, ["m0"], set(), SECOND + REPORT_LIFETIME_NS + 1) == {
         "m0": "reports no more, and may still send"
     }
-    progress.apply_report("m2", SECOND, 3, {})  # an older one, by another connection
+    progress.apply_report("m2", SECOND, 3, {})  # an older one, from another connection
     assert progress.reports["m2"][1] == 6
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("more", "text"),
     [
         ("  keepers: [b0, b1]\n  store: s\n", "expected 3, 5 or 7 different ones"),
         ("  keepers: [b0, b1, b7]\n  store: s\n", "'b7' is neither this member nor one of the peers"),
@@ -195,14 +197,17 @@
         ("  limits: {holders: {total: {number: -1}}}\n", "fleet.limits.holders.total.number is -1"),
     ],
 )
-def test_wrong_keepers_and_limits_are_refused_by_place(more: str, said: str) -> None:
+def test_invalid_voters_and_limits_are_refused_with_their_path(more: str, text: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(SOUND + FLEET + more, Config, "f.yaml")
-    assert said in str(error.value)
+    assert text in str(error.value)
 
 
-def test_a_name_of_a_broker_and_of_a_holder_is_refused_at_the_start() -> None:
-    """Seen: brokers and holders b0 and b1; a drain of one broker was granted while another one was dead."""
+def test_a_name_shared_by_a_broker_and_a_node_is_refused_at_start() -> None:
+    """Guards against a drain of a broker that was granted while another one was dead.
+
+    That happened where brokers and nodes had the same names, b0 and b1.
+    """
     values = demo_config(
         0, holders=[{"name": "b1", "url": "http://127.0.0.1:9/read", "shards": ["s0", "s1"]}]
     )
--- a/tests/test_fleet_permits.py
+++ b/tests/test_fleet_permits.py
@@ -1,4 +1,4 @@
-"""Never too many out at once: what is out counts whatever the reason, and permits do not run out."""
+"""Never too many out at once: whoever is out counts, whatever the reason, and permits do not expire."""
 
 from typing import Any
 
@@ -36,20 +36,20 @@
 HOUR = 3600_000
 
 
-def may_not(name: str, out: dict[str, Reason]) -> list[Refusal]:
+def violations(name: str, out: dict[str, Reason]) -> list[Refusal]:
     return refusals(name, checks(name, UNITS, LIMITS), out)
 
 
 class Log:
-    """Entries, one after the other."""
+    """A log of entries applied in order."""
 
     def __init__(self) -> None:
         self.permits = Permits()
         self.entries: list[Entry] = []
         self.count = 0
 
-    def put(self, command: Command) -> str:
-        """What came of it: empty for done."""
+    def append(self, command: Command) -> str:
+        """Append and apply; returns the reason of a refusal, empty for done."""
         entry = Entry(len(self.entries) + 1, 1, encode(command))
         self.entries.append(entry)
         self.permits.apply(entry)
@@ -58,14 +58,14 @@
     def grant(self, name: str, at: int = 0, last: int = HOUR, **out: str) -> str:
         self.count += 1
         limits = checks(name, UNITS, LIMITS) if name in UNITS else ()
-        return self.put(Grant(f"g{self.count}", "ann", at, name, "drain", at + last, limits, out))
+        return self.append(Grant(f"g{self.count}", "ann", at, name, "drain", at + last, limits, out))
 
-    def say(self, kind: Any, name: str, *more: str) -> str:
+    def submit(self, kind: Any, name: str, *more: str) -> str:
         self.count += 1
-        return self.put(kind(f"s{self.count}", "ann", 1, name, *more))
+        return self.append(kind(f"s{self.count}", "ann", 1, name, *more))
 
 
-# --- the budget ---
+# --- budget ---
 
 
 @pytest.mark.parametrize(
@@ -86,51 +86,53 @@
     assert limit.maximum(configured) == most
 
 
-def test_the_last_ready_holders_of_a_set_stay_and_the_refusal_names_who_is_out() -> None:
-    assert may_not("s0", {}) == []
-    found = may_not("s0", {"s1": Reason.SUSPECT})
+def test_the_last_ready_nodes_of_a_set_stay_and_the_refusal_names_who_is_out() -> None:
+    assert violations("s0", {}) == []
+    found = violations("s0", {"s1": Reason.SUSPECT})
     assert [str(one) for one in found] == [
         "holders of replica set 's': at most 1 out, would be 2; out now: s1 (suspected)"
     ]
-    assert may_not("t0", {"s1": Reason.SUSPECT}) == []
+    assert violations("t0", {"s1": Reason.SUSPECT}) == []
 
 
 @pytest.mark.parametrize("reason", Reason)
 def test_every_reason_counts(reason: Reason) -> None:
     out = {"b0": reason, "b1": reason, "b2": reason}
-    said = " ".join(str(one) for one in may_not("b4", out))
-    assert "brokers: at most 3 out, would be 4" in said and f"b0 ({reason.value})" in said
+    texts = " ".join(str(one) for one in violations("b4", out))
+    assert "brokers: at most 3 out, would be 4" in texts and f"b0 ({reason.value})" in texts
 
 
-def test_one_that_is_out_by_itself_may_be_taken_into_repair_unless_the_limits_are_broken_as_it_is() -> None:
+def test_a_failed_unit_may_be_repaired_unless_the_limits_are_violated_already() -> None:
     dead = Reason.DEAD
-    assert may_not("s1", {"s1": dead}) == []
-    assert may_not("s1", {"s1": dead, "s0": dead}) != []  # overdrawn by nature
+    assert violations("s1", {"s1": dead}) == []
+    assert violations("s1", {"s1": dead, "s0": dead}) != []  # the budget is exceeded by failures already
 
 
 # --- permits ---
 
 
-def test_both_holders_asked_for_in_the_same_moment_get_one_permit() -> None:
+def test_concurrent_requests_for_both_nodes_get_one_permit() -> None:
     log = Log()
     assert log.grant("s0") == ""
-    assert "replica set 's'" in log.grant("s1")  # its leader had not known of the first when it proposed it
+    assert "replica set 's'" in log.grant(
+        "s1"
+    )  # as if its leader had not known of the first when it proposed it
     assert list(log.permits.state.permits) == ["s0"]
 
 
-def test_a_permit_stays_until_its_holder_is_back_and_what_is_overdue_halts_all() -> None:
+def test_a_permit_does_not_expire_and_an_overdue_one_blocks_all_grants() -> None:
     log = Log()
     log.grant("b0", last=1000)
     assert log.permits.overdue(1000) == [] and log.permits.overdue(1001) == ["b0"]
-    said = log.grant("b1", at=5000)
-    assert said.startswith("overdue: b0")
-    assert "b0" in log.permits.state.permits  # for ever, if need be
+    refusal = log.grant("b1", at=5000)
+    assert refusal.startswith("overdue: b0")
+    assert "b0" in log.permits.state.permits  # indefinitely, if need be
     assert log.permits.out({}, 5000) == {"b0": Reason.OVERDUE}
-    assert log.say(Back, "b0") == ""
+    assert log.submit(Back, "b0") == ""
     assert log.grant("b1", at=5000) == ""
 
 
-def test_what_was_out_by_belief_when_it_was_proposed_counts_when_it_is_applied() -> None:
+def test_beliefs_at_the_proposal_count_when_the_grant_is_applied() -> None:
     log = Log()
     assert "suspected" in log.grant("s0", s1="SUSPECT")
     assert "believed dead" in log.grant("b0", b1="DEAD", b2="DEAD", b3="LEFT")
@@ -138,39 +140,39 @@
     assert "suspected" in log.grant("t0", t1="A_WORD_OF_A_LATER_VERSION")
 
 
-def test_a_halt_stops_grants_only_and_a_repeat_does_nothing_twice() -> None:
+def test_a_halt_stops_grants_only_and_commands_are_idempotent() -> None:
     log = Log()
     log.grant("b0")
-    assert log.put(Halt("h", "ann", 1, "crashes")) == ""
+    assert log.append(Halt("h", "ann", 1, "crashes")) == ""
     assert log.grant("b1") == "halted: crashes"
-    assert log.say(Begun, "b0") == "" and log.say(Back, "b0") == ""
-    assert log.put(Resume("r", "ann", 1)) == ""
-    assert log.put(Halt("h", "ann", 1, "crashes")) == ""  # the same command again
+    assert log.submit(Begun, "b0") == "" and log.submit(Back, "b0") == ""
+    assert log.append(Resume("r", "ann", 1)) == ""
+    assert log.append(Halt("h", "ann", 1, "crashes")) == ""  # the same command again
     assert log.permits.state.halted == "" and log.grant("b1") == ""
     assert "b1 has a permit already, by ann" in log.grant("b1")
-    assert log.say(Back, "b5") == "b5 has no permit"
-    assert log.say(Close, "b1", "its machine is gone") == ""
+    assert log.submit(Back, "b5") == "b5 has no permit"
+    assert log.submit(Close, "b1", "its machine is gone") == ""
     assert "none of the configured" in log.grant("b77")
     assert [line.result for line in log.permits.state.history if line.what == "close"] == ["done"]
 
 
-def test_a_command_that_cannot_be_read_changes_nothing_and_is_in_the_history() -> None:
+def test_an_unreadable_command_changes_nothing_and_is_in_the_history() -> None:
     log = Log()
     log.permits.apply(Entry(1, 1, b"\x93nonsense"))
     assert log.permits.state.permits == {} and log.permits.state.history[0].result.startswith("refused")
 
 
-def test_history_and_remembered_ids_are_bounded() -> None:
+def test_history_and_results_are_bounded() -> None:
     log = Log()
     for number in range(MAX_RESULTS + 100):
-        log.put(Halt(f"x{number}", "ann", 1, "again"))
+        log.append(Halt(f"x{number}", "ann", 1, "again"))
     assert len(log.permits.state.history) == MAX_HISTORY and len(log.permits.state.results) == MAX_RESULTS
 
 
-def test_a_snapshot_holds_all_and_another_schema_is_refused() -> None:
+def test_a_snapshot_is_complete_and_another_schema_is_refused() -> None:
     log = Log()
     log.grant("b0")
-    log.say(Begun, "b0")
+    log.submit(Begun, "b0")
     other = Permits()
     other.load(log.permits.dump())
     assert other.state == log.permits.state and other.status(HOUR + 1)["overdue"] == ["b0"]
@@ -192,7 +194,7 @@
 
 @given(STEPS)
 @settings(max_examples=200, deadline=None)
-def test_permits_alone_never_break_a_limit_and_every_copy_of_the_log_says_the_same(steps: Any) -> None:
+def test_permits_alone_never_violate_a_limit_and_every_replica_has_the_same_state(steps: Any) -> None:
     log = Log()
     for kind, name, believed, at in steps:
         before = set(log.permits.state.permits)
@@ -200,27 +202,27 @@
             case "grant":
                 log.grant(name, at, 2000, **dict.fromkeys(believed, "DEAD"))
             case "begun":
-                log.say(Begun, name)
+                log.submit(Begun, name)
             case "back":
-                log.say(Back, name)
+                log.submit(Back, name)
             case "close":
-                log.say(Close, name, "x")
+                log.submit(Close, name, "x")
             case "halt":
                 log.count += 1
-                log.put(Halt(f"h{log.count}", "ann", at, "x"))
+                log.append(Halt(f"h{log.count}", "ann", at, "x"))
             case "resume":
                 log.count += 1
-                log.put(Resume(f"r{log.count}", "ann", at))
+                log.append(Resume(f"r{log.count}", "ann", at))
         permits = log.permits.state.permits
         assert before - set(permits) <= ({name} if kind in ("back", "close") else set())
         out = dict.fromkeys(permits, Reason.PERMITTED)
         for held in permits:
-            assert may_not(held, out) == [], "permits break a limit by themselves"
-    again = Permits()
+            assert violations(held, out) == [], "permits break a limit by themselves"
+    replayed = Permits()
     half = len(log.entries) // 2
     for entry in log.entries[:half]:
-        again.apply(entry)
-    again.load(again.dump())
+        replayed.apply(entry)
+    replayed.load(replayed.dump())
     for entry in log.entries[half:]:
-        again.apply(entry)
-    assert again.state == log.permits.state
+        replayed.apply(entry)
+    assert replayed.state == log.permits.state
--- a/tests/test_fleet_topology.py
+++ b/tests/test_fleet_topology.py
@@ -11,13 +11,13 @@
 
 from quincepath.lab.process import Child
 from quincepath.standins.record import Got, read
-from tests.test_fleet_drains import Agreeing, settled_ask
+from tests.test_fleet_drains import BrokerCluster, ask_until_settled
 from tests.test_fleet_processes import ask, until
 
 LONG = "QUINCEPATH_LONG"
 
 
-class Changing(Agreeing):
+class Changing(BrokerCluster):
     """As there, with ``topology:`` on all but the last broker."""
 
     def start(self, name: str) -> None:
@@ -46,7 +46,7 @@
     world = changing
     until(lambda: ask("view", "--at", world.metrics["m0"])[0] == 0 and bool(world.status("m0")["leader"]))
     loads = [world.load(name, 40) for name in ("m0", "m3")]  # with the section, and without
-    until(lambda: len(world.got("a0")) > 20)
+    until(lambda: len(world.arrivals("a0")) > 20)
     shards = json.loads(json.dumps(world.shards))
     for entry in shards["map"]:
         entry["name"] += "-next"
@@ -54,12 +54,12 @@
     with path.open("w") as file:
         YAML(typ="safe").dump({"shards": shards}, file)
     words = ("topology", "propose", str(path), "--at", world.metrics["m1"], "--by", "ann", "--key", "first")
-    assert settled_ask(*words) == (0, "propose: agreed\n")
+    assert ask_until_settled(*words) == (0, "propose: agreed\n")
     assert ask(*words) == (0, "propose: agreed\n")  # the same again does nothing twice
     code, said = ask("topology", "propose", str(path), "--at", world.metrics["m0"])
     assert code == 1 and "version 2 is proposed by ann" in said
     until(lambda: all(world.topology(name)["proposed"] == 2 for name in ("m0", "m1", "m2")))
-    code, said = settled_ask("topology", "adopt", "--at", world.metrics["m2"])
+    code, said = ask_until_settled("topology", "adopt", "--at", world.metrics["m2"])
     assert code == 1 and "not known: " in said  # m3 tells nothing, the sample is small
 
     leader = world.status("m0")["leader"]
@@ -67,7 +67,7 @@
     other = next(name for name in ("m0", "m1", "m2") if name != leader)
     until(lambda: world.status(other)["leader"] not in ("", leader))
     assert world.topology(other)["proposed"] == 2  # in the log, whoever leads
-    assert settled_ask("topology", "back", "--at", world.metrics[other]) == (0, "back: agreed\n")
+    assert ask_until_settled("topology", "back", "--at", world.metrics[other]) == (0, "back: agreed\n")
     found = world.topology(other)
     assert (found["step"], found["in_use"], found["proposed"], found["newest"]) == ("none", 1, 0, 2)
 
@@ -89,7 +89,7 @@
         with path.open("w") as file:
             YAML(typ="safe").dump(values, file)
         self.shards = values["shards"]
-        Agreeing.start(self, name)
+        BrokerCluster.start(self, name)
 
     def load(self, name: str, seconds: int) -> Child:
         """Of a class that asks every part."""
@@ -130,7 +130,7 @@
     path = world.folder / "map.yaml"
     with path.open("w") as file:
         YAML(typ="safe").dump({"shards": {**world.shards, "map": merged}}, file)
-    assert settled_ask("topology", "propose", str(path), "--at", world.metrics["m1"])[0] == 0
+    assert ask_until_settled("topology", "propose", str(path), "--at", world.metrics["m1"])[0] == 0
 
     def adopted() -> bool:
         ask("topology", "adopt", "--at", world.metrics["m2"])
@@ -141,7 +141,7 @@
     until(lambda: {world.topology(name)["in_use"] for name in names} == {2})
     until(lambda: world.topology("m0")["step"] in ("none", "halted"))  # as the moment was like the one before
     assert world.topology("m0")["adoptions"] == 1
-    assert settled_ask("topology", "back", "--at", world.metrics["m0"]) == (0, "back: agreed\n")
+    assert ask_until_settled("topology", "back", "--at", world.metrics["m0"]) == (0, "back: agreed\n")
     until(lambda: {world.topology(name)["in_use"] for name in names} == {3})
     seen = len(world.parts())
     until(lambda: len(world.parts()) > seen + 60)
