--- a/quincepath/fleet/permits.py
+++ b/quincepath/fleet/permits.py
@@ -11,7 +11,14 @@
 
 import msgspec
 
-from quincepath.fleet.adoption import MAP_COMMANDS, MapCommand, Topology, closed, disturbed, do
+from quincepath.fleet.adoption import (
+    MAP_COMMANDS,
+    MapCommand,
+    Topology,
+    apply_map_command,
+    clear_halt,
+    restart_measurement,
+)
 from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.budget import Check, Reason, refusals
 from quincepath.fleet.configuration.commands import ChangeConfiguration, apply_command
@@ -168,7 +175,7 @@
         """Execute a command and return the reason of a refusal; empty where it is done."""
         permits, topology = self.state.permits, self.state.topology
         if isinstance(command, MAP_COMMANDS):
-            return do(topology, command, index, self.map_change_blocker())[:400]
+            return apply_map_command(topology, command, index, self.map_change_blocker())[:400]
         match command:
             case ChangeConfiguration():
                 return apply_command(self.configuration, command)[:400]
@@ -179,12 +186,12 @@
                 permits[command.name] = Permit(
                     command.name, command.purpose, command.by, command.at, command.overdue_at, index=index
                 )
-                disturbed(topology, command.at)
+                restart_measurement(topology, command.at)
             case Halt():
                 self.state.halted = command.why or "by hand"
             case Resume():
                 self.state.halted = ""
-                closed(topology)
+                clear_halt(topology)
             case Begun() | Back() | Close():
                 permit = permits.get(command.name)
                 if permit is None:
@@ -193,7 +200,7 @@
                     permit.begun_at = permit.begun_at or command.at
                 else:
                     del permits[command.name]
-                    disturbed(topology, command.at)
+                    restart_measurement(topology, command.at)
         return ""
 
     def map_change_blocker(self) -> str:
@@ -217,9 +224,9 @@
         self.state.schema = SCHEMA
         self.configuration.load(self.state.configuration)
         if self.state.topology.record:
-            from quincepath.fleet.forecast import record_of  # imports a large library
+            from quincepath.fleet.forecast import decode_record  # imports a large library
 
-            record_of(self.state.topology.record)
+            decode_record(self.state.topology.record)
 
     # --- checks ---
 
