--- a/quincepath/fleet/load_control/failure_attribution.py
+++ b/quincepath/fleet/load_control/failure_attribution.py
@@ -39,9 +39,9 @@
 
     def record_query(self, parts: Iterable[int], bad: bool) -> None:
         """Record a query's result. Refused before any send, it counts for a set only if it needs no other."""
-        asked = set(parts)
-        if len(asked) == 1:
-            self._single_set.record(asked.pop(), bad)
+        requested = set(parts)
+        if len(requested) == 1:
+            self._single_set.record(requested.pop(), bad)
 
     def sets_at_fault(self, parts: Iterable[int], answered: Mapping[int, int]) -> set[int]:
         """The sets at fault. ``parts``: the set of each requested part; ``answered``: parts answered, by set.
@@ -50,22 +50,22 @@
         those whose single-set queries are refused far more than other sets'; where nothing tells them apart,
         all: what all sets have in common counts for the fleet.
         """
-        asked: dict[int, int] = {}
+        requested: dict[int, int] = {}
         for replica_set in parts:
-            asked[replica_set] = asked.get(replica_set, 0) + 1
+            requested[replica_set] = requested.get(replica_set, 0) + 1
         missing = {
-            replica_set for replica_set, count in asked.items() if answered.get(replica_set, 0) < count
+            replica_set for replica_set, count in requested.items() if answered.get(replica_set, 0) < count
         }
-        if missing and len(missing) < len(asked):
+        if missing and len(missing) < len(requested):
             return missing
-        failing = {replica_set for replica_set in asked if self._attempts.share(replica_set) > FULL_SHARE}
+        failing = {replica_set for replica_set in requested if self._attempts.share(replica_set) > FULL_SHARE}
         if failing:
             return failing
-        worst = max((self._single_set.share(replica_set) for replica_set in asked), default=0.0)
+        worst = max((self._single_set.share(replica_set) for replica_set in requested), default=0.0)
         if worst < SINGLE_SET_MIN_SHARE:
-            return set(asked)
+            return set(requested)
         return {
             replica_set
-            for replica_set in asked
+            for replica_set in requested
             if self._single_set.share(replica_set) >= SINGLE_SET_RELATIVE_SHARE * worst
         }
--- a/quincepath/fleet/overload/core.py
+++ b/quincepath/fleet/overload/core.py
@@ -38,16 +38,18 @@
         self._retry_window = settings.min_retry_after
         self.due = now + settings.period
 
-    def step(self, now: int, news: Totals | LocalStats | None = None, age: int = 0) -> Decision:
+    def step(self, now: int, observed: Totals | LocalStats | None = None, age: int = 0) -> Decision:
         """Apply totals or statistics; update thresholds when due. ``age``: of the fleet's oldest member, ns.
 
         Totals that are older than the known ones are ignored.
         """
-        if isinstance(news, Totals) and (self._totals is None or news.at >= self._totals.at):
-            self._totals = news
-            self._over_shares = ordering.over_shares(news, self._settings.weights, self._settings.max_tenants)
-        elif isinstance(news, LocalStats):
-            self._local = news
+        if isinstance(observed, Totals) and (self._totals is None or observed.at >= self._totals.at):
+            self._totals = observed
+            self._over_shares = ordering.over_shares(
+                observed, self._settings.weights, self._settings.max_tenants
+            )
+        elif isinstance(observed, LocalStats):
+            self._local = observed
         self._epoch = age // self._settings.epoch
         if now >= self.due:
             self._update(now)
--- a/tests/fleet/load_reports/test_member_counts.py
+++ b/tests/fleet/load_reports/test_member_counts.py
@@ -83,7 +83,7 @@
 
 
 def explore_deliveries(module: Any, depth: int) -> tuple[int, list[str]]:
-    """Every sequence of reports, each lost, once or more often, with three constant and two changing views."""
+    """Every sequence of reports, each lost, once or repeated, with three constant and two changing views."""
     deliveries, findings = 0, []
     view_sequences: list[list[int | None]] = [
         [None] * depth,
--- a/tests/test_fleet_drains.py
+++ b/tests/test_fleet_drains.py
@@ -30,7 +30,7 @@
 class BrokerCluster:
     """Brokers with a replicated log, nodes with records, and load generators."""
 
-    def __init__(self, folder: Path, brokers: int, keepers: int) -> None:
+    def __init__(self, folder: Path, brokers: int, voters: int) -> None:
         self.folder = folder
         self.cluster = make_cluster(1, ["--work-ms", "3", "--tractors", "1"], folder)
         self.cluster.start()
@@ -45,8 +45,8 @@
             values = demo_config(0, holders=holders)
             values["broker"] = {"number": number, "brokers": brokers, "zone": "upper"}
             fleet: dict[str, Any] = {"name": "orchard", "member": name, "port": ports[number], "peers": peers}
-            fleet["keepers"] = names[:keepers]
-            if number < keepers:
+            fleet["keepers"] = names[:voters]
+            if number < voters:
                 fleet["store"] = f"store-{name}"
             fleet["limits"] = {"holders": {"total": {"number": 2}, "zone": {"number": 2}}}
             values["fleet"] = fleet
