--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -12,18 +12,27 @@
 from benchmarks.capacity.site import SECOND, SETS, ZONE_NAMES, configuration, list_body, node_entry
 from benchmarks.capacity.target import BROKERS, NODES, NODES_OF_A_ZONE, REGIONS
 from quincepath.config.schema.fleet import FleetEntry
-from quincepath.fleet.agreement.core import Came, Keeper, Propose, Times
-from quincepath.fleet.agreement.entries import first
-from quincepath.fleet.agreement.messages import Follow
-from quincepath.fleet.edge import CONNECTIONS
+from quincepath.fleet.consensus.core import ConsensusSettings, Propose, Received, Voter
+from quincepath.fleet.consensus.entries import initial_state
+from quincepath.fleet.consensus.messages import LearnerPoll
 from quincepath.fleet.forecast.messages import SampleAssembler, SampleMessage
 from quincepath.fleet.load_control.failure_attribution import MAX_REPLICA_SETS, FailureShares
 from quincepath.fleet.load_reports.load_counter import LoadCounter
 from quincepath.fleet.load_reports.member_counts import MAX_MEMBERS as SUMMED_MOST
 from quincepath.fleet.load_reports.tree import AggregationTree
 from quincepath.fleet.load_reports.types import LoadReportSettings
-from quincepath.fleet.messages import FRAME, MEMBERS_MOST, About, Full, Rejected, body_of, pack, unpack
+from quincepath.fleet.messages import (
+    MAX_FRAME_BYTES,
+    MAX_MEMBERS,
+    FullState,
+    MemberState,
+    Rejected,
+    body_of,
+    pack,
+    unpack,
+)
 from quincepath.fleet.permits import Permits
+from quincepath.fleet.transport import MAX_CONNECTIONS
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.net.http1 import HttpError, Limits, ResponseReader
 from quincepath.platform.descriptors import allocate
@@ -79,14 +88,14 @@
     )
 
 
-def _about(name: str, number: int) -> About:
+def _about(name: str, number: int) -> MemberState:
     zone = ZONE_NAMES[number % len(ZONE_NAMES)]
-    return About(name, (1 << 61) + number, 3, 1, 0, (), False, zone, "0.2.0", "c41e77d0c41e")
+    return MemberState(name, (1 << 61) + number, 3, 1, 0, (), False, zone, "0.2.0", "c41e77d0c41e")
 
 
 def _full_message(members: int) -> bytes:
     beliefs = tuple(_about(name, number) for number, name in enumerate(broker_names(members)))
-    return pack("fleet", "broker-0001", beliefs[0], 1 << 61, 1, Full(beliefs))
+    return pack("fleet", "broker-0001", beliefs[0], 1 << 61, 1, FullState(beliefs))
 
 
 def _full_taken(members: int) -> bool:
@@ -101,15 +110,21 @@
     most = largest(_full_taken, BROKERS)
     return LimitFound(
         "members in one exchange of views", "fleet/messages.py MEMBERS_MOST", VIEW, most, BROKERS, "members",
-        f"dropped as an unknown kind beyond {MEMBERS_MOST}",
+        f"dropped as an unknown kind beyond {MAX_MEMBERS}",
     )  # fmt: skip
 
 
 def _bytes_exchanged() -> LimitFound:
     needed = len(_full_message(BROKERS))
-    answer = "whole view of 2,600 fits" if needed <= FRAME else "dropped as too large"
+    answer = "whole view of 2,600 fits" if needed <= MAX_FRAME_BYTES else "dropped as too large"
     return LimitFound(
-        "bytes of one exchange of views", "fleet/messages.py FRAME", VIEW, FRAME, needed, "bytes", answer
+        "bytes of one exchange of views",
+        "fleet/messages.py FRAME",
+        VIEW,
+        MAX_FRAME_BYTES,
+        needed,
+        "bytes",
+        answer,
     )
 
 
@@ -126,9 +141,9 @@
     )
 
 
-def leader(name: str = "broker-0000") -> Keeper:
+def leader(name: str = "broker-0000") -> Voter:
     """The only voter of a log, elected."""
-    keeper = Keeper(name, first((name,)), Permits(), 1, 0, Times())
+    keeper = Voter(name, initial_state((name,)), Permits(), 1, 0, ConsensusSettings())
     keeper.step(keeper.due, [])
     keeper.step(keeper.due, [Propose(1, b"")])
     return keeper
@@ -137,16 +152,16 @@
 def _followers() -> LimitFound:
     keeper = leader()
     for name in broker_names(BROKERS)[1:]:
-        keeper.step(keeper.now, [Came(name, 0, Follow(0))])
+        keeper.step(keeper.now, [Received(name, 0, LearnerPoll(0))])
     return LimitFound(
-        "followers told of commits", "fleet/agreement/core/committed.py FOLLOWERS_MOST", LOG,
-        len(keeper.followers), BROKERS - 1, "followers", "one more is answered when it asks only",
+        "followers told of commits", "fleet/consensus/core/committed.py MAX_LEARNERS", LOG,
+        len(keeper.learners), BROKERS - 1, "followers", "one more is answered when it asks only",
     )  # fmt: skip
 
 
 def _log_connections() -> LimitFound:
     return LimitFound(
-        "connections to one member", "fleet/edge.py CONNECTIONS", LOG, CONNECTIONS, BROKERS - 1,
+        "connections to one member", "fleet/transport.py MAX_CONNECTIONS", LOG, MAX_CONNECTIONS, BROKERS - 1,
         "connections", "read, not run: one more is closed at once",
     )  # fmt: skip
 
--- a/quincepath/fleet/permits.py
+++ b/quincepath/fleet/permits.py
@@ -19,10 +19,10 @@
     clear_halt,
     restart_measurement,
 )
-from quincepath.fleet.agreement.entries import Entry
 from quincepath.fleet.budget import Check, Reason, refusals
 from quincepath.fleet.configuration.commands import ChangeConfiguration, apply_command
 from quincepath.fleet.configuration.history import History
+from quincepath.fleet.consensus.entries import Entry
 from quincepath.fleet.messages import Millis, Name, Text
 
 MAX_HISTORY = 2000
--- a/quincepath/fleet/topology.py
+++ b/quincepath/fleet/topology.py
@@ -32,7 +32,7 @@
 )
 from quincepath.fleet.adoption.commands import MAX_FIGURES, ShardsByHolder
 from quincepath.fleet.adoption.reports import Measurement
-from quincepath.fleet.agreement.entries import COMMAND_MOST
+from quincepath.fleet.consensus.entries import MAX_COMMAND_BYTES
 from quincepath.fleet.forecast import (
     Environment,
     FigureKind,
@@ -132,8 +132,8 @@
             case UseMap():
                 command = self.reports.with_evidence(command, self.topology, now)
         size = len(encode(command))
-        if size > COMMAND_MOST and not why:
-            why = f"{type(command).__name__}: {size} bytes; expected at most {COMMAND_MOST} in an entry"
+        if size > MAX_COMMAND_BYTES and not why:
+            why = f"{type(command).__name__}: {size} bytes; expected at most {MAX_COMMAND_BYTES} in an entry"
         return command, why
 
     def _needs(self, new: MapVersion) -> dict[str, tuple[str, ...]]:
--- a/tests/fleet/load_reports/test_member_counts.py
+++ b/tests/fleet/load_reports/test_member_counts.py
@@ -36,7 +36,7 @@
     unpack,
 )
 from quincepath.fleet.load_reports.types import MAX_NAMED_TENANTS, MS, SECOND
-from quincepath.fleet.messages import PACKET, Rejected
+from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, Rejected
 
 LONG = LoadReportSettings(window=1000 * SECOND, forget=1000 * SECOND)
 # (boot, sequence, uptime in ms, queries taken); the second boot began at 2.0 s, after the first ended
@@ -225,7 +225,7 @@
         assert 1 <= len(reports) <= 2
         for report in reports:
             data = pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(report))
-            assert len(data) <= PACKET
+            assert len(data) <= MAX_DATAGRAM_BYTES
             assert unpack(data, "f" * 32, "t" * 32)[1] == report
             received.update(decode_runs(report.runs))
             named |= {use.name for use in report.tenants}
@@ -250,7 +250,7 @@
         body = SumMessage(
             True, 4, 1024, 1024, 1 << 40, highest, highest, highest, highest, low, high, runs, uses
         )
-        assert len(pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(body))) <= PACKET
+        assert len(pack("f" * 32, "s" * 32, (1 << 63) - 1, "t" * 32, encode(body))) <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize(
@@ -258,7 +258,7 @@
     [
         (b"", "unreadable"),
         (b"\xc1Lnonsense", "unreadable"),
-        (b"\xc1L" + bytes(PACKET), "too large"),
+        (b"\xc1L" + bytes(MAX_DATAGRAM_BYTES), "too large"),
         (pack("other", "a", 1, "me", encode(Report(1, 0, 0, 0, ()))), "wrong fleet"),
         (pack("f", "a", 1, "you", encode(Report(1, 0, 0, 0, ()))), "wrong name"),
         (pack("f", "me", 1, "me", encode(Report(1, 0, 0, 0, ()))), "wrong name"),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,19 +10,19 @@
 import lmdb
 import pytest
 
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Entry, Snapshot, Stable, first
-from quincepath.fleet.agreement.storing import StoreError, Trouble
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import Entry, Snapshot, StableState, initial_state
+from quincepath.fleet.consensus.storage import StoreError, StoreErrorCause
 from quincepath.store.consensus import META, ConsensusStore, Owner, encode_record
 
 VOTERS = ("k0", "k1", "k2")
 
 
 def open_store(path: Path, member: str = "k0", fleet: str = "lab", size: int = 1 << 24) -> ConsensusStore:
-    return ConsensusStore(path, fleet, member, first(VOTERS, b"begin"), size)
+    return ConsensusStore(path, fleet, member, initial_state(VOTERS, b"begin"), size)
 
 
-def reopen(path: Path) -> Stable:
+def reopen(path: Path) -> StableState:
     store = open_store(path)
     store.close()
     return store.stable
@@ -46,7 +46,7 @@
     store.write(Persist(3, "k2", 0, entries(5, 6, 3)))
     store.close()
     stable = reopen(tmp_path / "s")
-    assert stable.log.snapshot.data == b"three" and stable.log.last == 6 and stable.epoch == 4
+    assert stable.log.snapshot.data == b"three" and stable.log.last_index == 6 and stable.epoch == 4
     assert [entry.index for entry in stable.log.entries] == [4, 5, 6]
 
 
@@ -62,11 +62,11 @@
 WRITER = """
 import sys
 from pathlib import Path
-from quincepath.fleet.agreement.core import Persist
-from quincepath.fleet.agreement.entries import Entry, Snapshot, first
+from quincepath.fleet.consensus.core import Persist
+from quincepath.fleet.consensus.entries import Entry, Snapshot, initial_state
 from quincepath.store.consensus import ConsensusStore
-store = ConsensusStore(Path(sys.argv[1]), "lab", "k0", first(("k0",)), check=False)
-index = store.stable.log.last
+store = ConsensusStore(Path(sys.argv[1]), "lab", "k0", initial_state(("k0",)), check=False)
+index = store.stable.log.last_index
 while True:
     index += 1
     store.write(Persist(index, "k0", 0, (Entry(index, index, b"%d" % index * 200),)))
@@ -91,11 +91,11 @@
         rest = writer.stdout.read().split("\n")
         writer.stdout.close()
         last = max([last, *(int(line) for line in rest[:-1])])
-        store = ConsensusStore(tmp_path / "s", "lab", "k0", first(("k0",)))
+        store = ConsensusStore(tmp_path / "s", "lab", "k0", initial_state(("k0",)))
         store.close()
         # The entry being written at the kill, and a snapshot of it, may be present or not.
-        assert last <= store.stable.log.last <= last + 1
-        assert store.stable.term == store.stable.log.last
+        assert last <= store.stable.log.last_index <= last + 1
+        assert store.stable.term == store.stable.log.last_index
 
 
 def test_a_store_of_another_broker_or_fleet_is_rejected_with_its_owner(tmp_path: Path) -> None:
@@ -103,7 +103,7 @@
     for member, fleet in (("k1", "lab"), ("k0", "orchard")):
         with pytest.raises(StoreError) as error:
             open_store(tmp_path / "s", member, fleet)
-        assert error.value.trouble is Trouble.FOREIGN and "'k0' of fleet 'lab'" in str(error.value)
+        assert error.value.cause is StoreErrorCause.FOREIGN and "'k0' of fleet 'lab'" in str(error.value)
 
 
 def test_a_store_with_a_newer_schema_is_rejected(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
     store.close()
     with pytest.raises(StoreError) as error:
         open_store(tmp_path / "s")
-    assert error.value.trouble is Trouble.NEWER and "schema 9" in str(error.value)
+    assert error.value.cause is StoreErrorCause.NEWER and "schema 9" in str(error.value)
 
 
 def test_a_full_store_is_reported_and_keeps_its_entries(tmp_path: Path) -> None:
@@ -122,9 +122,11 @@
         for index in range(1, 2000):
             store.write(Persist(1, "", 0, (Entry(index, 1, b"x" * 1000),)))
     store.close()
-    assert error.value.trouble is Trouble.FULL
+    assert error.value.cause is StoreErrorCause.FULL
     kept = reopen(tmp_path / "s").log
-    assert kept.last > 20 and [entry.index for entry in kept.entries] == list(range(1, kept.last + 1))
+    assert kept.last_index > 20 and [entry.index for entry in kept.entries] == list(
+        range(1, kept.last_index + 1)
+    )
 
 
 @pytest.mark.parametrize("how", ["value", "hole", "missing", "cut", "garbage", "zeros"])
@@ -154,14 +156,14 @@
             file.write(random.Random(2).randbytes(size - 8192) if how == "garbage" else bytes(size - 8192))
     with pytest.raises(StoreError) as error:
         open_store(path)
-    assert error.value.trouble is Trouble.DAMAGED and str(error.value).startswith("damaged: ")
+    assert error.value.cause is StoreErrorCause.DAMAGED and str(error.value).startswith("damaged: ")
 
 
 def test_an_unusable_path_is_reported(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x")
     with pytest.raises(StoreError) as error:
         open_store(tmp_path / "file" / "s")
-    assert error.value.trouble is Trouble.UNREACHABLE
+    assert error.value.cause is StoreErrorCause.UNREACHABLE
 
 
 def test_a_read_only_store_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,5 +172,5 @@
     store.env = lmdb.open(str(tmp_path / "s"), readonly=True)
     with pytest.raises(StoreError) as error:
         store.write(Persist(1, "", 0, entries(1, 1)))
-    assert error.value.trouble is Trouble.READ_ONLY
+    assert error.value.cause is StoreErrorCause.READ_ONLY
     store.close()
