--- a/quincepath/cli/fleet.py
+++ b/quincepath/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``quincepath fleet``: what one member believes of the fleet, as a table or as JSON."""
+"""``quincepath fleet``: one member's view of the fleet as a table or as JSON, and commands to the fleet."""
 
 import getpass
 import http.client
@@ -13,30 +13,30 @@
 from rich.console import Console
 from rich.table import Table
 
-PAGE_TIMEOUT_S = 5.0  # seconds
-COMMAND_TIMEOUT_S = 15.0  # seconds; the broker gives up sooner
-MIN_TABLE_WIDTH = 130
+PAGE_TIMEOUT_S = 5.0
+COMMAND_TIMEOUT_S = 15.0  # longer than the broker itself waits
+MIN_TABLE_WIDTH = 130  # characters
 AT = click.option("--at", required=True, help="Metrics address of any member, such as http://127.0.0.1:9090.")
 JSON = click.option("--json", "as_json", is_flag=True)
 
 
 def fetch_page(at: str, path: str) -> Any:
-    """What a member says on its metrics listener; ends with status 1 where it says nothing."""
+    """Get a page from a member's metrics listener; exits with status 1 if there is no answer."""
     parts = urlsplit(at if "//" in at else f"//{at}")
     try:
         if not parts.hostname or not parts.port:
             raise OSError("expected an address with a port, such as http://127.0.0.1:9090")
-        line = http.client.HTTPConnection(parts.hostname, parts.port, timeout=PAGE_TIMEOUT_S)
+        connection = http.client.HTTPConnection(parts.hostname, parts.port, timeout=PAGE_TIMEOUT_S)
         try:
-            line.request("GET", path)
-            response = line.getresponse()
+            connection.request("GET", path)
+            response = connection.getresponse()
             body = response.read()
         finally:
-            line.close()
+            connection.close()
         if response.status != 200:
-            said = body.decode("utf-8", "replace").strip()
-            click.echo(f"{at}: status {response.status}: {said}", err=True)
-            if response.status == 404 and "metrics are at" in said:
+            text = body.decode("utf-8", "replace").strip()
+            click.echo(f"{at}: status {response.status}: {text}", err=True)
+            if response.status == 404 and "metrics are at" in text:
                 click.echo("this broker has no fleet: section in its configuration", err=True)
             sys.exit(1)
         return json.loads(body)
@@ -52,23 +52,24 @@
     by: str,
     why: str,
     key: str,
-    more: dict[str, Any] | None = None,
+    extra: dict[str, Any] | None = None,
 ) -> None:
-    """Give a command to a member; says what came of it, and ends with status 1 where a part was refused."""
-    order = {"id": key or uuid.uuid4().hex, "by": by, "names": list(names), "why": why, **(more or {})}
+    """Send a command to a member and print the results; exits with status 1 if anything was refused."""
+    order = {"id": key or uuid.uuid4().hex, "by": by, "names": list(names), "why": why, **(extra or {})}
     parts = urlsplit(at if "//" in at else f"//{at}")
-    line = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT_S)
+    connection = http.client.HTTPConnection(parts.hostname or "", parts.port, timeout=COMMAND_TIMEOUT_S)
     try:
-        line.request("POST", f"/fleet/{what}", json.dumps(order), {"Content-Type": "application/json"})
-        response = line.getresponse()
+        connection.request("POST", f"/fleet/{what}", json.dumps(order), {"Content-Type": "application/json"})
+        response = connection.getresponse()
         answer = json.loads(response.read())
     except (OSError, ValueError, http.client.HTTPException) as error:
         click.echo(
-            f"{at}: no answer: {error}; ask again with --key {order['id']}: it does nothing twice", err=True
+            f"{at}: no answer: {error}; retry with --key {order['id']}: a repeated key has no second effect",
+            err=True,
         )
         sys.exit(1)
     finally:
-        line.close()
+        connection.close()
     if "results" not in answer:
         click.echo(f"{at}: {answer.get('error', answer)}", err=True)
         sys.exit(1)
@@ -93,14 +94,14 @@
 
 @click.group()
 def fleet() -> None:
-    """Ask a member of the fleet what it believes."""
+    """Show a member's view of the fleet, and send commands to the fleet."""
 
 
 @fleet.command()
 @AT
 @JSON
 def view(at: str, as_json: bool) -> None:
-    """Who is believed what, since when, by whose word. Exit status 3 where the view is not settled."""
+    """Show all members as one of them sees them. Exit status 3 if its view is not settled."""
     page = fetch_page(at, "/fleet/view")
     if as_json:
         click.echo(json.dumps(page))
@@ -137,30 +138,30 @@
 @AT
 @JSON
 def explain(name: str, at: str, as_json: bool) -> None:
-    """Why a member is believed what it is, and what comes next."""
+    """Show why a member is in its phase, and what happens next."""
     page = fetch_page(at, f"/fleet/explain/{quote(name, safe='')}")
     if as_json:
         click.echo(json.dumps(page))
         return
     belief = page["belief"]
-    state = "not believed anything" if belief is None else f"{belief['phase']} for {belief['for_s']} s"
+    state = "unknown" if belief is None else f"{belief['phase']} for {belief['for_s']} s"
     click.echo(f"{name} as {page['by']} sees it: {state}, because {page['because']}; {page['next']}")
-    _history(page["history"])
+    _print_history(page["history"])
 
 
 @fleet.command()
 @AT
 @JSON
 def history(at: str, as_json: bool) -> None:
-    """Changes of belief, oldest first."""
+    """Show changes of belief, oldest first."""
     page = fetch_page(at, "/fleet/history")
     if as_json:
         click.echo(json.dumps(page))
         return
-    _history(page)
+    _print_history(page)
 
 
-def _history(lines: list[dict[str, Any]]) -> None:
+def _print_history(lines: list[dict[str, Any]]) -> None:
     columns = ["at", "name", "was", "now", "incarnation", "told by", "cause"]
     rows = [
         [
@@ -172,8 +173,8 @@
     print_table("changes of belief", columns, rows)
 
 
-BY = click.option("--by", default=getpass.getuser, help="Who asks; stands in the log.")
-KEY = click.option("--key", default="", help="The same key again does nothing twice.")
+BY = click.option("--by", default=getpass.getuser, help="Who sends the command, for the log.")
+KEY = click.option("--key", default="", help="Idempotency key: a repeated key has no second effect.")
 WHY = click.option("--why", required=True)
 
 
@@ -183,7 +184,7 @@
 @BY
 @KEY
 def drain(names: tuple[str, ...], at: str, by: str, key: str) -> None:
-    """Have the fleet drain holders, within its limits. ``status`` tells when they are."""
+    """Drain holders, within the fleet's limits. ``status`` shows when they are drained."""
     send_command(at, "drain", names, by, "", key)
 
 
@@ -193,7 +194,7 @@
 @BY
 @KEY
 def undrain(names: tuple[str, ...], at: str, by: str, key: str) -> None:
-    """They are back: all brokers send to them again."""
+    """End the drain of holders: all brokers send to them again."""
     send_command(at, "undrain", names, by, "", key)
 
 
@@ -204,7 +205,7 @@
 @KEY
 @WHY
 def close_(names: tuple[str, ...], at: str, by: str, key: str, why: str) -> None:
-    """Free the place of a permit by hand, whatever became of its holder."""
+    """Close a permit by hand, whatever the state of the one that holds it."""
     send_command(at, "close", names, by, why, key)
 
 
@@ -214,7 +215,7 @@
 @KEY
 @WHY
 def halt(at: str, by: str, key: str, why: str) -> None:
-    """Grant nothing new until ``resume``."""
+    """Grant no permits until ``resume``."""
     send_command(at, "halt", (), by, why, key)
 
 
@@ -223,7 +224,7 @@
 @BY
 @KEY
 def resume(at: str, by: str, key: str) -> None:
-    """Grant again."""
+    """Grant permits again."""
     send_command(at, "resume", (), by, "", key)
 
 
@@ -231,14 +232,14 @@
 @AT
 @JSON
 def status(at: str, as_json: bool) -> None:
-    """Permits, drains and whom they wait for, who keeps the log. Exit status 3 while a drain is not done."""
+    """Show permits, drains and what they wait for, voters. Exit status 3 while a drain is not done."""
     page = fetch_page(at, "/fleet/status")
     if as_json:
         click.echo(json.dumps(page))
     else:
-        said = f"keepers {', '.join(page['keepers'])}; leader {page['leader'] or 'unknown'}"
+        summary = f"keepers {', '.join(page['keepers'])}; leader {page['leader'] or 'unknown'}"
         click.echo(
-            f"{said}; {page['member']}: {page['role']}, entry {page['applied']}, store {page['store']}"
+            f"{summary}; {page['member']}: {page['role']}, entry {page['applied']}, store {page['store']}"
         )
         if page["halted"]:
             click.echo(f"halted: {page['halted']}")
--- a/quincepath/fleet/messages.py
+++ b/quincepath/fleet/messages.py
@@ -1,12 +1,12 @@
-"""Messages between brokers: msgpack arrays, versioned, every size bounded.
+"""Messages between brokers: versioned msgpack arrays, each size bounded.
 
-Each travels in an envelope that names the schema, the fleet, who speaks and to whom, and carries what the
-speaker says of itself. Fields are appended only, never removed or changed: an older program ignores what it
-does not know at the end of an array, a newer one fills in what is missing. ``least`` is the oldest schema
-that may read an envelope; a change that older programs would misread raises it. Bodies are read apart from
-their envelope: one of an unknown kind is dropped, and its speaker is heard all the same.
+An envelope names the schema, the fleet, the sender and the receiver, and carries the sender's state of
+itself. Fields are only appended, never removed or changed: an older version ignores unknown fields at the end
+of an array, a newer one uses defaults for missing ones. ``least`` is the oldest schema that may read an
+envelope; a change that older versions would misread raises it. The body is decoded separately: a body of an
+unknown kind is dropped, and its envelope is still evaluated.
 
-They carry no secrets and no wall clock: times are ages in milliseconds.
+Messages carry no secrets and no wall clock times: times are ages in milliseconds.
 """
 
 from collections.abc import Sequence
@@ -17,24 +17,24 @@
 from msgspec import Meta
 
 SCHEMA = 1
-OLDEST_READABLE = 1  # what this program still reads
-MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram: fits one packet on every sound path
-MAX_FRAME_BYTES = 512 * 1024  # bytes of one message of an exchange
+OLDEST_READABLE = 1  # oldest schema that this version still reads
+MAX_DATAGRAM_BYTES = 1200  # of a datagram: fits into one packet without fragmentation on usual paths
+MAX_FRAME_BYTES = 512 * 1024  # of one message on a connection
 MAX_MEMBERS = 1000  # of one fleet
-MAX_NAME_CHARS = 32  # characters of a name
-MAX_ACCUSERS = 4  # named with one suspicion
-MAX_COUNTER = 1 << 40  # an incarnation beyond is no count of anything that happened
+MAX_NAME_CHARS = 32
+MAX_ACCUSERS = 4  # listed with one suspicion
+MAX_COUNTER = 1 << 40  # a higher incarnation cannot come from counting events
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 ShortText = Annotated[str, Meta(max_length=40)]
-Millis = Annotated[int, Meta(ge=0, le=1 << 53)]  # of a wall clock, since the epoch
+Millis = Annotated[int, Meta(ge=0, le=1 << 53)]  # wall clock, since the epoch
 Text = Annotated[str, Meta(max_length=400)]
 Counter = Annotated[int, Meta(ge=0, le=MAX_COUNTER)]
 Word64 = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class MemberState(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of one member. ``age``: ms since it was suspected, dead or gone; 0 for the others."""
+    """State of one member. ``age``: ms since it became suspect, dead or left; 0 in the other phases."""
 
     name: Name
     boot: Word64
@@ -49,44 +49,44 @@
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Answer with an ``Ack`` of the same number."""
+    """Direct probe; the receiver answers with an ``Ack`` of the same number."""
 
     number: Counter
 
 
 class PingReq(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Ping ``target`` for me: ``Ack`` if it answers, ``Nack`` if it does not in time."""
+    """Request for an indirect probe of ``target``: ``Ack`` if it answers, ``Nack`` if it does not in time."""
 
     number: Counter
     target: Name
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The ping of this number was answered."""
+    """Answer to the ping of this number."""
 
     number: Counter
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """I live, and your target did not answer me."""
+    """The sender is live, and the target of its indirect probe did not answer."""
 
     number: Counter
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """News only."""
+    """Carries updates only."""
 
 
 class SameDigest(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Of an exchange: my view has your digest."""
+    """Answer in an exchange: the sender's view has the same digest."""
 
 
 class ExchangeRequest(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Of an exchange: its first message; the digest stands in the envelope."""
+    """First message of an exchange; the digest is in the envelope."""
 
 
 class FullState(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Of an exchange: all that I believe. ``answer``: send yours back."""
+    """All beliefs of the sender, in an exchange. ``answer``: the receiver sends its own back."""
 
     beliefs: Annotated[tuple[MemberState, ...], Meta(max_length=MAX_MEMBERS)]
     answer: bool = True
@@ -96,9 +96,10 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """Around every message. ``digest`` is of the speaker's view of who lives.
+    """Envelope of every message. ``digest`` covers the live members in the sender's view.
 
-    ``count`` grows with each message of a boot: one that is not the newest proves nothing of now.
+    ``count`` grows with each message of a boot: a message that is not the newest does not show that the
+    sender is live now.
     """
 
     schema: Annotated[int, Meta(ge=0, le=1 << 16)]
@@ -114,7 +115,7 @@
 
 
 class Rejected(ValueError):
-    """A message that is dropped; ``cause`` is one of a fixed few, for counting."""
+    """The message is dropped; ``cause`` is one of ``CAUSES``, so that drops can be counted by it."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause)
@@ -129,22 +130,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Versions:
-    """Of one kind of message: the schema that this program writes, and the oldest that it still reads."""
+    """Schema of one kind of message: the one that this version writes, and the oldest that it still reads."""
 
     schema: int
     oldest: int
 
 
 class EnvelopeFields(Protocol):
-    """What stands around any message between brokers."""
+    """Fields that every envelope between brokers has."""
 
     @property
     def schema(self) -> int:
-        """Schema that the speaker writes."""
+        """Schema that the sender writes."""
 
     @property
     def least(self) -> int:
-        """Oldest schema that may read it."""
+        """Oldest schema that may read the message."""
 
     @property
     def fleet(self) -> str:
@@ -152,7 +153,7 @@
 
     @property
     def to(self) -> str:
-        """Name of the member that it is for."""
+        """Name of the receiving member."""
 
 
 AnyEnvelope = TypeVar("AnyEnvelope", bound=EnvelopeFields)
@@ -163,9 +164,9 @@
 _body_decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
 
 
-def encoded_size(about: MemberState) -> int:
-    """Bytes that it takes in a message."""
-    return len(_encoder.encode(about))
+def encoded_size(state: MemberState) -> int:
+    """Bytes that a state takes in a message."""
+    return len(_encoder.encode(state))
 
 
 def pack(
@@ -177,7 +178,7 @@
     body: Body,
     news: Sequence[MemberState] = (),
 ) -> bytes:
-    """One message, ready to go."""
+    """Encode one message."""
     raw = msgspec.Raw(_encoder.encode(body))
     return _encoder.encode(Envelope(SCHEMA, SCHEMA, fleet, me.name, to, me, digest, count, raw, tuple(news)))
 
@@ -185,21 +186,21 @@
 def decode_envelope(
     data: bytes,
     decoder: msgspec.msgpack.Decoder[AnyEnvelope],
-    known: Versions,
+    versions: Versions,
     fleet: str,
     to: str,
-    most: int,
+    max_bytes: int,
 ) -> AnyEnvelope:
-    """A message of at most ``most`` bytes to this member, its body not yet read. Raises ``Rejected``."""
-    if len(data) > most:
+    """Decode and check the envelope of a message of at most ``max_bytes`` to ``to``. Raises ``Rejected``."""
+    if len(data) > max_bytes:
         raise Rejected("too large")
     try:
         found = decoder.decode(data)
     except msgspec.MsgspecError:
         raise Rejected("unreadable") from None
-    if found.schema < known.oldest:
+    if found.schema < versions.oldest:
         raise Rejected("too old")
-    if found.least > known.schema:
+    if found.least > versions.schema:
         raise Rejected("too new")
     if found.fleet != fleet:
         raise Rejected("wrong fleet")
@@ -209,21 +210,21 @@
 
 
 def decode_body(raw: msgspec.Raw, decoder: msgspec.msgpack.Decoder[AnyBody]) -> AnyBody:
-    """What a message holds. Raises ``Rejected`` where this program does not know the kind."""
+    """Decode a body. Raises ``Rejected`` if its kind is unversions."""
     try:
         return decoder.decode(raw)
     except msgspec.MsgspecError:
         raise Rejected("unknown kind") from None
 
 
-def unpack(data: bytes, fleet: str, to: str, most: int) -> Envelope:
-    """The envelope of a message to this member. Raises ``Rejected``."""
-    found = decode_envelope(data, _envelope_decoder, VERSIONS, fleet, to, most)
+def unpack(data: bytes, fleet: str, to: str, max_bytes: int) -> Envelope:
+    """Decode the envelope of a view message to ``to``. Raises ``Rejected``."""
+    found = decode_envelope(data, _envelope_decoder, VERSIONS, fleet, to, max_bytes)
     if found.me.name != found.sender:
         raise Rejected("wrong name")
     return found
 
 
 def body_of(envelope: Envelope) -> Body:
-    """What an envelope holds. Raises ``Rejected`` where this program does not know the kind."""
+    """Decode the body of a view message. Raises ``Rejected`` if its kind is unversions."""
     return decode_body(envelope.body, _body_decoder)
--- a/quincepath/fleet/pages.py
+++ b/quincepath/fleet/pages.py
@@ -1,4 +1,4 @@
-"""What a member tells people of its view: plain values for JSON. A wall clock is only given from outside."""
+"""Pages about a member's view for operators, as plain values for JSON. Callers pass the wall clock time."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 from quincepath.fleet.view.facts import SECOND, Belief, Change, Phase
 
 
-def _seconds(span: int) -> float:
-    return round(max(span, 0) / SECOND, 1)
+def _seconds(duration: int) -> float:
+    return round(max(duration, 0) / SECOND, 1)
 
 
 def _row(view: View, belief: Belief, now: int) -> dict[str, Any]:
-    heard = view.table.last_heard.get(belief.name)
+    last_heard = view.table.last_heard.get(belief.name)
     return {
         "name": belief.name,
         "phase": belief.phase.name.lower(),
@@ -19,7 +19,7 @@
         "for_s": _seconds(now - belief.since),
         "told_by": belief.told_by,
         "told_s": _seconds(now - belief.told_at),
-        "heard_s": None if heard is None else _seconds(now - heard),
+        "heard_s": None if last_heard is None else _seconds(now - last_heard),
         "accusers": list(belief.accusers),
         "incarnation": belief.incarnation,
         "boot": f"{belief.boot:016x}",
@@ -30,10 +30,10 @@
 
 
 def view_page(view: View, now: int, configured: int) -> dict[str, Any]:
-    """Who is believed what, since when, by whose word; settled or why not."""
+    """Beliefs about all members, with their times and sources; whether the view is settled, or why not."""
     table, settings = view.table, view.settings
     rows = [_row(view, belief, now) for belief in sorted(table.all(), key=lambda one: one.name)]
-    told = {row["name"] for row in rows}
+    reported = {row["name"] for row in rows}
     unsettled = view.unsettled()
     return {
         "fleet": settings.fleet,
@@ -45,13 +45,13 @@
         "digest": f"{table.digest:016x}",
         "own_trouble": view.prober.health.score,
         "members": rows,
-        "never_heard": sorted(name for name in settings.peers if name not in told),
+        "never_heard": sorted(name for name in settings.peers if name not in reported),
         "dropped": dict(view.dropped),
     }
 
 
 def change_row(change: Change, now: int, wall: float) -> dict[str, Any]:
-    """One change of belief; ``wall`` (seconds since the epoch) is the moment ``now``."""
+    """One change of belief; ``wall`` (seconds since the epoch) is the same moment as ``now``."""
     return {
         "at": round(wall - (now - change.at) / SECOND, 3),
         "name": change.name,
@@ -64,12 +64,12 @@
 
 
 def history_page(view: View, now: int, wall: float, name: str = "") -> list[dict[str, Any]]:
-    """Changes of belief, oldest first; of one member where it is named."""
+    """Changes of belief, oldest first; only those of ``name`` if it is given."""
     return [change_row(change, now, wall) for change in view.table.history if name in ("", change.name)]
 
 
 def explain_page(view: View, name: str, now: int, wall: float) -> dict[str, Any] | None:
-    """Why this member believes what it does of another; None where the name is none of the fleet's."""
+    """Why this member believes what it does about another; None if the name is not in the fleet."""
     settings, table = view.settings, view.table
     if name != settings.name and name not in table.peers:
         return None
@@ -104,9 +104,9 @@
 def _next(view: View, belief: Belief, now: int) -> str:
     match belief.phase:
         case Phase.SUSPECT:
-            ends = view.table.suspicion_deadline(belief)
-            return f"dead in {_seconds(ends - now)} s unless it refutes; sooner with further accusers"
+            deadline = view.table.suspicion_deadline(belief)
+            return f"dead in {_seconds(deadline - now)} s unless it refutes; sooner with further accusers"
         case Phase.DEAD | Phase.LEFT:
-            ends = belief.since + view.settings.reclaim
-            return f"tried now and then; no longer told of in {_seconds(ends - now)} s"
+            deadline = belief.since + view.settings.reclaim
+            return f"tried now and then; no longer told of in {_seconds(deadline - now)} s"
     return "probed in its turn"
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -1,4 +1,4 @@
-"""The fleet's part of a running broker: one object with few verbs. Loaded only with a ``fleet:`` section."""
+"""The fleet component of a running broker. Loaded only if the configuration has a ``fleet:`` section."""
 
 import hashlib
 import json
@@ -32,32 +32,32 @@
     from quincepath.fleet.shared import Shared
     from quincepath.fleet.topology import Maps
 
-OWN = ("number", "seed", "zone")  # what may differ from broker to broker within one configuration
-LOOK = 1_000_000_000  # ns between looks at the figures
-GRAVE = ("dead", "suspect")
+PER_BROKER = ("number", "seed", "zone")  # settings that differ between brokers of one configuration
+METRICS_INTERVAL_NS = 1_000_000_000
+WARNED_PHASES = ("dead", "suspect")
 
 JSON = {"Content-Type": "application/json"}
 
 
 @dataclass(slots=True, frozen=True)
 class Page:
-    """An answer on the metrics listener."""
+    """Answer to a request on the metrics listener."""
 
     status: int
     body: bytes
 
 
 def config_digest(config: Config) -> str:
-    """The same for brokers that differ only in who they are and where they listen."""
+    """Digest that is equal for brokers whose configurations differ only in their identity and addresses."""
     values = config.model_dump(mode="json", exclude={"listen", "metrics", "fleet", "roster", "traces"})
-    for name in OWN:
+    for name in PER_BROKER:
         values["broker"].pop(name, None)
     text = json.dumps(values, sort_keys=True).encode()
     return hashlib.blake2b(text, digest_size=6).hexdigest()
 
 
 def view_settings(config: Config, entry: FleetEntry) -> ViewSettings:
-    """What the view is kept by."""
+    """Parameters of the membership view."""
     try:
         program = version("quincepath")
     except PackageNotFoundError:
@@ -80,7 +80,7 @@
 
 
 class Fleet:
-    """This broker as a member: ``drain``, ``page``, ``close``."""
+    """This broker as a member of the fleet."""
 
     def __init__(
         self,
@@ -94,13 +94,13 @@
         make_edge: type[Edge] = Edge,
     ) -> None:
         self.loop, self.entry, self.configured = loop, entry, config.broker.brokers
-        self.ramp = config.rules.ramp_time
+        self.ramp_time = config.rules.ramp_time
         self.on_drained: Callable[[frozenset[str]], None] = lambda names: None
         self.open_parts: Callable[[], dict[str, int]] = dict
         self.holder_infos: Callable[[], list[HolderInfo]] = list
         self.zone_name: Callable[[int], str] = str
         self.brokers = {entry.member, *(peer.name for peer in entry.peers)}
-        self.sets = {entry.name: entry.set or entry.name for entry in config.shards.map}
+        self.set_of_shard = {entry.name: entry.set or entry.name for entry in config.shards.map}
         self._drained: frozenset[str] = frozenset()
         self.log = log.bind(member=entry.member)
         self.members = Gauge(
@@ -110,7 +110,7 @@
             "quincepath_fleet_configured", "Brokers by the configuration", registry=registry
         )
         self.settled = Gauge("quincepath_fleet_settled", "1 where the view is settled", registry=registry)
-        self.trouble = Gauge(
+        self.local_health = Gauge(
             "quincepath_fleet_own_trouble", "Lateness of this member itself, 0 to 8", registry=registry
         )
         self.changes = Counter(
@@ -127,90 +127,92 @@
         self.view = View(view_settings(config, entry), boot, seed, loop.clock())
         places = {peer.name: peer.place for peer in entry.peers}
         self._reasons: list[str] | None = None
-        self._differs = False
+        self._count_differs = False
         self._closed = False
-        self._shown: tuple[Counts[str], Counts[str]] = (Counts(), Counts())  # what the metrics have by now
-        self.edge = make_edge(loop, self.view, places, entry.host, entry.port, self._told)
+        # Counts that the metrics already have.
+        self._exported: tuple[Counts[str], Counts[str]] = (Counts(), Counts())
+        self.edge = make_edge(loop, self.view, places, entry.host, entry.port, self._on_notice)
         self.agreed: Agreed | None = None
         self.distribution: Distribution | None = None
         self.requests: ConfigurationRequests | None = None
         if entry.keepers:
-            from quincepath.fleet import agreed  # only where there is a log
+            from quincepath.fleet import agreed  # loaded only with a replicated log
 
             hooks = agreed.Hooks(
                 self.edge.tell,
-                self._judge,
-                self._applied,
+                self._complete_grant,
+                self._on_applied,
                 lambda: self.open_parts(),
                 open_store,
                 self._drop,
-                self._maps(config, boot),
+                self._map_factory(config, boot),
             )
             self.agreed = agreed.Agreed(loop, entry, base, seed, hooks, self.log)
             self.agreed.refuses_change = self._refuses_change
             self.edge.on_agreed = self.agreed.receive
             if entry.configuration is not None:
-                self._distribute(config, entry.configuration, boot, seed, registry)
+                self._start_distribution(config, entry.configuration, boot, seed, registry)
         self.shared: Shared | None = None
         if entry.ledger is not None:
-            from quincepath.fleet import shared  # only where brokers tell each other of their load
+            from quincepath.fleet import shared  # loaded only with load reports between brokers
 
             self.shared = shared.Shared(config, entry, loop, self.view, self.edge, seed, self.log, registry)
-        self._look()
+        self._update_metrics()
 
     @property
     def address(self) -> str:
-        """Where peers reach this member."""
+        """Address at which peers reach this member."""
         return self.edge.address
 
-    def _told(self, out: Change | OperatorNotice) -> None:
+    def _on_notice(self, out: Change | OperatorNotice) -> None:
         if isinstance(out, OperatorNotice):
-            self.log.error("fleet: one name, two processes", kind=out.kind, text=out.text)
+            self.log.error("fleet: two processes use one member name", kind=out.kind, text=out.text)
             return
         self.changes.labels(out.now.partition(",")[0]).inc()
-        say = self.log.warning if out.now in GRAVE else self.log.info
-        say(
+        log = self.log.warning if out.now in WARNED_PHASES else self.log.info
+        log(
             "fleet: belief changed", node=out.name, was=out.was, now=out.now, told_by=out.told_by,
             incarnation=out.incarnation, cause=out.cause,
         )  # fmt: skip
 
-    def _look(self) -> None:
-        """Figures for people, now and then; a change between settled and not is a line."""
+    def _update_metrics(self) -> None:
+        """Update the metrics once per interval, and log when the view becomes settled or unsettled."""
         if self._closed:
             return
-        self.loop.call_in(LOOK, self._look)
+        self.loop.call_in(METRICS_INTERVAL_NS, self._update_metrics)
         table = self.view.table
         for phase in Phase:
             self.members.labels(phase.name.lower()).set(sum(one.phase is phase for one in table.all()))
-        self.trouble.set(self.view.prober.health.score)
-        for series, counts, shown in (
-            (self.dropped, self.view.dropped, self._shown[0]),
-            (self.sent, self.edge.sent, self._shown[1]),
+        self.local_health.set(self.view.prober.health.score)
+        for metric, counts, exported in (
+            (self.dropped, self.view.dropped, self._exported[0]),
+            (self.sent, self.edge.sent, self._exported[1]),
         ):
             for label, count in counts.items():
-                series.labels(label).inc(count - shown[label])
-                shown[label] = count
+                metric.labels(label).inc(count - exported[label])
+                exported[label] = count
         reasons = self.view.unsettled()
         self.settled.set(not reasons)
         if self._reasons is None or bool(reasons) != bool(self._reasons):
             self.log.info("fleet: unsettled" if reasons else "fleet: settled", cause="; ".join(reasons))
         self._reasons = reasons
         differs = not reasons and table.live_count != self.configured
-        if differs and not self._differs:
+        if differs and not self._count_differs:
             self.log.warning(
                 "fleet: live brokers are not as many as configured", live=table.live_count,
-                configured=self.configured, effect="none on routing: shares go by the configured number",
+                configured=self.configured,
+                effect="none on routing: shares are computed from the configured count",
             )  # fmt: skip
-        self._differs = differs
+        self._count_differs = differs
 
-    # --- what is agreed ---
+    # --- the replicated log ---
 
-    def _maps(self, config: Config, boot: int) -> Callable[[Permits], "Maps | None"]:
-        """This broker's part in a new shard map; None without ``topology:``."""
+    def _map_factory(self, config: Config, boot: int) -> Callable[[Permits], "Maps | None"]:
+        """Factory of this broker's side of shard map changes; it returns None without ``topology:``."""
         entry = self.entry.topology
         if entry is None:
             return lambda machine: None
-        from quincepath.fleet.topology import Maps, Ports, configured_map  # only where maps may change
+        from quincepath.fleet.topology import Maps, Ports, configured_map  # loaded only if maps may change
 
         ports = Ports(
             brokers=lambda: tuple(sorted(self.brokers)),
@@ -223,25 +225,25 @@
             self.entry.member, boot, first, entry, machine, ports, self.log, wall=self.loop.system.wall_ns
         )
 
-    def _distribute(
+    def _start_distribution(
         self, config: Config, section: DistributionEntry, boot: int, seed: int, registry: CollectorRegistry
     ) -> None:
         """Take part in the distribution of the configuration."""
-        # Only where the configuration is distributed.
+        # Loaded only if the configuration is distributed.
         from quincepath.fleet.configuration_requests import ConfigurationRequests
         from quincepath.fleet.distribution import distribution_of, routed
 
         assert self.agreed is not None
         self.distribution = distribution_of(
-            config, self.entry, section, self.agreed, self.edge, boot, seed, self._expected, self._drop,
-            self.log, registry,
+            config, self.entry, section, self.agreed, self.edge, boot, seed, self._expected_brokers,
+            self._drop, self.log, registry,
         )  # fmt: skip
         self.requests = ConfigurationRequests(self.distribution, self.agreed)
         self.edge.on_agreed = routed(self.agreed.receive, self.distribution.receive)
         self.edge.on_way_lost = self.distribution.lost
 
-    def _expected(self) -> int:
-        """Brokers that should have the newest configuration: all members but those that left."""
+    def _expected_brokers(self) -> int:
+        """Brokers that should have the newest configuration: all members except those that left."""
         left = {belief.name for belief in self.view.table.all() if belief.phase is Phase.LEFT}
         return len(self.brokers - left)
 
@@ -253,29 +255,29 @@
     def _drop(self, cause: str) -> None:
         self.view.dropped[cause] += 1
 
-    def _applied(self) -> None:
-        """Something was agreed; drains are laid over the list at once."""
+    def _on_applied(self) -> None:
+        """Entries were committed: apply changed drains to the node list at once."""
         assert self.agreed is not None
         if self.distribution is not None:
             self.distribution.feed()
         names = frozenset(self.agreed.machine.drained())
         if names != self._drained:
             for name in sorted(names ^ self._drained):
-                said = "drain agreed" if name in names else "drain is over"
-                self.log.info(f"fleet: {said}", node=name, index=self.agreed.applied)
+                event = "drain agreed" if name in names else "drain is over"
+                self.log.info(f"fleet: {event}", node=name, index=self.agreed.applied)
             self._drained = names
             self.on_drained(names)
 
     def units(self) -> dict[str, Unit]:
-        """All brokers and holders that this broker knows of."""
+        """All brokers and holders that this broker knows."""
         found = {name: Unit(name, "broker") for name in sorted(self.brokers)}
-        for fact in self.holder_infos():
-            sets = tuple(sorted({self.sets[shard] for shard in fact.shards}))
-            found[fact.name] = Unit(fact.name, "holder", self.zone_name(fact.zone), sets)
+        for holder in self.holder_infos():
+            sets = tuple(sorted({self.set_of_shard[shard] for shard in holder.shards}))
+            found[holder.name] = Unit(holder.name, "holder", self.zone_name(holder.zone), sets)
         return found
 
-    def believed(self) -> dict[str, Reason]:
-        """Who is out by this broker's belief, and why."""
+    def unavailable(self) -> dict[str, Reason]:
+        """Brokers and holders that are unavailable as far as this broker knows, with the reason."""
         phases = {"dead": Reason.DEAD, "suspect": Reason.SUSPECT, "left": Reason.LEFT}
         found = {}
         for belief in self.view.table.all():
@@ -285,22 +287,22 @@
             if reason is not None:
                 found[belief.name] = reason
         now = self.loop.clock()
-        for fact in self.holder_infos():
-            if fact.phase.name != "READY" and fact.name not in self._drained:
-                found[fact.name] = Reason.DRAINING
-            elif fact.since and now < fact.since + self.ramp:
-                found[fact.name] = Reason.COLD
+        for holder in self.holder_infos():
+            if holder.phase.name != "READY" and holder.name not in self._drained:
+                found[holder.name] = Reason.DRAINING
+            elif holder.since and now < holder.since + self.ramp_time:
+                found[holder.name] = Reason.COLD
         return found
 
-    def _judge(self, command: Command) -> tuple[Command, str]:
-        """The leader's word: its limits and beliefs go into a grant; while unsettled it grants none."""
+    def _complete_grant(self, command: Command) -> tuple[Command, str]:
+        """Add the leader's limits and beliefs to a grant; it grants nothing while its view is unsettled."""
         if not isinstance(command, Grant):
             return command, ""
         reasons = self.view.unsettled()
         if reasons:
             return command, f"the view is not settled: {'; '.join(reasons)}"
         units = self.units()
-        both = sorted(self.brokers & {fact.name for fact in self.holder_infos()})
+        both = sorted(self.brokers & {holder.name for holder in self.holder_infos()})
         if both:
             return command, f"{both[0]} names a broker and a holder: rename one of them"
         if command.name not in units:
@@ -309,37 +311,37 @@
             kind: Limits(Limit(**one.total.model_dump()), Limit(**one.zone.model_dump()), one.ready_least)
             for kind, one in (("broker", self.entry.limits.brokers), ("holder", self.entry.limits.holders))
         }
-        out = {name: reason.name for name, reason in self.believed().items() if name != command.name}
+        out = {name: reason.name for name, reason in self.unavailable().items() if name != command.name}
         return msgspec.structs.replace(command, checks=checks(command.name, units, limits), out=out), ""
 
     def request(self, exchange: Exchange) -> bool:
         """Answer a request under ``/fleet/``; false for any other path."""
-        asked = exchange.request
-        if not asked.path.startswith("/fleet/"):
+        request = exchange.request
+        if not request.path.startswith("/fleet/"):
             return False
         if self.requests is not None and self.requests.request(exchange):
             return True
-        if asked.method == "POST":
-            self._order(exchange, asked.path.removeprefix("/fleet/"), asked.body)
+        if request.method == "POST":
+            self._run_command(exchange, request.path.removeprefix("/fleet/"), request.body)
             return True
-        page = self.page(asked.path)
+        page = self.page(request.path)
         exchange.respond(page.status, JSON, page.body)
         return True
 
-    def _order(self, exchange: Exchange, what: str, body: bytes) -> None:
-        """A command of people: ``drain``, ``undrain``, ``close``, ``halt`` or ``resume``, by JSON."""
+    def _run_command(self, exchange: Exchange, what: str, body: bytes) -> None:
+        """Run an operator's command: ``drain``, ``undrain``, ``close``, ``halt`` or ``resume``, as JSON."""
         try:
             order = read_order(what, body)
         except OrderError as error:
             exchange.respond(400, JSON, json.dumps({"error": str(error)}).encode())
             return
         if self.agreed is None:
-            said = {"error": "this broker's fleet: section names no keepers: nothing is agreed"}
-            exchange.respond(409, JSON, json.dumps(said).encode())
+            answer = {"error": "this broker's fleet: section names no keepers: nothing is agreed"}
+            exchange.respond(409, JSON, json.dumps(answer).encode())
             return
         if what in OF_MAPS and self.agreed.maps is None:
-            said = {"error": "this broker's fleet: section has no topology: the configured map stays"}
-            exchange.respond(409, JSON, json.dumps(said).encode())
+            answer = {"error": "this broker's fleet: section has no topology: the configured map stays"}
+            exchange.respond(409, JSON, json.dumps(answer).encode())
             return
         names = order.names or [""]
         results: dict[str, str] = {}
@@ -356,7 +358,7 @@
             self.agreed.command(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
 
     def page(self, path: str) -> Page:
-        """The answer to a path under ``/fleet/``."""
+        """Answer to a GET of a path under ``/fleet/``."""
         now, what = self.loop.clock(), path.removeprefix("/fleet/")
         wall = self.loop.system.wall_ns() / 1e9
         self.edge.step([])
@@ -378,18 +380,18 @@
         else:
             found = None
         if found is None:
-            said = "expected /fleet/view, /fleet/history or /fleet/explain/ and the name of a member"
+            error = "expected /fleet/view, /fleet/history or /fleet/explain/ and the name of a member"
             if self.agreed is not None:
-                said += ", /fleet/status or /fleet/agreed"
-            return Page(404, json.dumps({"error": said, "path": path}).encode())
+                error += ", /fleet/status or /fleet/agreed"
+            return Page(404, json.dumps({"error": error, "path": path}).encode())
         return Page(200, json.dumps(found).encode())
 
     def drain(self) -> None:
-        """Say that this broker drains."""
+        """Inform the other members that this broker drains."""
         self.edge.step([Drain()])
 
     def close(self) -> None:
-        """Say goodbye and give back the sockets."""
+        """Leave the fleet and close the sockets."""
         if not self._closed:
             self._closed = True
             if self.distribution is not None:
--- a/quincepath/fleet/view/__init__.py
+++ b/quincepath/fleet/view/__init__.py
@@ -1,7 +1,8 @@
-"""The view of the fleet that each member keeps: who is believed to live, by whose word, how settled it is.
+"""Each member's view of the fleet's membership: who is live, who reported it, whether the view is settled.
 
-``View`` is the machine: ``step`` takes inputs and gives outputs (``ports``), ``due`` is when it wants to be
-called without, ``unsettled`` says what keeps it from being settled. ``ViewSettings`` is how it is kept.
+``View`` is the state machine: ``step`` takes inputs and returns outputs (``ports``), ``due`` is the time at
+which it must be called without any input, ``unsettled`` lists the reasons why the view is not settled.
+``ViewSettings`` holds its parameters.
 """
 
 from quincepath.fleet.view.core import View
--- a/quincepath/fleet/view/core.py
+++ b/quincepath/fleet/view/core.py
@@ -1,11 +1,12 @@
-"""The view of the fleet as a machine: what came in and the time, in; what to send and what changed, out.
-
-SWIM: one member is probed each period, in shuffled rounds; who does not answer is probed through others,
-then suspected, then, if it does not refute, dead. Suspicions, deaths and refutations travel with the probes'
-messages. What Lifeguard added: local health, suspects told first, suspicions that shorten with independent
-accusers. Beyond: a belief about who it speaks to goes before all news; full exchanges where digests differ;
-the dead and unheard-of are tried now and then, so that halves find together. docs/design/fleet-view.md weighs
-each of these.
+"""The membership view as a state machine: it takes messages and the time, and returns messages and changes.
+
+SWIM: each period one member is probed, in shuffled rounds; a member that does not ack is probed indirectly
+through others, then suspected, and declared dead unless it refutes. Suspicions, deaths and refutations are
+piggybacked on the messages of the probes. From Lifeguard: local health, suspects informed first, and
+suspicion timeouts that shrink with independent accusers. In addition, what is believed about the receiver of
+a message goes before all other updates; full state exchanges run where digests differ; and dead and never
+heard members are pinged from time to time, so that the halves of a healed partition find each other.
+docs/design/fleet-view.md discusses each of these.
 """
 
 from collections.abc import Iterable
@@ -46,31 +47,31 @@
 
 
 class View(FailureDetector):
-    """One member's view. ``step`` takes what came in; ``due`` is when it is to be called without (ns)."""
+    """One member's view. ``step`` takes inputs; ``due`` is when it must be called without any (ns)."""
 
     def __init__(self, settings: ViewSettings, boot: int, seed: int, now: int) -> None:
         super().__init__(settings, boot, seed, now)
         self.table.put(self.own.belief(now), "begins")
         if not settings.peers:
-            self._enter()
+            self._finish_joining()
         self.due = max(self._next_due(), now)
 
-    # --- the machine ---
+    # --- steps ---
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]:
-        """Take in what came, do what is due."""
+        """Apply the inputs and run the timers that are due."""
         out: list[Output] = []
         self._out = out
         if self._left:
             return out
         if self.settings.local_health and now > self.due + self.settings.late:
-            self._stood_still(now, now - self.due)
+            self._on_stall(now, now - self.due)
         self.now = now
         for item in inputs:
-            self._take_in(item)
+            self._apply(item)
         if not self._left:
-            self._timers()
-        self._hand_over()
+            self._run_timers()
+        self._publish_changes()
         self.due = max(self._next_due(), now)
         return out
 
@@ -80,30 +81,30 @@
         due = [self.table.next_due(), self.exchanges.next_due(), self.prober.next_due(), self._trial_at]
         if len(self.gossip_queue):
             due.append(self._gossip_at)
-        if not self._round_open():
+        if not self._round_probe_open():
             due.append(self._probe_at)
         return min(due)
 
-    def _take_in(self, item: Input) -> None:
+    def _apply(self, item: Input) -> None:
         match item:
             case DatagramReceived(data):
-                self._message(data, MAX_DATAGRAM_BYTES, None)
-            case FrameReceived(line, data):
-                if line in self.exchanges.lines:
-                    self._message(data, MAX_FRAME_BYTES, line)
-            case ConnectionAccepted(line):
-                if not self.exchanges.take(line, self.now):
-                    self._out.append(CloseConnection(line))
-            case ConnectionClosed(line):
-                self._lost(line)
+                self._on_message(data, MAX_DATAGRAM_BYTES, None)
+            case FrameReceived(connection, data):
+                if connection in self.exchanges.connections:
+                    self._on_message(data, MAX_FRAME_BYTES, connection)
+            case ConnectionAccepted(connection):
+                if not self.exchanges.accept(connection, self.now):
+                    self._out.append(CloseConnection(connection))
+            case ConnectionClosed(connection):
+                self._on_closed(connection)
             case Drain(draining):
                 if self.own.drain(draining):
-                    self._say_own("its own word")
+                    self._put_own("its own word")
             case Leave():
                 self._leave()
 
-    def _hand_over(self) -> None:
-        """What changed goes to the news and to people."""
+    def _publish_changes(self) -> None:
+        """Queue changed beliefs for gossip, and put the changes into the outputs."""
         for name in self.table.updated:
             if not len(self.gossip_queue):
                 self._gossip_at = min(self._gossip_at, self.now + self.settings.gossip)
@@ -111,84 +112,87 @@
             belief = self.table.get(name)
             if belief is not None and name != self.settings.name:
                 if belief.live:
-                    self.prober.insert(name)
+                    self.prober.add_to_round(name)
                 if belief.phase is Phase.SUSPECT:
-                    self._look_for_oneself(belief)
+                    self._confirm_suspicion(belief)
         self.table.updated.clear()
         self._out.extend(self.table.changes)
         self.table.changes.clear()
 
-    def _stood_still(self, now: int, by: int) -> None:
-        """An own timer ran late: this member stopped or was starved, and accuses nobody for what it missed.
+    def _on_stall(self, now: int, by: int) -> None:
+        """A timer of this member ran late: it stalled or was starved, and suspects no member for what it
+        missed.
 
-        The machine measures this itself, from when it asked to be called: nobody has to tell it.
+        The state machine detects this itself, from the time at which it asked to be called.
         """
-        self.prober.stood_still(by)
+        self.prober.on_stall(by)
         self.table.extend_suspicions(by)
         self.last_stall_at = self.last_heard_at = now
 
-    # --- hearing ---
+    # --- receiving ---
 
-    def _message(self, data: bytes, most: int, line: int | None) -> None:
+    def _on_message(self, data: bytes, max_bytes: int, connection: int | None) -> None:
         try:
-            envelope = unpack(data, self.settings.fleet, self.settings.name, most)
+            envelope = unpack(data, self.settings.fleet, self.settings.name, max_bytes)
             if envelope.sender not in self.table.peers:
                 raise Rejected("unknown member")
-            self._speaker(envelope)
-            for about in envelope.news:
-                self._apply_state(about, envelope.sender)
+            self._on_sender(envelope)
+            for state in envelope.news:
+                self._apply_state(state, envelope.sender)
             body = body_of(envelope)
         except Rejected as error:
             self.dropped[error.cause] += 1
-            if line is not None:
-                self._hang_up(line)
+            if connection is not None:
+                self._close_connection(connection)
             return
-        if line is None:
-            self._datagram(envelope.sender, body)
+        if connection is None:
+            self._on_datagram(envelope.sender, body)
         else:
-            self._on_frame(line, envelope, body)
+            self._on_frame(connection, envelope, body)
 
-    def _speaker(self, envelope: Envelope) -> None:
-        """What a message says by itself: its sender lives, as this process, with this digest."""
+    def _on_sender(self, envelope: Envelope) -> None:
+        """Take in what every message says of its sender: it is live, as this process, with this digest."""
         me, now, name = envelope.me, self.now, envelope.sender
-        newest = self._newest(name, me.boot, envelope.count)
+        newest = self._is_newest(name, me.boot, envelope.count)
         self.last_heard_at = now
         self.table.apply_state(me, now, name)
         belief = self.table.beliefs[name]
         if belief.boot != me.boot:
             if newest:
-                self._stranger(name, me.boot)
+                self._on_other_process(name, me.boot)
         elif newest and belief.live:
             self.table.last_heard[name] = now
         if state_key(me)[:2] < belief.key[:2] and (not belief.live or belief.boot != me.boot):
-            self._correct(name)
+            self._send_correction(name)
         same = envelope.digest == self.table.digest
-        if self.exchanges.compare(name, same, now, self.table.changed_at) and belief.live:
-            self._exchange(name)
+        if self.exchanges.on_digest(name, same, now, self.table.changed_at) and belief.live:
+            self._start_exchange(name)
 
-    # --- time ---
+    # --- timers ---
 
-    def _timers(self) -> None:
+    def _run_timers(self) -> None:
         now = self.now
         self.table.expire_suspicions(now)
-        for line in [number for number, state in self.exchanges.lines.items() if now >= state.until]:
-            state = self.exchanges.lines[line]
-            if state.mine and not state.probe:
+        for connection in [
+            number for number, state in self.exchanges.connections.items() if now >= state.deadline
+        ]:
+            state = self.exchanges.connections[connection]
+            if state.outgoing and not state.probe:
                 self.exchanges.failed += 1
-            self._hang_up(line)
+            self._close_connection(connection)
         for probe in list(self.prober.probes.values()):
             self._on_probe_timer(probe)
-        for number, relay in list(self.prober.indirect_probes.items()):
-            self._relay_timer(number, relay)
-        if now >= self._probe_at and not self._round_open():
+        for number, indirect in list(self.prober.indirect_probes.items()):
+            self._on_indirect_timer(number, indirect)
+        if now >= self._probe_at and not self._round_probe_open():
             self._probe_next()
         if now >= self.exchanges.next_at:
-            self._regular_exchange()
-        if now >= self.exchanges.ask_at():
-            self._ask_for_digest()
+            self._start_regular_exchange()
+        if now >= self.exchanges.recheck_at():
+            self._recheck_digest()
         if now >= self._trial_at:
-            self._trial()
-        self._hand_over()
+            self._contact_absent()
+        self._publish_changes()
         if len(self.gossip_queue) and now >= self._gossip_at:
             self._gossip()
 
@@ -199,8 +203,8 @@
                 self._send(name, Gossip())
         self._gossip_at = self.now + self.settings.gossip if len(self.gossip_queue) else NEVER
 
-    # --- for people ---
+    # --- for operators ---
 
     def unsettled(self) -> list[str]:
-        """Why the view is not settled; empty where it is."""
+        """Why the view is not settled; empty if it is."""
         return unsettled_reasons(self)
--- a/quincepath/fleet/view/exchange.py
+++ b/quincepath/fleet/view/exchange.py
@@ -1,10 +1,11 @@
-"""When a member compares its whole view with another's, and the state of each such exchange.
-
-One line (a TCP connection) is one exchange: the caller sends ``Compare``; the answer is ``Same``, or ``Full``
-with all beliefs, which the caller answers with its own. Bounds: ``OWN_MOST`` called and ``TAKEN_MOST`` taken
-at once; a further caller is hung up on, and comes back at its next turn. A line may also carry one ping of a
-probe that datagrams did not answer: ``PROBES_MOST`` at once; one more is not opened, and its probe goes on by
-datagrams and helpers alone.
+"""Schedule of the full state exchanges, and the state of each open connection.
+
+One exchange uses one TCP connection: the initiator sends ``ExchangeRequest``; the answer is ``SameDigest``,
+or ``FullState`` with all beliefs, which the initiator answers with its own. At most ``MAX_OUTGOING``
+exchanges are open that this member initiated and ``MAX_ACCEPTED`` that others did; a further incoming
+connection is closed, and its initiator comes back at its next regular exchange. A connection may also carry
+one ping of a probe that was not answered by datagram: at most ``MAX_PROBE_CONNECTIONS`` of these are open;
+beyond that none is opened, and the probe continues by datagrams and indirect probes alone.
 """
 
 import random
@@ -13,22 +14,24 @@
 from quincepath.fleet.view.facts import SECOND, ViewSettings
 
 NEVER = 1 << 62
-OWN_MOST = 4
-TAKEN_MOST = 64
-PROBES_MOST = 8
-FRUITLESS_FOR = 30 * SECOND  # so long a difference that an exchange did not mend is left alone
-QUIET = SECOND  # so long a view must have stood before its difference from another's means anything
-JOIN_EVERY = SECOND // 2
+MAX_OUTGOING = 4
+MAX_ACCEPTED = 64
+MAX_PROBE_CONNECTIONS = 8
+# A digest difference that an exchange did not resolve starts no other exchange with the peer for this long.
+FRUITLESS_BACKOFF_NS = 30 * SECOND
+# A differing digest starts an exchange only if it has lasted this long, with no change of the own table.
+STABLE_NS = SECOND
+JOIN_RETRY_NS = SECOND // 2
 
 
 @dataclass(slots=True)
 class ExchangeConnection:
-    """One exchange that goes on; ``peer`` is empty while the caller has not said who it is."""
+    """One open connection; ``peer`` is empty until the initiator of an accepted one has identified itself."""
 
     peer: str
-    until: int
-    mine: bool
-    probe: int = 0  # the number of the probe that it is opened for; 0: an exchange
+    deadline: int
+    outgoing: bool
+    probe: int = 0  # the number of the probe that it was opened for; 0: an exchange
 
 
 class Exchanges:
@@ -36,93 +39,104 @@
 
     def __init__(self, settings: ViewSettings, source: random.Random, now: int) -> None:
         self.settings, self.random = settings, source
-        self.lines: dict[int, ExchangeConnection] = {}
+        self.connections: dict[int, ExchangeConnection] = {}
         self.opened_count = 0
         self.next_at = now
-        self.heal_at = now
-        self.done = self.failed = self.turned_away = self.unasked = 0
-        self.fruitless: dict[str, int] = {}  # by peer, until when its difference is left alone
-        self.differs: dict[str, int] = {}  # by peer, since when its digest is another one
-        self.said: dict[str, int] = {}  # of those in `differs`, when it was last heard or asked about
-        self.asked_at = now
-        self.agreed: dict[str, int] = {}  # by peer, when it was last the same
-
-    def call(self, peer: str, now: int) -> int:
-        """The number of a line that this member opens."""
+        self.next_heal_at = now
+        self.done = self.failed = self.rejected = self.probes_skipped = 0
+        self.backoff_until: dict[str, int] = {}  # by peer, until when a differing digest starts no exchange
+        self.differs_since: dict[str, int] = {}  # by peer, since when its digest differs
+        self.digest_at: dict[
+            str, int
+        ] = {}  # by peer in `differs_since`, when its digest was last seen or requested
+        self.rechecked_at = now
+        self.equal_at: dict[str, int] = {}  # by peer, when its digest was last the same
+
+    def open(self, peer: str, now: int) -> int:
+        """Register an outgoing exchange connection and return its number."""
         self.opened_count += 1
-        self.lines[self.opened_count] = ExchangeConnection(peer, now + self.settings.exchange_time, True)
+        self.connections[self.opened_count] = ExchangeConnection(
+            peer, now + self.settings.exchange_time, True
+        )
         return self.opened_count
 
-    def ask(self, peer: str, probe: int, until: int) -> int:
-        """The number of a line for one ping; 0 without room."""
-        if sum(line.probe > 0 for line in self.lines.values()) >= PROBES_MOST:
-            self.unasked += 1
+    def open_for_probe(self, peer: str, probe: int, deadline: int) -> int:
+        """Register a connection for one ping and return its number; 0 if the limit is reached."""
+        if sum(connection.probe > 0 for connection in self.connections.values()) >= MAX_PROBE_CONNECTIONS:
+            self.probes_skipped += 1
             return 0
         self.opened_count += 1
-        self.lines[self.opened_count] = ExchangeConnection(peer, until, True, probe)
+        self.connections[self.opened_count] = ExchangeConnection(peer, deadline, True, probe)
         return self.opened_count
 
-    def take(self, number: int, now: int) -> bool:
-        """Another member's call; whether there is room."""
-        if sum(not line.mine for line in self.lines.values()) >= TAKEN_MOST:
-            self.turned_away += 1
+    def accept(self, number: int, now: int) -> bool:
+        """Register an incoming connection; false if the limit is reached."""
+        if sum(not connection.outgoing for connection in self.connections.values()) >= MAX_ACCEPTED:
+            self.rejected += 1
             return False
-        self.lines[number] = ExchangeConnection("", now + self.settings.exchange_time, False)
+        self.connections[number] = ExchangeConnection("", now + self.settings.exchange_time, False)
         return True
 
-    def room(self, peer: str) -> bool:
-        """Whether a further one may be called."""
-        mine = [line for line in self.lines.values() if line.mine and not line.probe]
-        return len(mine) < OWN_MOST and all(line.peer != peer for line in mine)
+    def has_room(self, peer: str) -> bool:
+        """Whether another exchange may be started with ``peer``."""
+        outgoing = [one for one in self.connections.values() if one.outgoing and not one.probe]
+        return len(outgoing) < MAX_OUTGOING and all(one.peer != peer for one in outgoing)
 
     def schedule_next(self, now: int, joining: bool) -> None:
-        """Set the time of the next regular one."""
-        wait = JOIN_EVERY if joining else self.settings.exchange
+        """Set the time of the next regular exchange."""
+        wait = JOIN_RETRY_NS if joining else self.settings.exchange
         self.next_at = now + int(wait * (0.5 + self.random.random()))
 
-    def compare(self, peer: str, same: bool, now: int, changed_at: int) -> bool:
-        """A digest was seen; whether it should be asked about at once."""
+    def on_digest(self, peer: str, same: bool, now: int, changed_at: int) -> bool:
+        """Record a peer's digest; whether an exchange with it should start now."""
         if same:
             self.forget(peer)
-            self.agreed[peer] = now
+            self.equal_at[peer] = now
             return False
-        self.differs.setdefault(peer, now)
-        self.said[peer] = now
-        quiet = now >= changed_at + QUIET and now >= self.differs[peer] + QUIET
-        if not quiet or now < self.heal_at or now < self.fruitless.get(peer, 0) or not self.room(peer):
+        self.differs_since.setdefault(peer, now)
+        self.digest_at[peer] = now
+        stable = now >= changed_at + STABLE_NS and now >= self.differs_since[peer] + STABLE_NS
+        if (
+            not stable
+            or now < self.next_heal_at
+            or now < self.backoff_until.get(peer, 0)
+            or not self.has_room(peer)
+        ):
             return False
-        self.heal_at = now + self.settings.heal
+        self.next_heal_at = now + self.settings.heal
         return True
 
     def forget(self, peer: str) -> None:
-        """No other digest is held by it any more, or it has gone."""
-        self.differs.pop(peer, None)
-        self.said.pop(peer, None)
+        """Drop a peer whose digest is equal again, or that is gone."""
+        self.differs_since.pop(peer, None)
+        self.digest_at.pop(peer, None)
 
-    def ask_at(self) -> int:
-        """When one of those that held another view is to be asked whether it still does.
+    def recheck_at(self) -> int:
+        """When the next peer with a differing digest is to be pinged, to learn whether it still differs.
 
-        In a large fleet a member speaks to this one once in a minute: what it said while news were on their
-        way would stand for as long. One a ``recheck``, each at most once a second.
+        In a large fleet a member sends to this one only once a minute: a digest that it sent while gossip was
+        still spreading would count for as long. One ping per ``recheck`` interval, to each peer at most once
+        a second.
         """
-        if not self.said or not self.settings.recheck:
+        if not self.digest_at or not self.settings.recheck:
             return NEVER
-        return max(self.asked_at + self.settings.recheck, min(self.said.values()) + QUIET)
+        return max(self.rechecked_at + self.settings.recheck, min(self.digest_at.values()) + STABLE_NS)
 
-    def to_ask(self, now: int) -> str:
-        """The one that was heard or asked longest ago."""
-        name = min(self.said, key=self.said.__getitem__)
-        self.said[name] = self.asked_at = now
+    def next_recheck(self, now: int) -> str:
+        """The peer whose digest was seen or requested longest ago; it counts as requested now."""
+        name = min(self.digest_at, key=self.digest_at.__getitem__)
+        self.digest_at[name] = self.rechecked_at = now
         return name
 
-    def ended(self, peer: str, now: int, fruitful: bool) -> None:
-        """One of this member's own came to its end."""
+    def on_completed(self, peer: str, now: int, useful: bool) -> None:
+        """An exchange that this member initiated is complete; ``useful``: it changed something, or nothing
+        differed."""
         self.done += 1
-        if fruitful:
-            self.fruitless.pop(peer, None)
+        if useful:
+            self.backoff_until.pop(peer, None)
         else:
-            self.fruitless[peer] = now + FRUITLESS_FOR
+            self.backoff_until[peer] = now + FRUITLESS_BACKOFF_NS
 
     def next_due(self) -> int:
-        """When a line has lasted too long, or the next regular exchange is due."""
-        return min([self.next_at, self.ask_at(), *(line.until for line in self.lines.values())])
+        """When the next connection times out, or the next regular exchange or recheck is due."""
+        return min([self.next_at, self.recheck_at(), *(one.deadline for one in self.connections.values())])
--- a/quincepath/fleet/view/facts.py
+++ b/quincepath/fleet/view/facts.py
@@ -1,4 +1,4 @@
-"""What a member believes of another, and which of two beliefs holds. Times: ns of its own clock."""
+"""Beliefs about members and their order of precedence. Times are ns of the member's own clock."""
 
 import hashlib
 import math
@@ -12,7 +12,7 @@
 
 
 class Phase(IntEnum):
-    """In the order in which one replaces another at the same incarnation."""
+    """In order of precedence: at the same incarnation a higher phase replaces a lower one."""
 
     JOINING = 0
     ALIVE = 1
@@ -21,93 +21,95 @@
     LEFT = 4
 
 
-LIVE_PHASES = (Phase.JOINING, Phase.ALIVE, Phase.SUSPECT)  # what has not been given up
+LIVE_PHASES = (Phase.JOINING, Phase.ALIVE, Phase.SUSPECT)
 Key = tuple[int, int, int]  # incarnation, phase, boot
 
 
 @dataclass(slots=True, frozen=True)
 class ViewSettings:
-    """How a view is kept. Periods in ns; the defaults are for links of a few milliseconds."""
+    """Parameters of the protocol, durations in ns. Defaults suit links with a latency of a few
+    milliseconds."""
 
     fleet: str
     name: str
-    peers: tuple[str, ...]  # all other members that may be; who is not among them is a stranger
-    join: tuple[str, ...] = ()  # asked first when joining; else any peer
+    peers: tuple[str, ...]  # all other configured members; any other name is unknown
+    join: tuple[str, ...] = ()  # contacted first when joining; if empty, any peer
     zone: str = ""
     version: str = ""
     config: str = ""
     period: int = 500 * MS  # between probes of this member
-    ack_time: int = 150 * MS  # until others are asked to probe as well
-    again: int = 75 * MS  # between pings of one probe, until it is answered or ends; 0: only one is sent
-    helpers: int = 3  # how many are asked
-    stream: bool = True  # where others are asked, the target is also asked on a line
-    gossip: int = 200 * MS  # between tellings, while there is news
-    fanout: int = 3  # members told at once
-    floor: int = 1500 * MS  # least time of a suspicion
-    ceiling_periods: float = 4.0  # longest time of a suspicion: so many periods times log2(members + 1)
-    accusers: int = 3  # independent further accusers at which a suspicion takes its least time
-    exchange: int = 10 * SECOND  # between full exchanges with one member
-    heal: int = 2 * SECOND  # least time between exchanges because digests differ
-    recheck: int = 200 * MS  # between pings to members whose last digest was another one; 0: none
-    exchange_time: int = 3 * SECOND  # until an exchange that makes no progress is given up
-    trial: int = 3 * SECOND  # between contacts of one that is believed dead or was never heard
-    reclaim: int = 600 * SECOND  # until one that is dead or has left is no longer told of
-    settle: int = 3 * SECOND  # without a change, until the view may be called settled
-    late: int = 100 * MS  # a timer that runs so much late tells of trouble of this member's own
-    local_health: bool = True  # the three parts of Lifeguard; off for comparison only
-    told_first: bool = True
-    shrinking: bool = True
+    ack_time: int = 150 * MS  # without an ack, until helpers are asked to probe the target
+    again: int = 75 * MS  # between pings of one probe, until it is acked or ends; 0: only one is sent
+    helpers: int = 3  # members asked for an indirect probe
+    stream: bool = True  # with the indirect probes, also ping the target over TCP
+    gossip: int = 200 * MS  # between gossip rounds, while anything is queued
+    fanout: int = 3  # members per gossip round
+    floor: int = 1500 * MS  # minimum suspicion timeout
+    ceiling_periods: float = 4.0  # maximum suspicion timeout, in periods times log2(members + 1)
+    accusers: int = 3  # further independent accusers at which the timeout reaches its minimum
+    exchange: int = 10 * SECOND  # between regular full state exchanges, each with one member
+    heal: int = 2 * SECOND  # minimum interval of exchanges that a differing digest triggers
+    recheck: int = 200 * MS  # between pings to members whose last digest differed; 0: none
+    exchange_time: int = 3 * SECOND  # without progress, until an exchange is abandoned
+    trial: int = 3 * SECOND  # between pings to a member that is dead, has left or was never heard from
+    reclaim: int = 600 * SECOND  # until a dead or left member is no longer gossiped
+    settle: int = 3 * SECOND  # without a change, until the view may count as settled
+    late: int = 100 * MS  # a timer later than this indicates that this member itself is slow
+    # The three parts of Lifeguard; switched off only for comparisons.
+    local_health: bool = True  # longer timeouts while this member is slow
+    told_first: bool = True  # the suspect itself is informed first
+    shrinking: bool = True  # each accuser shortens the suspicion timeout
 
     def max_suspicion_timeout(self, members: int) -> int:
-        """ns, for so many living members."""
+        """Maximum suspicion timeout in ns, for this number of live members."""
         return max(int(self.ceiling_periods * self.period * math.log2(members + 1)), self.floor)
 
     def max_transmits(self, members: int) -> int:
-        """How often one piece of news is told by each member."""
+        """How often each member sends one update."""
         return 3 + math.ceil(math.log2(members + 1))
 
     def suspicion_timeout(self, members: int, accusers: int) -> int:
-        """How long a suspicion stands until it counts as a death: shorter with each independent accuser."""
-        longest = self.max_suspicion_timeout(members)
-        wanted = min(self.accusers, max(members - 2, 0))  # all but the first and the suspect itself
+        """Time from a suspicion until the member counts as dead; each independent accuser shortens it."""
+        maximum = self.max_suspicion_timeout(members)
+        needed = min(self.accusers, max(members - 2, 0))  # excludes the first accuser and the suspect itself
         if not self.shrinking:
-            return longest
-        if not wanted:
+            return maximum
+        if not needed:
             return self.floor
-        share = math.log(min(accusers - 1, wanted) + 1) / math.log(wanted + 1)
-        return int(longest - (longest - self.floor) * share)
+        share = math.log(min(accusers - 1, needed) + 1) / math.log(needed + 1)
+        return int(maximum - (maximum - self.floor) * share)
 
 
 @dataclass(slots=True)
 class Belief:
-    """What is believed of one member. ``since``: when its phase began, as far as is known."""
+    """What this member believes about another one. ``since``: when the phase began, as far as is known."""
 
     name: str
     boot: int
     incarnation: int
     phase: Phase
     since: int
-    told_by: str  # who told this member
+    told_by: str  # the member that reported it
     told_at: int
     accusers: list[str] = field(default_factory=list)
     draining: bool = False
     zone: str = ""
     version: str = ""
     config: str = ""
-    reclaimed: bool = False  # dead for so long that it is no longer told of; only its order is kept
+    reclaimed: bool = False  # dead for so long that it is not gossiped; kept only to reject older states
 
     @property
     def key(self) -> Key:
-        """The larger one holds."""
+        """Precedence: the larger key wins."""
         return self.incarnation, int(self.phase), self.boot
 
     @property
     def live(self) -> bool:
-        """Whether it is not given up."""
+        """Whether the member is neither dead nor left."""
         return self.phase in LIVE_PHASES
 
     def to_state(self, now: int) -> MemberState:
-        """For telling."""
+        """The form that is sent to others."""
         aged = self.phase in (Phase.SUSPECT, Phase.DEAD, Phase.LEFT)
         age = max(now - self.since, 0) // MS if aged else 0
         return MemberState(
@@ -116,27 +118,27 @@
         )  # fmt: skip
 
     def digest_share(self) -> int:
-        """Its share of the digest: who lives, and as what."""
+        """Contribution to the digest, which covers the name, boot and incarnation of each live member."""
         text = f"{self.name}\0{self.boot}\0{self.incarnation}"
         return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest()) >> 1
 
 
-def state_key(about: MemberState) -> Key:
-    """The order of what is told."""
-    return about.incarnation, about.phase, about.boot
+def state_key(state: MemberState) -> Key:
+    """Precedence of a received state."""
+    return state.incarnation, state.phase, state.boot
 
 
-def belief_from_state(about: MemberState, now: int, told_by: str) -> Belief:
-    """What is told, as believed from now on."""
+def belief_from_state(state: MemberState, now: int, told_by: str) -> Belief:
+    """The belief that a received state amounts to."""
     return Belief(
-        about.name, about.boot, about.incarnation, Phase(about.phase), now - about.age * MS, told_by, now,
-        list(about.accusers), about.draining, about.zone, about.version, about.config,
+        state.name, state.boot, state.incarnation, Phase(state.phase), now - state.age * MS, told_by, now,
+        list(state.accusers), state.draining, state.zone, state.version, state.config,
     )  # fmt: skip
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A belief has changed; for logs, metrics and the history."""
+    """A change of belief, for logs, metrics and the history."""
 
     at: int
     name: str
--- a/quincepath/fleet/view/gossip_queue.py
+++ b/quincepath/fleet/view/gossip_queue.py
@@ -1,7 +1,7 @@
-"""Which news goes along with the next message: what was told least often first, within one datagram.
+"""Queue of updates to piggyback on the next messages: least transmitted first, within one datagram.
 
-Bounds: one entry a member, the newest; each is told a number of times that grows with the logarithm of the
-fleet, and dropped then. What is lost all the same, full exchanges bring.
+At most one entry per member, the newest. Each is sent a number of times that grows with the logarithm of the
+fleet size, and then dropped. Full state exchanges deliver what is lost all the same.
 """
 
 import heapq
@@ -9,54 +9,55 @@
 
 from quincepath.fleet.messages import MAX_DATAGRAM_BYTES, MemberState, encoded_size
 
-HEAD = 16  # bytes that the news of a message take beside themselves
-MOST = 32  # pieces looked at for one message
+OVERHEAD_BYTES = 16  # bytes that the list of updates takes in a message, beside the updates themselves
+MAX_EXAMINED = 32  # updates considered for one message
 
 
 class GossipQueue:
-    """Names that there is something to tell of, and how often each was told."""
+    """Names of members with an update to send, and how often each was sent."""
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[int, int]] = {}  # sendings, then the order of arrival (newest first)
+        self._queued: dict[str, tuple[int, int]] = {}  # transmits, then the order of arrival (newest first)
         self._count = 0
 
     def __len__(self) -> int:
-        return len(self._told)
+        return len(self._queued)
 
     def add(self, name: str) -> None:
-        """Something new is believed of this member."""
+        """Queue an update of this member, in place of an older one."""
         self._count += 1
-        self._told[name] = (0, -self._count)
+        self._queued[name] = (0, -self._count)
 
     def choose(
         self,
         room: int,
-        most_sendings: int,
-        about: Callable[[str], MemberState | None],
+        max_transmits: int,
+        state_of: Callable[[str], MemberState | None],
         first: Iterable[MemberState] = (),
     ) -> list[MemberState]:
-        """What to tell in ``room`` bytes; ``first`` goes before all else and is not counted as told."""
+        """Updates that fit into ``room`` bytes; ``first`` goes before all others and does not count as
+        sent."""
         chosen: list[MemberState] = []
-        room = min(room, MAX_DATAGRAM_BYTES) - HEAD
-        for one in first:
-            room -= encoded_size(one)
+        room = min(room, MAX_DATAGRAM_BYTES) - OVERHEAD_BYTES
+        for state in first:
+            room -= encoded_size(state)
             if room >= 0:
-                chosen.append(one)
-        names = {one.name for one in chosen}
-        for name in heapq.nsmallest(MOST, self._told, key=self._told.__getitem__):
+                chosen.append(state)
+        names = {state.name for state in chosen}
+        for name in heapq.nsmallest(MAX_EXAMINED, self._queued, key=self._queued.__getitem__):
             if name in names:
                 continue
-            found = about(name)
+            found = state_of(name)
             if found is None:
-                del self._told[name]
+                del self._queued[name]
                 continue
             room -= encoded_size(found)
             if room < 0:
                 break
             chosen.append(found)
-            max_transmits, order = self._told[name]
-            if max_transmits + 1 >= most_sendings:
-                del self._told[name]
+            transmits, order = self._queued[name]
+            if transmits + 1 >= max_transmits:
+                del self._queued[name]
             else:
-                self._told[name] = (max_transmits + 1, order)
+                self._queued[name] = (transmits + 1, order)
         return chosen
--- a/quincepath/fleet/view/ports.py
+++ b/quincepath/fleet/view/ports.py
@@ -1,4 +1,4 @@
-"""What goes into a view's step, and what comes out of it."""
+"""Inputs and outputs of a view's step."""
 
 from dataclasses import dataclass
 
@@ -9,21 +9,21 @@
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """A datagram."""
+    """A datagram arrived."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionAccepted:
-    """Somebody opened a line to this member; the edge's number of it is below 0."""
+    """Another member opened a connection to this one; its number, given by the edge, is negative."""
 
     connection: int
 
 
 @dataclass(slots=True, frozen=True)
 class FrameReceived:
-    """One message on a line."""
+    """A message arrived on a connection."""
 
     connection: int
     data: bytes
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionClosed:
-    """A line has ended, or could not be had."""
+    """A connection ended, or could not be established."""
 
     connection: int
     reason: str
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """This broker drains, or does so no longer."""
+    """This broker starts or stops draining."""
 
     draining: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class Leave:
-    """This member goes; nothing is sent after this step."""
+    """This member leaves; nothing is sent after this step."""
 
 
 Input = DatagramReceived | ConnectionAccepted | FrameReceived | ConnectionClosed | Drain | Leave
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """A datagram for a member."""
+    """Send a datagram to a member."""
 
     to: str
     data: bytes
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenConnection:
-    """Open a line to a member; what is framed before it stands waits."""
+    """Connect to a member; frames sent before it is established wait."""
 
     connection: int
     to: str
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendFrame:
-    """A message for a line."""
+    """Send a message on a connection."""
 
     connection: int
     data: bytes
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseConnection:
-    """Close a line when what was framed has gone out; ``at_once``: nobody waits for that any more."""
+    """Close a connection once its frames are sent; ``at_once``: nobody needs those any more, drop them."""
 
     connection: int
     at_once: bool = False
@@ -89,7 +89,8 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorNotice:
-    """Something for people, beside the changes: a clone, a yield."""
+    """An event for operators that is no change of belief: two processes of one name, or one of them
+    yielding."""
 
     kind: str
     text: str
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,7 +1,7 @@
-"""Several broker processes with faults between them, under query load; and one fleet without a relay.
+"""Broker processes with injected faults under query load, and one fleet without the fault injecting relay.
 
-Real time, but every wait is for a condition with a generous end. The scripts are short forms of those in
-examples/fleet/: CI plays these, `quincepath rehearse --sockets` plays those.
+Real time, but each wait is for a condition with a generous timeout. The scripts are short forms of those in
+examples/fleet/: CI runs these, `quincepath rehearse --sockets` runs those.
 """
 
 import json
@@ -32,7 +32,7 @@
 from tests.test_config import SOUND
 
 HALVES = [["b0", "b1", "b2"], ["b3", "b4", "b5", "b6"]]
-LONGEST = 60.0  # seconds that a test waits for something
+MAX_WAIT_S = 60.0  # for a condition
 SCRIPTS: dict[str, dict[str, Any]] = {
     "pause, one-sided link, back without memory": {
         "members": 7,
@@ -81,21 +81,21 @@
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_views_settle_and_no_rule_breaks_while_processes_fail(name: str, tmp_path: Path) -> None:
+def test_views_settle_and_no_invariant_breaks_while_processes_fail(name: str, tmp_path: Path) -> None:
     script = FleetScript.model_validate({"about": name, "length": "60s", "seed": 3, **SCRIPTS[name]})
     run = FleetRun(script, None, tmp_path)
     figures = run.play()
     assert figures["findings"] == [] and not figures["void"], figures
     assert figures["answers"].get("whole", 0) > 50
     for seat in run.seats.values():
-        assert seat.process is None  # none is left behind
+        assert seat.process is None  # no process is left behind
     lines = [line for _, line in read(tmp_path / "clients.jsonl")]
     killed = sum(entry["kind"] in ("kill", "skew", "flap") for entry in SCRIPTS[name]["faults"])
     assert sum(isinstance(line, Halt) and line.killed for line in lines) >= killed
     assert sum(isinstance(line, Mark) and line.what.startswith("up ") for line in lines) >= script.members
 
 
-def test_a_fleet_that_stays_apart_is_a_finding(tmp_path: Path) -> None:
+def test_fleet_that_stays_partitioned_is_a_finding(tmp_path: Path) -> None:
     script = FleetScript.model_validate(
         {"about": "a link that nobody mends", "members": 3, "length": "12s", "expect": {"settle": "8s"}}
     )
@@ -106,7 +106,7 @@
     assert "b1 lacks ['b0']" in findings and "different digests" in findings
 
 
-def test_a_death_is_false_only_of_one_that_runs_and_was_not_disturbed() -> None:
+def test_death_is_false_only_for_a_running_undisturbed_member() -> None:
     watcher = Watcher()
     watcher.started("b1", 0)
     watcher.started("b2", 0)
@@ -121,11 +121,11 @@
     assert (watcher.deaths[0].doubted, watcher.deaths[0].known) == (21 * SECOND, 22 * SECOND)
 
 
-# --- a fleet without a relay, looked at as operators do ---
+# --- a fleet without a relay, seen through the operators' interfaces ---
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that were free a moment ago."""
+    """Ports that were free just now."""
     socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [int(sock.getsockname()[1]) for sock in socks]
     for sock in socks:
@@ -133,8 +133,8 @@
     return ports
 
 
-class Three:
-    """Three brokers that know each other by one list."""
+class ThreeBrokers:
+    """Three brokers with the same list of peers."""
 
     def __init__(self, folder: Path) -> None:
         ports = free_ports(3)
@@ -164,8 +164,8 @@
 
 
 @pytest.fixture
-def three(tmp_path: Path) -> Iterator[Three]:
-    fleet = Three(tmp_path)
+def three(tmp_path: Path) -> Iterator[ThreeBrokers]:
+    fleet = ThreeBrokers(tmp_path)
     yield fleet
     for child in fleet.brokers:
         child.stop()
@@ -176,10 +176,10 @@
     return result.exit_code, result.output
 
 
-def until(true: Callable[[], bool]) -> None:
-    end = time.monotonic() + LONGEST
-    while not true():
-        assert time.monotonic() < end, "it did not come about in time"
+def until(condition: Callable[[], bool]) -> None:
+    end = time.monotonic() + MAX_WAIT_S
+    while not condition():
+        assert time.monotonic() < end, "the condition did not become true in time"
         time.sleep(0.05)
 
 
@@ -187,45 +187,45 @@
     return {row["name"]: row["phase"] for row in json.loads(ask("view", "--at", at, "--json")[1])["members"]}
 
 
-def test_operators_see_who_is_believed_what_and_why(three: Three) -> None:
+def test_operators_see_the_phase_of_each_member_and_why(three: ThreeBrokers) -> None:
     at = three.metrics[0]
     until(lambda: ask("view", "--at", at)[0] == 0)  # settled
-    code, said = ask("view", "--at", at)
-    assert code == 0 and "3 live, 4 configured; settled" in said and "never heard" not in said
+    code, output = ask("view", "--at", at)
+    assert code == 0 and "3 live, 4 configured; settled" in output and "never heard" not in output
     page = json.loads(ask("view", "--at", at, "--json")[1])
     assert {row["config"] for row in page["members"]} == {page["members"][0]["config"]} != {""}
     assert "b1 as b0 sees it: alive" in ask("explain", "b1", "--at", at)[1]
     three.brokers[1].signal(signal.SIGTERM)
     three.brokers[2].kill()
     until(lambda: phases(at)["b1"] == "left" and phases(at)["b2"] == "dead")
-    code, said = ask("explain", "b2", "--at", at)
-    assert "dead for" in said and "no answer to b0" in said and "suspect" in said
+    code, output = ask("explain", "b2", "--at", at)
+    assert "dead for" in output and "no answer to b0" in output and "suspect" in output
     changes = json.loads(ask("history", "--at", at, "--json")[1])
     assert [one["now"] for one in changes if one["name"] == "b2"][-2:] == ["suspect", "dead"]
     assert "b2" in ask("history", "--at", at)[1]
-    assert ask("view", "--at", at)[0] == 3  # just changed
-    told = [line for line in three.log(0) if line["event"] == "fleet: belief changed"]
-    assert [line["level"] for line in told if line["node"] == "b2"][-1] == "warning"
+    assert ask("view", "--at", at)[0] == 3  # a recent change
+    changed = [line for line in three.log(0) if line["event"] == "fleet: belief changed"]
+    assert [line["level"] for line in changed if line["node"] == "b2"][-1] == "warning"
     for event in ("fleet: settled", "fleet: live brokers are not as many as configured"):
         until(lambda wanted=event: wanted in {line["event"] for line in three.log(0)})  # type: ignore[misc]
-    code, said = ask("explain", "b9", "--at", at)
-    assert code == 1 and "expected /fleet/view" in said
+    code, output = ask("explain", "b9", "--at", at)
+    assert code == 1 and "expected /fleet/view" in output
     with urllib.request.urlopen(f"{at}/metrics") as response:
         page_text = response.read().decode()
     assert 'quincepath_fleet_members{phase="dead"} 1.0' in page_text
     assert "quincepath_fleet_configured 4.0" in page_text
 
 
-def test_what_cannot_be_reached_is_said_with_status_one() -> None:
-    code, said = ask("view", "--at", "http://127.0.0.1:1")
-    assert code == 1 and "no answer" in said
+def test_unreachable_member_is_reported_with_status_one() -> None:
+    code, output = ask("view", "--at", "http://127.0.0.1:1")
+    assert code == 1 and "no answer" in output
     assert ask("history", "--at", "nonsense")[0] == 1
 
 
-# --- off means off, and wrong files ---
+# --- no fleet section, and invalid ones ---
 
 
-def test_without_a_fleet_section_nothing_of_it_is_loaded_and_its_pages_are_not_there() -> None:
+def test_without_a_fleet_section_no_fleet_module_is_loaded() -> None:
     script = (
         "import sys\n"
         "from quincepath.broker.service import Broker\n"
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("name: b2", "name: b1", "'b1' stands twice"),
         ("127.0.0.1:7002", "127.0.0.1:7001", "share 127.0.0.1:7001"),
@@ -266,13 +266,13 @@
         ("member: b0", "member: b0\n  fanout: 9", "unknown key"),
     ],
 )
-def test_a_wrong_fleet_section_is_refused_by_place_and_value(old: str, new: str, said: str) -> None:
+def test_invalid_fleet_section_is_rejected_with_place_and_value(old: str, new: str, message: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(SOUND + FLEET.replace(old, new), Config, "f.yaml")
-    assert said in str(error.value) and "f.yaml:" in str(error.value)
+    assert message in str(error.value) and "f.yaml:" in str(error.value)
 
 
-def test_the_digest_of_a_configuration_leaves_out_who_a_broker_is() -> None:
+def test_configuration_digest_ignores_the_identity_of_the_broker() -> None:
     one = parse(SOUND + FLEET, Config, "f")
     other = parse(
         SOUND + FLEET.replace("b0", "b9") + "broker: {number: 2, brokers: 4, zone: x}\n", Config, "f"
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,6 +1,6 @@
-"""The view of the fleet: hard cases as scripts in virtual time, and what must hold in any order of events.
+"""The membership view: fault scripts in virtual time, and properties that hold in any order of events.
 
-The scripts of examples/fleet/ are the same that play over processes.
+The scripts of examples/fleet/ also run against real processes.
 """
 
 import copy
@@ -51,7 +51,7 @@
 SCRIPTS = sorted(Path("examples/fleet").glob("*.yaml"))
 
 
-def day(members: int, faults: list[dict[str, Any]], length: str = "40s", **more: Any) -> FleetScript:
+def fleet_script(members: int, faults: list[dict[str, Any]], length: str = "40s", **more: Any) -> FleetScript:
     values = {"about": "a test", "members": members, "length": length, "faults": faults, **more}
     return FleetScript.model_validate(values)
 
@@ -61,12 +61,12 @@
 
 @pytest.mark.parametrize("path", SCRIPTS, ids=[path.stem for path in SCRIPTS])
 @pytest.mark.parametrize("seed", range(5))
-def test_views_are_equal_and_true_after_every_hard_case(path: Path, seed: int) -> None:
+def test_views_converge_to_the_truth_after_each_fault_script(path: Path, seed: int) -> None:
     verdict = play(load(path, FleetScript), seed)
     assert verdict.findings == []
 
 
-def test_the_same_script_and_seed_give_the_same_day() -> None:
+def test_same_script_and_seed_give_the_same_run() -> None:
     script = load(Path("examples/fleet/three-parts-and-restarts.yaml"), FleetScript)
     runs = []
     for _ in range(2):
@@ -76,52 +76,54 @@
     assert runs[0] == runs[1] and runs[0][1]
 
 
-def test_forty_join_through_one_that_then_dies() -> None:
+def test_forty_members_join_through_one_that_then_dies() -> None:
     names = [f"b{n}" for n in range(2, 42)]
     faults = [
         {"kind": "join", "at": "5s", "members": names},
         {"kind": "kill", "at": "5500ms", "last": "1s", "members": ["b0"]},
     ]
-    assert play(day(42, faults, absent=names, join=["b0"])).findings == []
+    assert play(fleet_script(42, faults, absent=names, join=["b0"])).findings == []
 
 
-def test_a_crash_is_known_to_two_hundred_within_seconds_and_costs_each_the_same_as_in_a_small_fleet() -> None:
+def test_two_hundred_members_learn_of_a_crash_within_seconds_at_constant_cost_per_member() -> None:
     figures = {}
     for members in (10, 200):
         faults = [{"kind": "kill", "at": "2s", "last": "1s", "members": ["b3"]}]
-        verdict = Virtual(day(members, faults, "24s"), 1, warm=True).run()
+        verdict = Virtual(fleet_script(members, faults, "24s"), 1, warm=True).run()
         assert verdict.findings == [] and verdict.deaths[0].known - verdict.deaths[0].at < 6 * SECOND
         figures[members] = verdict.bytes / verdict.member_seconds
     assert figures[200] < 1.5 * figures[10]
 
 
-def test_the_last_one_left_believes_the_others_dead_in_the_end() -> None:
+def test_last_live_member_eventually_declares_all_others_dead() -> None:
     names = [f"b{n}" for n in range(1, 5)]
     faults = [{"kind": "kill", "at": "5s", "last": "1s", "members": names}]
-    assert play(day(5, faults, "60s", expect={"settle": "45s"})).findings == []
+    assert play(fleet_script(5, faults, "60s", expect={"settle": "45s"})).findings == []
 
 
-def test_one_that_is_cut_off_accuses_nobody_at_first_and_says_that_it_hears_nobody() -> None:
+def test_isolated_member_suspects_nobody_at_first_and_reports_silence() -> None:
     rest = [f"b{n}" for n in range(6) if n != 2]
-    script = day(6, [{"kind": "split", "at": "5s", "last": "6s", "sides": [["b2"], rest]}], "40s")
+    script = fleet_script(6, [{"kind": "split", "at": "5s", "last": "6s", "sides": [["b2"], rest]}], "40s")
     world = Virtual(script)
     world.run(9 * SECOND)
-    lonely = world.members["b2"].view
-    assert [belief.name for belief in lonely.table.all() if not belief.live] == []
-    assert any(reason.startswith("nobody heard") for reason in lonely.unsettled())
+    isolated = world.members["b2"].view
+    assert [belief.name for belief in isolated.table.all() if not belief.live] == []
+    assert any(reason.startswith("nobody heard") for reason in isolated.unsettled())
     assert world.run().findings == []
 
 
-def test_a_flapping_member_costs_the_others_a_bounded_number_of_messages() -> None:
-    calm = play(day(7, [], "60s"))
+def test_flapping_member_causes_a_bounded_number_of_messages() -> None:
+    calm = play(fleet_script(7, [], "60s"))
     flap = play(
-        day(7, [{"kind": "flap", "at": "8s", "last": "30s", "members": ["b2"], "by": "700ms"}], "60s")
+        fleet_script(
+            7, [{"kind": "flap", "at": "8s", "last": "30s", "members": ["b2"], "by": "700ms"}], "60s"
+        )
     )
     assert flap.findings == []
     assert flap.messages < 2.5 * calm.messages
 
 
-def test_a_second_process_of_a_name_is_told_of_by_others_and_changes_nobodys_view() -> None:
+def test_second_process_of_a_name_is_reported_and_changes_no_view() -> None:
     world = Virtual(load(Path("examples/fleet/two-of-one-name.yaml"), FleetScript))
     world.run(45 * SECOND)
     for place, member in world.members.items():
@@ -134,11 +136,11 @@
     assert second.own.yielded and "another process has this member's name" in second.unsettled()
 
 
-# --- one member by itself ---
+# --- a single member ---
 
 
-class One:
-    """A member, fed by hand; the others are only names."""
+class SingleMember:
+    """One member whose inputs the test supplies; the other members are only names."""
 
     def __init__(self, others: int = 3, **changes: Any) -> None:
         self.now = 100 * SECOND
@@ -147,50 +149,50 @@
         self.view = View(self.settings, 77, 5, self.now)
         self.counts = 0
 
-    def feed(self, *inputs: Input) -> list[Output]:
+    def step(self, *inputs: Input) -> list[Output]:
         return self.view.step(self.now, inputs)
 
     def run(self, time: int) -> list[Output]:
-        """Let timers run on time."""
+        """Advance the time and run each timer when it is due."""
         out, end = [], self.now + time
         while self.view.due <= end:
             self.now = max(self.view.due, self.now)
-            out += self.feed()
+            out += self.step()
         self.now = end
         return out
 
-    def about(self, name: str, phase: Phase = Phase.ALIVE, incarnation: int = 1, **more: Any) -> MemberState:
+    def state(self, name: str, phase: Phase = Phase.ALIVE, incarnation: int = 1, **more: Any) -> MemberState:
         return MemberState(name, more.pop("boot", 7), incarnation, int(phase), **more)
 
-    def says(
+    def receive(
         self, name: str, body: Any = None, *news: MemberState, me: MemberState | None = None
     ) -> list[Output]:
-        """A datagram of another member arrives."""
+        """Receive a datagram from another member."""
         self.counts += 1
-        me = me or self.about(name)
+        me = me or self.state(name)
         data = pack("lab", "b0", me, 0, self.counts, Gossip() if body is None else body, news)
-        return self.feed(DatagramReceived(data))
+        return self.step(DatagramReceived(data))
 
-    def meet_all(self) -> None:
+    def hear_from_all(self) -> None:
         for name in self.settings.peers:
-            self.says(name)
+            self.receive(name)
 
-    def answer(self, out: list[Output], silent: str) -> None:
-        """All but one answer probes, and those that they are asked to make."""
-        for name, ping in sent(out, Ping):
+    def answer_all_but(self, out: list[Output], silent: str) -> None:
+        """Answer direct and indirect probes as if every member but ``silent`` were live."""
+        for name, ping in sent_messages(out, Ping):
             if name != silent and ping.number:
-                self.says(name, Ack(ping.number))
-        for name, ask in sent(out, messages.PingReq):
+                self.receive(name, Ack(ping.number))
+        for name, ask in sent_messages(out, messages.PingReq):
             if name != silent:
-                self.says(name, messages.Nack(ask.number) if ask.target == silent else Ack(ask.number))
+                self.receive(name, messages.Nack(ask.number) if ask.target == silent else Ack(ask.number))
 
     def phase(self, name: str) -> Phase | None:
         belief = self.view.table.get(name)
         return None if belief is None else belief.phase
 
 
-def sent(out: list[Output], kind: type) -> list[tuple[str, Any]]:
-    """Datagrams of a kind, with their receivers."""
+def sent_messages(out: list[Output], kind: type) -> list[tuple[str, Any]]:
+    """Bodies of a type in the sent datagrams, with their receivers."""
     found = []
     for one in out:
         if isinstance(one, SendDatagram):
@@ -201,7 +203,7 @@
     return found
 
 
-def told_about(out: list[Output], name: str) -> list[tuple[str, MemberState]]:
+def gossip_about(out: list[Output], name: str) -> list[tuple[str, MemberState]]:
     found = []
     for one in out:
         if isinstance(one, SendDatagram):
@@ -210,169 +212,171 @@
     return found
 
 
-def test_who_does_not_answer_is_suspected_told_first_and_dead_in_the_end() -> None:
-    one = One()
-    one.meet_all()
+def test_silent_member_is_suspected_informed_first_and_finally_dead() -> None:
+    one = SingleMember()
+    one.hear_from_all()
     out: list[Output] = []
     for _ in range(1000):
         if one.phase("b2") is Phase.SUSPECT:
             break
         out = one.run(10 * MS)
-        one.answer(out, "b2")
-    assert ("b2", Phase.SUSPECT) in [(to, Phase(about.phase)) for to, about in told_about(out, "b2")]
+        one.answer_all_but(out, "b2")
+    assert ("b2", Phase.SUSPECT) in [(to, Phase(about.phase)) for to, about in gossip_about(out, "b2")]
     for _ in range(1000):
-        one.answer(one.run(10 * MS), "b2")
+        one.answer_all_but(one.run(10 * MS), "b2")
     assert one.phase("b2") is Phase.DEAD and one.phase("b1") is one.phase("b3") is Phase.ALIVE
 
 
-def test_a_member_whose_own_timers_run_late_accuses_nobody_for_that_time() -> None:
-    one = One()
-    one.meet_all()
-    one.run(600 * MS)  # a probe is out
+def test_member_with_late_timers_suspects_nobody_for_that_time() -> None:
+    one = SingleMember()
+    one.hear_from_all()
+    one.run(600 * MS)  # a probe is open
     one.now += 5 * SECOND
-    out = one.feed()
+    out = one.step()
     assert not [item for item in out if isinstance(item, Change)]
     assert all(one.phase(name) is Phase.ALIVE for name in one.settings.peers)
     assert one.view.prober.health.score > 2
     assert "this member stood still or ran late" in one.view.unsettled()
 
 
-def test_a_suspicion_waits_longer_by_the_time_that_this_member_stood_still() -> None:
-    one = One()
-    one.meet_all()
-    one.says("b1", None, one.about("b2", Phase.SUSPECT, accusers=("b1", "b3")))
+def test_suspicion_is_extended_by_the_length_of_a_stall() -> None:
+    one = SingleMember()
+    one.hear_from_all()
+    one.receive("b1", None, one.state("b2", Phase.SUSPECT, accusers=("b1", "b3")))
     ends = one.view.table.suspicion_deadline(one.view.table.beliefs["b2"])
     one.now = ends + 3 * SECOND
-    one.says("b2", None, me=one.about("b2", incarnation=2))  # the refutation lay unread
+    one.receive("b2", None, me=one.state("b2", incarnation=2))  # the refutation lay unread during the stall
     assert one.phase("b2") is Phase.ALIVE
 
 
-def test_its_own_refutation_is_above_whatever_was_said() -> None:
-    one = One()
-    one.meet_all()
+def test_refutation_raises_the_incarnation_above_the_received_one() -> None:
+    one = SingleMember()
+    one.hear_from_all()
     for phase in (Phase.SUSPECT, Phase.DEAD, Phase.LEFT):
         before = one.view.own.incarnation
-        one.says("b1", None, MemberState("b0", 77, before + 4, int(phase)))
+        one.receive("b1", None, MemberState("b0", 77, before + 4, int(phase)))
         assert one.view.own.incarnation == before + 5
 
 
-def test_one_that_is_doubted_without_end_refutes_a_bounded_number_of_times() -> None:
-    one = One()
-    one.meet_all()
+def test_number_of_refutations_is_bounded() -> None:
+    one = SingleMember()
+    one.hear_from_all()
     for _ in range(100):
-        one.says("b1", None, MemberState("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
+        one.receive("b1", None, MemberState("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
     assert one.view.own.incarnation == 1 + own_state.MAX_REFUTES
     one.run(own_state.REFUTE_WINDOW_NS)
-    one.says("b1", None, MemberState("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
+    one.receive("b1", None, MemberState("b0", 77, one.view.own.incarnation, int(Phase.SUSPECT)))
     assert one.view.own.incarnation == 2 + own_state.MAX_REFUTES
 
 
-def test_a_replayed_message_is_no_sign_of_life() -> None:
-    one = One()
-    one.meet_all()
-    data = pack("lab", "b0", one.about("b2"), 0, 3, Gossip())
-    one.feed(DatagramReceived(data))
+def test_replayed_message_is_no_sign_of_life() -> None:
+    one = SingleMember()
+    one.hear_from_all()
+    data = pack("lab", "b0", one.state("b2"), 0, 3, Gossip())
+    one.step(DatagramReceived(data))
     first = one.view.table.last_heard["b2"]
     one.now += 3600 * SECOND
-    one.feed(DatagramReceived(data))
+    one.step(DatagramReceived(data))
     assert one.view.table.last_heard["b2"] == first
 
 
-def test_a_message_of_the_time_before_its_death_does_not_bring_a_member_back() -> None:
-    one = One(reclaim=10 * SECOND)
-    one.meet_all()
-    one.says("b1", None, one.about("b2", Phase.LEFT, 3))
+def test_state_older_than_a_departure_does_not_revive_a_reclaimed_member() -> None:
+    one = SingleMember(reclaim=10 * SECOND)
+    one.hear_from_all()
+    one.receive("b1", None, one.state("b2", Phase.LEFT, 3))
     assert one.phase("b2") is Phase.LEFT
     one.run(15 * SECOND)
-    assert one.phase("b2") is None  # no longer told of
-    one.says("b3", None, one.about("b2", Phase.ALIVE, 3))
+    assert one.phase("b2") is None  # reclaimed
+    one.receive("b3", None, one.state("b2", Phase.ALIVE, 3))
     assert one.phase("b2") is None
-    one.says("b3", None, one.about("b2", Phase.ALIVE, 4))
+    one.receive("b3", None, one.state("b2", Phase.ALIVE, 4))
     assert one.phase("b2") is Phase.ALIVE
 
 
-def test_another_word_of_a_death_gives_one_just_heard_time_to_refute() -> None:
-    one = One()
-    one.meet_all()
-    one.says("b1", None, one.about("b2", Phase.DEAD, accusers=("b1",)))
+def test_reported_death_of_a_recently_heard_member_is_only_a_suspicion() -> None:
+    one = SingleMember()
+    one.hear_from_all()
+    one.receive("b1", None, one.state("b2", Phase.DEAD, accusers=("b1",)))
     assert one.phase("b2") is Phase.SUSPECT
-    one.says("b2", None, me=one.about("b2", incarnation=2))
+    one.receive("b2", None, me=one.state("b2", incarnation=2))
     assert one.phase("b2") is Phase.ALIVE
 
 
-def test_who_leaves_says_so_to_several_and_sends_nothing_more() -> None:
-    one = One(others=5)
-    one.meet_all()
-    out = one.feed(Leave())
-    assert {to for to, about in told_about(out, "b0") if about.phase == Phase.LEFT} == set(one.settings.peers)
-    assert one.run(10 * SECOND) == [] and one.says("b1", Ping(3)) == []
+def test_leaving_member_informs_several_others_and_sends_nothing_more() -> None:
+    one = SingleMember(others=5)
+    one.hear_from_all()
+    out = one.step(Leave())
+    assert {to for to, about in gossip_about(out, "b0") if about.phase == Phase.LEFT} == set(
+        one.settings.peers
+    )
+    assert one.run(10 * SECOND) == [] and one.receive("b1", Ping(3)) == []
 
 
-def test_a_drain_is_told_with_a_count_of_its_own() -> None:
-    one = One()
-    one.meet_all()
+def test_drain_is_gossiped_with_a_new_incarnation() -> None:
+    one = SingleMember()
+    one.hear_from_all()
     one.run(SECOND)
-    one.feed(Drain())
-    news = told_about(one.run(SECOND), "b0")
+    one.step(Drain())
+    news = gossip_about(one.run(SECOND), "b0")
     assert news and all(about.draining and about.incarnation == 2 for _, about in news)
-    assert one.feed(Drain()) == []  # nothing new
+    assert one.step(Drain()) == []  # no change
 
 
-def test_a_probe_is_made_for_another_and_its_outcome_told() -> None:
-    one = One()
-    one.meet_all()
-    number = sent(one.says("b1", messages.PingReq(9, "b2")), Ping)[0][1].number
-    assert sent(one.run(200 * MS), messages.Nack) == [("b1", messages.Nack(9))]
-    assert ("b1", Ack(9)) in sent(one.says("b2", Ack(number)), Ack)
+def test_indirect_probe_reports_nack_and_ack_to_the_requester() -> None:
+    one = SingleMember()
+    one.hear_from_all()
+    number = sent_messages(one.receive("b1", messages.PingReq(9, "b2")), Ping)[0][1].number
+    assert sent_messages(one.run(200 * MS), messages.Nack) == [("b1", messages.Nack(9))]
+    assert ("b1", Ack(9)) in sent_messages(one.receive("b2", Ack(number)), Ack)
     for asked in range(messages.MAX_ACCUSERS * 100):
-        one.says("b1", messages.PingReq(100 + asked, "b2"))
-    assert one.view.prober.refused > 0  # a bound, and no fall
+        one.receive("b1", messages.PingReq(100 + asked, "b2"))
+    assert one.view.prober.indirect_refused > 0  # the limit is enforced without an error
 
 
-def test_an_exchange_that_makes_no_progress_is_given_up() -> None:
-    one = One()
-    line = next(out.connection for out in one.feed() if isinstance(out, OpenConnection))
+def test_stalled_exchange_is_abandoned() -> None:
+    one = SingleMember()
+    line = next(out.connection for out in one.step() if isinstance(out, OpenConnection))
     out = one.run(one.settings.exchange_time + SECOND)
     assert CloseConnection(line) in out and one.view.exchanges.failed > 0
-    one.feed(ConnectionAccepted(-1))
+    one.step(ConnectionAccepted(-1))
     assert CloseConnection(-1) in one.run(one.settings.exchange_time + SECOND)
-    one.feed(*(ConnectionAccepted(-2 - n) for n in range(64)))
-    assert one.feed(ConnectionAccepted(-100)) == [CloseConnection(-100)]
-    one.feed(ConnectionClosed(-2, "reset"))
-    assert one.feed(ConnectionAccepted(-101)) == []
-
-
-def test_a_whole_view_comes_by_one_exchange() -> None:
-    one, two = One(), View(ViewSettings("lab", "b1", ("b0", "b2", "b3")), 9, 1, 100 * SECOND)
-    call = next(out for out in one.feed() if isinstance(out, OpenConnection))
-    one.says("b2")
-    one.says("b3", None, one.about("b1", Phase.DEAD, 4))
-    asked = pack("lab", "b1", one.about("b0", boot=77), 5, 1, messages.ExchangeRequest())
+    one.step(*(ConnectionAccepted(-2 - n) for n in range(64)))
+    assert one.step(ConnectionAccepted(-100)) == [CloseConnection(-100)]
+    one.step(ConnectionClosed(-2, "reset"))
+    assert one.step(ConnectionAccepted(-101)) == []
+
+
+def test_one_exchange_transfers_the_full_state() -> None:
+    one, two = SingleMember(), View(ViewSettings("lab", "b1", ("b0", "b2", "b3")), 9, 1, 100 * SECOND)
+    call = next(out for out in one.step() if isinstance(out, OpenConnection))
+    one.receive("b2")
+    one.receive("b3", None, one.state("b1", Phase.DEAD, 4))
+    request = pack("lab", "b1", one.state("b0", boot=77), 5, 1, messages.ExchangeRequest())
     answer = [
         out
-        for out in two.step(one.now, [ConnectionAccepted(-1), FrameReceived(-1, asked)])
+        for out in two.step(one.now, [ConnectionAccepted(-1), FrameReceived(-1, request)])
         if isinstance(out, SendFrame)
     ]
     full = next(out for out in answer if out.connection == -1)
-    back = one.feed(FrameReceived(call.connection, full.data))
+    back = one.step(FrameReceived(call.connection, full.data))
     mine = next(out for out in back if isinstance(out, SendFrame))
     assert CloseConnection(call.connection) in back and one.view.own.phase is Phase.ALIVE
     two.step(one.now, [FrameReceived(-1, mine.data)])
     assert {belief.name for belief in two.table.all()} == {"b0", "b1", "b2", "b3"}
-    assert two.own.incarnation == 5  # above what was said of its death
+    assert two.own.incarnation == 5  # above the reported death
 
 
-# --- what is dropped ---
+# --- dropped messages ---
 
 
-def test_what_is_not_for_this_member_is_dropped_by_cause_and_never_answered() -> None:
-    one = One()
-    one.meet_all()
-    me, ping = one.about("b1"), Ping(3)
+def test_invalid_messages_are_counted_by_cause_and_not_answered() -> None:
+    one = SingleMember()
+    one.hear_from_all()
+    me, ping = one.state("b1"), Ping(3)
     cases = {
         "wrong fleet": pack("other", "b0", me, 0, 50, ping),
         "wrong name": pack("lab", "b9", me, 0, 50, ping),
-        "unknown member": pack("lab", "b0", one.about("stranger"), 0, 50, ping),
+        "unknown member": pack("lab", "b0", one.state("stranger"), 0, 50, ping),
         "too large": b"x" * (MAX_DATAGRAM_BYTES + 1),
         "unreadable": b"\x93\x01\x02",
         "unknown kind": messages._encoder.encode(
@@ -387,68 +391,68 @@
     }
     assert set(cases) == set(messages.CAUSES)
     for cause, data in cases.items():
-        assert sent(one.feed(DatagramReceived(data)), Ack) == [], cause
+        assert sent_messages(one.step(DatagramReceived(data)), Ack) == [], cause
         assert one.view.dropped[cause] == 1, cause
-    one.says("b1", None, one.about("stranger"))
+    one.receive("b1", None, one.state("stranger"))
     assert one.view.dropped["unknown member"] == 2 and one.phase("stranger") is None
 
 
 class NewerAbout(MemberState, array_like=True, frozen=True):
-    """As a later program may write it: one more field at the end."""
+    """As a later version may send it: one more field at the end."""
 
     load: int = 0
 
 
-def test_a_newer_program_that_says_more_is_understood_and_an_older_one_that_says_less() -> None:
-    one = One()
+def test_messages_of_newer_and_older_versions_are_understood() -> None:
+    one = SingleMember()
     me = NewerAbout("b1", 7, 1, int(Phase.ALIVE), load=9)
     raw = msgspec.Raw(msgspec.msgpack.encode([1, 5, "more"]))
     newer = [2, 1, "lab", "b1", "b0", me, 0, 1, raw, [], "yet more"]
-    assert sent(one.feed(DatagramReceived(msgspec.msgpack.encode(newer))), Ack) == [("b1", Ack(5))]
-    older = [1, 1, "lab", "b2", "b0", ["b2", 7, 1, 1], 0, 1, [1, 6]]  # no news, and nothing of its zone
-    assert sent(one.feed(DatagramReceived(msgspec.msgpack.encode(older))), Ack) == [("b2", Ack(6))]
+    assert sent_messages(one.step(DatagramReceived(msgspec.msgpack.encode(newer))), Ack) == [("b1", Ack(5))]
+    older = [1, 1, "lab", "b2", "b0", ["b2", 7, 1, 1], 0, 1, [1, 6]]  # without updates and optional fields
+    assert sent_messages(one.step(DatagramReceived(msgspec.msgpack.encode(older))), Ack) == [("b2", Ack(6))]
     assert one.phase("b1") is one.phase("b2") is Phase.ALIVE
 
 
-def test_a_datagram_stays_within_one_packet_however_much_there_is_to_tell() -> None:
-    one = One(others=600)
+def test_datagrams_fit_one_packet_and_the_largest_full_state_fits_one_frame() -> None:
+    one = SingleMember(others=600)
     for number in range(1, 601):
         name = f"b{number}"
-        one.says(name, me=one.about(name, zone="a" * 40, version="v" * 40, config="c" * 40))
+        one.receive(name, me=one.state(name, zone="a" * 40, version="v" * 40, config="c" * 40))
     sizes = [len(out.data) for out in one.run(5 * SECOND) if isinstance(out, SendDatagram)]
     assert sizes and max(sizes) <= MAX_DATAGRAM_BYTES
-    names = tuple(f"b{n:031d}" for n in range(messages.MAX_MEMBERS))  # the longest that there may be
+    names = tuple(f"b{n:031d}" for n in range(messages.MAX_MEMBERS))  # the longest names allowed
     every = (1 << 62, 1 << 40, 2, 1 << 40, names[:4], True, "z" * 40, "v" * 40, "c" * 40)
     whole = FullState(tuple(MemberState(name, *every) for name in names))
     longest = pack("f" * 32, names[1], whole.beliefs[0], 1 << 62, 1 << 40, whole)
     assert len(longest) <= MAX_FRAME_BYTES
     assert unpack(longest, "f" * 32, names[1], MAX_FRAME_BYTES).sender == names[0]
     assert (
-        unpack(pack("lab", "b0", one.about("b1"), 0, 1, Gossip()), "lab", "b0", MAX_DATAGRAM_BYTES).sender
+        unpack(pack("lab", "b0", one.state("b1"), 0, 1, Gossip()), "lab", "b0", MAX_DATAGRAM_BYTES).sender
         == "b1"
     )
 
 
 @given(st.binary(max_size=200))
 @settings(max_examples=300, deadline=None)
-def test_no_bytes_make_a_member_fall(data: bytes) -> None:
-    one = One()
-    one.feed(DatagramReceived(data), ConnectionAccepted(-1), FrameReceived(-1, data))
+def test_arbitrary_bytes_raise_no_error(data: bytes) -> None:
+    one = SingleMember()
+    one.step(DatagramReceived(data), ConnectionAccepted(-1), FrameReceived(-1, data))
 
 
-# --- any order, loss and doubling ---
+# --- reordering, loss and duplication ---
 
 
-class Small:
-    """A few members whose every message is held until it is delivered, dropped or doubled."""
+class SmallFleet:
+    """A few members; each message is held until the test delivers, drops or duplicates it."""
 
     def __init__(self, members: int, seed: int = 1) -> None:
         self.now = 0
         self.names = [f"b{n}" for n in range(members)]
         self.views: dict[str, View] = {}
         self.boots = 0
-        self.flight: list[tuple[str, str, Input]] = []  # sender, receiver, what
-        self.lines: dict[tuple[str, int], tuple[str, int]] = {}
+        self.in_flight: list[tuple[str, str, Input]] = []  # sender, receiver, input
+        self.connections: dict[tuple[str, int], tuple[str, int]] = {}
         self.seed = seed
         for name in self.names:
             self.start(name)
@@ -462,43 +466,46 @@
 
     def crash(self, name: str) -> None:
         del self.views[name]
-        for key in [key for key in self.lines if key[0] == name]:
-            self.lose_line(key)
+        for key in [key for key in self.connections if key[0] == name]:
+            self.lose_connection(key)
 
-    def lose_line(self, key: tuple[str, int]) -> None:
-        other = self.lines.pop(key, None)
-        if other is not None and self.lines.pop(other, None) is not None and other[0] in self.views:
+    def lose_connection(self, key: tuple[str, int]) -> None:
+        other = self.connections.pop(key, None)
+        if other is not None and self.connections.pop(other, None) is not None and other[0] in self.views:
             self.step(other[0], [ConnectionClosed(other[1], "reset")])
 
     def step(self, name: str, inputs: list[Input]) -> None:
         for out in self.views[name].step(self.now, inputs):
             match out:
                 case SendDatagram(to, data):
-                    self.flight.append((name, to, DatagramReceived(data)))
+                    self.in_flight.append((name, to, DatagramReceived(data)))
                 case OpenConnection(line, to):
                     if to in self.views:
-                        number = -1 - self.boots * 1000 - len(self.lines) - self.now // MS * 10_000
-                        self.lines[name, line], self.lines[to, number] = (to, number), (name, line)
+                        number = -1 - self.boots * 1000 - len(self.connections) - self.now // MS * 10_000
+                        self.connections[name, line], self.connections[to, number] = (
+                            (to, number),
+                            (name, line),
+                        )
                         self.step(to, [ConnectionAccepted(number)])
                     else:
-                        self.flight.append((to, name, ConnectionClosed(line, "refused")))
+                        self.in_flight.append((to, name, ConnectionClosed(line, "refused")))
                 case SendFrame(line, data):
-                    other = self.lines.get((name, line))
+                    other = self.connections.get((name, line))
                     if other is not None:
-                        self.flight.append((name, other[0], FrameReceived(other[1], data)))
+                        self.in_flight.append((name, other[0], FrameReceived(other[1], data)))
                 case CloseConnection(line):
-                    other = self.lines.pop((name, line), None)
+                    other = self.connections.pop((name, line), None)
                     if other is not None:
-                        self.lines.pop(other, None)
-                        self.flight.append((name, other[0], ConnectionClosed(other[1], "end of stream")))
+                        self.connections.pop(other, None)
+                        self.in_flight.append((name, other[0], ConnectionClosed(other[1], "end of stream")))
 
     def deliver(self, at: int, keep: bool = False) -> None:
-        _, to, item = self.flight[at] if keep else self.flight.pop(at)
+        _, to, item = self.in_flight[at] if keep else self.in_flight.pop(at)
         if to in self.views:
             self.step(to, [item])
 
     def advance(self, by: int) -> None:
-        """Time goes on for all, on time; what they send waits."""
+        """Advance the time for all members, with timers on time; messages stay in flight."""
         end = self.now + by
         while True:
             due, name = min(((view.due, name) for name, view in self.views.items()), default=(end + 1, ""))
@@ -508,34 +515,34 @@
             self.step(name, [])
         self.now = end
 
-    def sound(self, time: int) -> None:
-        """A network without fault, a millisecond a way."""
+    def run_without_faults(self, time: int) -> None:
+        """Run with a network without faults and a latency of one millisecond."""
         end = self.now + time
         while self.now < end:
-            waiting, self.flight = self.flight, []
+            waiting, self.in_flight = self.in_flight, []
             for _, to, item in waiting:
                 if to in self.views:
                     self.step(to, [item])
             due = min(view.due for view in self.views.values())
-            self.now = max(self.now + MS, min(due, end)) if not self.flight else self.now + MS
+            self.now = max(self.now + MS, min(due, end)) if not self.in_flight else self.now + MS
             for name in list(self.views):
                 if self.views[name].due <= self.now:
                     self.step(name, [])
 
     def check(self) -> None:
-        """What holds at every moment."""
+        """Invariants that hold at every moment."""
         for name, view in self.views.items():
             assert len(view.table.beliefs) <= len(self.names)
             assert len(view.gossip_queue) <= len(self.names)
             for belief in view.table.beliefs.values():
                 other = self.views.get(belief.name)
                 if other is not None and belief.boot == other.boot:
-                    # Nobody but its owner raises a count.
+                    # Only the member itself raises its incarnation.
                     assert belief.incarnation <= other.own.incarnation, f"{name} of {belief.name}"
 
-    def settled(self) -> None:
-        """After a while without faults all agree, and are right."""
-        self.sound(40 * SECOND)
+    def check_converged(self) -> None:
+        """After some time without faults all views are equal and match the running members."""
+        self.run_without_faults(40 * SECOND)
         for name, view in self.views.items():
             living = {belief.name for belief in view.table.all() if belief.live}
             assert living == set(self.views), f"{name} believes {living}, true is {set(self.views)}"
@@ -543,12 +550,12 @@
         assert len({view.table.digest for view in self.views.values()}) == 1
 
 
-KINDS = ["deliver", "drop", "double", "time", "crash", "start"]
-ACT = st.tuples(st.sampled_from(KINDS), st.integers(0, 999))
-ACTS = st.lists(ACT, max_size=60)
+ACTION_KINDS = ["deliver", "drop", "double", "time", "crash", "start"]
+ACTION = st.tuples(st.sampled_from(ACTION_KINDS), st.integers(0, 999))
+ACTIONS = st.lists(ACTION, max_size=60)
 
 
-def act(world: Small, kind: str, number: int) -> None:
+def apply_action(world: SmallFleet, kind: str, number: int) -> None:
     if kind == "time":
         world.advance((50 + number) * MS)
     elif kind == "crash" and len(world.views) > 1:
@@ -557,37 +564,37 @@
         gone = [name for name in world.names if name not in world.views]
         if gone:
             world.start(gone[number % len(gone)])
-    elif world.flight and kind in ("deliver", "drop", "double"):
-        at = number % len(world.flight)
+    elif world.in_flight and kind in ("deliver", "drop", "double"):
+        at = number % len(world.in_flight)
         if kind == "drop":
-            world.flight.pop(at)
+            world.in_flight.pop(at)
         else:
             world.deliver(at, keep=kind == "double")
     world.check()
 
 
-def converges(acts: list[tuple[str, int]], members: int, seed: int) -> None:
-    world = Small(members, seed)
-    for kind, number in acts:
-        act(world, kind, number)
-    world.settled()
+def converges(actions: list[tuple[str, int]], members: int, seed: int) -> None:
+    world = SmallFleet(members, seed)
+    for kind, number in actions:
+        apply_action(world, kind, number)
+    world.check_converged()
 
 
-@given(ACTS, st.integers(3, 5), st.integers(0, 50))
+@given(ACTIONS, st.integers(3, 5), st.integers(0, 50))
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-def test_any_order_loss_and_doubling_leads_to_equal_and_true_views(
-    acts: list[tuple[str, int]], members: int, seed: int
+def test_views_converge_after_any_reordering_loss_and_duplication(
+    actions: list[tuple[str, int]], members: int, seed: int
 ) -> None:
-    converges(acts, members, seed)
+    converges(actions, members, seed)
 
 
-def moves(world: Small, crashed: bool, started: bool) -> Iterator[tuple[str, int]]:
-    """Everything that may happen next: of each of the oldest messages, its arrival, loss or doubling; time;
-    one crash; one restart."""
-    for at in range(min(len(world.flight), 2)):
+def possible_actions(world: SmallFleet, crashed: bool, started: bool) -> Iterator[tuple[str, int]]:
+    """All possible next actions: delivery, loss or duplication of each of the two oldest messages, passing
+    time, one crash, one restart."""
+    for at in range(min(len(world.in_flight), 2)):
         yield from ((kind, at) for kind in ("deliver", "drop", "double"))
-    yield "time", 400  # until others are asked for help, and a probe's end
-    yield "time", 2050  # a suspicion comes to its end in two of these
+    yield "time", 400  # past the start of indirect probes; two of these pass the end of a probe
+    yield "time", 2050  # two of these pass the end of a suspicion
     if not crashed:
         yield "crash", 0
     elif not started:
@@ -595,12 +602,13 @@
 
 
 def explore(depth: int, settle_every: int = 1) -> tuple[int, int]:
-    """All schedules of a world of three to a depth; the numbers of states seen and of those run to rest."""
+    """Run all schedules of three members to a depth; the numbers of states visited and of those run to
+    convergence."""
     seen: set[Any] = set()
-    states = rested = 0
-    first = Small(3)
-    first.sound(3 * SECOND)  # they know each other
-    first.views["b1"].table.suspect("b2", first.now, "b1")  # and a suspicion is about to travel
+    states = converged = 0
+    first = SmallFleet(3)
+    first.run_without_faults(3 * SECOND)  # all have joined
+    first.views["b1"].table.suspect("b2", first.now, "b1")  # a suspicion is about to be gossiped
     first.step("b1", [])
     first.advance(300 * MS)
     stack = [(first, 0, False, False)]
@@ -609,68 +617,71 @@
         states += 1
         if level == depth:
             if states % settle_every == 0:
-                rested += 1
-                world.settled()
+                converged += 1
+                world.check_converged()
             continue
-        for kind, number in moves(world, crashed, started):
+        for kind, number in possible_actions(world, crashed, started):
             after = copy.deepcopy(world)
-            act(after, kind, number)
+            apply_action(after, kind, number)
             facts = tuple(
                 (name, tuple(sorted((b.name, b.key) for b in view.table.beliefs.values())))
                 for name, view in sorted(after.views.items())
             )
-            mark = (facts, after.now, len(after.flight), tuple(one[:2] for one in after.flight), level)
+            mark = (facts, after.now, len(after.in_flight), tuple(one[:2] for one in after.in_flight), level)
             if mark not in seen:
                 seen.add(mark)
                 stack.append((after, level + 1, crashed or kind == "crash", started or kind == "start"))
-    return states, rested
+    return states, converged
 
 
-def test_a_world_of_three_explored_exhaustively_to_depth_three() -> None:
-    states, rested = explore(3)
-    assert states > 100 and rested > 50
+def test_exhaustive_exploration_of_three_members_to_depth_three() -> None:
+    states, converged = explore(3)
+    assert states > 100 and converged > 50
 
 
-def plant_weak_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A bug: a death is final, whatever count a refutation has."""
+def plant_final_death(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Bug: a death is final, whatever the incarnation of a refutation."""
     monkeypatch.setattr(
         Belief, "key",
         property(lambda b: (1 << 41 if b.phase >= Phase.DEAD else b.incarnation, b.phase, b.boot)),
     )  # fmt: skip
 
 
-def plant_others_raise(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A bug: who hears of a suspicion raises the suspect's count on its behalf."""
+def plant_foreign_raise(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Bug: a member that receives a suspicion raises the suspect's incarnation on its behalf."""
     hear = table.Table.apply_state
 
-    def wrong(self: table.Table, about: MemberState, now: int, told_by: str) -> bool:
+    def raising(self: table.Table, about: MemberState, now: int, told_by: str) -> bool:
         if about.phase == Phase.SUSPECT:
             about = MemberState(about.name, about.boot, about.incarnation + 1, int(Phase.ALIVE))
         return hear(self, about, now, told_by)
 
-    monkeypatch.setattr(table.Table, "apply_state", wrong)
+    monkeypatch.setattr(table.Table, "apply_state", raising)
 
 
-@pytest.mark.parametrize("plant", [plant_weak_order, plant_others_raise])
-def test_planted_bugs_are_found_by_exploring_and_by_random_schedules(
+@pytest.mark.parametrize("plant", [plant_final_death, plant_foreign_raise])
+def test_planted_bugs_are_found_by_exploration_and_by_random_schedules(
     plant: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
     with pytest.raises(AssertionError):
         explore(3)
-    # What is drawn differs with the modules that are loaded: so many that it is found whatever is drawn.
-    search = given(st.lists(ACT, min_size=30, max_size=60), st.integers(3, 5), st.integers(0, 50))(converges)
+    # The derandomized examples differ with the set of loaded modules: enough of them to find the bug in any
+    # case.
+    search = given(st.lists(ACTION, min_size=30, max_size=60), st.integers(3, 5), st.integers(0, 50))(
+        converges
+    )
     only = [HypothesisPhase.generate]
-    hunt = settings(max_examples=4000, deadline=None, database=None, derandomize=True, phases=only)
+    search_settings = settings(max_examples=4000, deadline=None, database=None, derandomize=True, phases=only)
     with pytest.raises(AssertionError):
-        hunt(search)()
+        search_settings(search)()
 
 
-# --- scripts that are wrong ---
+# --- invalid scripts ---
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ("members: 1", "members is 1"),
         ("members: 4\nfaults: [{kind: kill, at: 1s, members: [b9]}]", "faults[0] (kill): members: no b9"),
@@ -679,7 +690,7 @@
         ("members: 4\nfaults: [{kind: pause, at: 28s}]", "expected a length of at least 53 s"),
     ],
 )
-def test_a_wrong_script_is_refused_by_place_and_value(change: str, said: str) -> None:
+def test_invalid_script_is_rejected_with_place_and_value(change: str, message: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(f"about: x\n{change}\n", FleetScript, "script.yaml")
-    assert said in str(error.value)
+    assert message in str(error.value)
