--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -14,10 +14,15 @@
 
 from quincepath.config.schema import Config, DistributionEntry, FleetEntry
 from quincepath.fleet.budget import Limit, Limits, Reason, Unit, checks
-from quincepath.fleet.edge import Edge
-from quincepath.fleet.orders import OF_MAPS, OrderError, command_of, read_order
+from quincepath.fleet.operator_requests import (
+    MAP_ACTIONS,
+    OperatorRequestError,
+    decode_operator_request,
+    to_command,
+)
 from quincepath.fleet.pages import explain_page, history_page, view_page
 from quincepath.fleet.permits import Command, Grant, Permits
+from quincepath.fleet.transport import Transport
 from quincepath.fleet.view.core import Drain, Leave, OperatorNotice, View
 from quincepath.fleet.view.facts import Change, Phase, ViewSettings
 from quincepath.membership.state import HolderInfo
@@ -25,12 +30,12 @@
 from quincepath.net.server import Exchange
 
 if TYPE_CHECKING:
-    from quincepath.fleet.agreed import Agreed, OpenStore
     from quincepath.fleet.configuration.commands import ChangeConfiguration
     from quincepath.fleet.configuration_requests import ConfigurationRequests
     from quincepath.fleet.distribution import Distribution
-    from quincepath.fleet.shared import Shared
-    from quincepath.fleet.topology import Maps
+    from quincepath.fleet.load_service import LoadService
+    from quincepath.fleet.replicated_log import OpenStore, ReplicatedLog
+    from quincepath.fleet.topology import MapAdoption
 
 PER_BROKER = ("number", "seed", "zone")  # settings that differ between brokers of one configuration
 METRICS_INTERVAL_NS = 1_000_000_000
@@ -91,7 +96,7 @@
         registry: CollectorRegistry,
         base: Path,
         open_store: "OpenStore",
-        make_edge: type[Edge] = Edge,
+        make_edge: type[Transport] = Transport,
     ) -> None:
         self.loop, self.entry, self.configured = loop, entry, config.broker.brokers
         self.ramp_time = config.rules.ramp_time
@@ -132,14 +137,14 @@
         # Counts that the metrics already have.
         self._exported: tuple[Counts[str], Counts[str]] = (Counts(), Counts())
         self.edge = make_edge(loop, self.view, places, entry.host, entry.port, self._on_notice)
-        self.agreed: Agreed | None = None
+        self.agreed: ReplicatedLog | None = None
         self.distribution: Distribution | None = None
         self.requests: ConfigurationRequests | None = None
         if entry.keepers:
-            from quincepath.fleet import agreed  # loaded only with a replicated log
+            from quincepath.fleet import replicated_log  # loaded only with a replicated log
 
-            hooks = agreed.Hooks(
-                self.edge.tell,
+            hooks = replicated_log.Hooks(
+                self.edge.send_log_message,
                 self._complete_grant,
                 self._on_applied,
                 lambda: self.open_parts(),
@@ -147,16 +152,18 @@
                 self._drop,
                 self._map_factory(config, boot),
             )
-            self.agreed = agreed.Agreed(loop, entry, base, seed, hooks, self.log)
-            self.agreed.refuses_change = self._refuses_change
-            self.edge.on_agreed = self.agreed.receive
+            self.agreed = replicated_log.ReplicatedLog(loop, entry, base, seed, hooks, self.log)
+            self.agreed.change_refusal = self._refuses_change
+            self.edge.on_log_message = self.agreed.receive
             if entry.configuration is not None:
                 self._start_distribution(config, entry.configuration, boot, seed, registry)
-        self.shared: Shared | None = None
+        self.shared: LoadService | None = None
         if entry.ledger is not None:
-            from quincepath.fleet import shared  # loaded only with load reports between brokers
+            from quincepath.fleet import load_service  # loaded only with load reports between brokers
 
-            self.shared = shared.Shared(config, entry, loop, self.view, self.edge, seed, self.log, registry)
+            self.shared = load_service.LoadService(
+                config, entry, loop, self.view, self.edge, seed, self.log, registry
+            )
         self._update_metrics()
 
     @property
@@ -207,22 +214,26 @@
 
     # --- the replicated log ---
 
-    def _map_factory(self, config: Config, boot: int) -> Callable[[Permits], "Maps | None"]:
+    def _map_factory(self, config: Config, boot: int) -> Callable[[Permits], "MapAdoption | None"]:
         """Factory of this broker's side of shard map changes; it returns None without ``topology:``."""
         entry = self.entry.topology
         if entry is None:
             return lambda machine: None
-        from quincepath.fleet.topology import Maps, Ports, configured_map  # loaded only if maps may change
+        from quincepath.fleet.topology import (  # loaded only if maps may change
+            AdoptionHooks,
+            MapAdoption,
+            configured_map,
+        )
 
-        ports = Ports(
+        hooks = AdoptionHooks(
             brokers=lambda: tuple(sorted(self.brokers)),
-            believed=lambda: {one.name: one.phase.name.lower() for one in self.view.table.all()},
+            believed_phases=lambda: {one.name: one.phase.name.lower() for one in self.view.table.all()},
             unsettled=lambda: self.view.unsettled(),
-            sets=lambda: {name: unit.sets[0] for name, unit in self.units().items() if unit.sets},
+            set_by_holder=lambda: {name: unit.sets[0] for name, unit in self.units().items() if unit.sets},
         )
         first = configured_map(config.shards)
-        return lambda machine: Maps(
-            self.entry.member, boot, first, entry, machine, ports, self.log, wall=self.loop.system.wall_ns
+        return lambda machine: MapAdoption(
+            self.entry.member, boot, first, entry, machine, hooks, self.log, wall_ns=self.loop.system.wall_ns
         )
 
     def _start_distribution(
@@ -231,16 +242,16 @@
         """Take part in the distribution of the configuration."""
         # Loaded only if the configuration is distributed.
         from quincepath.fleet.configuration_requests import ConfigurationRequests
-        from quincepath.fleet.distribution import distribution_of, routed
+        from quincepath.fleet.distribution import build_distribution, route_messages
 
         assert self.agreed is not None
-        self.distribution = distribution_of(
+        self.distribution = build_distribution(
             config, self.entry, section, self.agreed, self.edge, boot, seed, self._expected_brokers,
             self._drop, self.log, registry,
         )  # fmt: skip
         self.requests = ConfigurationRequests(self.distribution, self.agreed)
-        self.edge.on_agreed = routed(self.agreed.receive, self.distribution.receive)
-        self.edge.on_way_lost = self.distribution.lost
+        self.edge.on_log_message = route_messages(self.agreed.receive, self.distribution.receive)
+        self.edge.on_connection_lost = self.distribution.on_connection_lost
 
     def _expected_brokers(self) -> int:
         """Brokers that should have the newest configuration: all members except those that left."""
@@ -264,7 +275,7 @@
         if names != self._drained:
             for name in sorted(names ^ self._drained):
                 event = "drain agreed" if name in names else "drain is over"
-                self.log.info(f"fleet: {event}", node=name, index=self.agreed.applied)
+                self.log.info(f"fleet: {event}", node=name, index=self.agreed.applied_index)
             self._drained = names
             self.on_drained(names)
 
@@ -331,15 +342,15 @@
     def _run_command(self, exchange: Exchange, what: str, body: bytes) -> None:
         """Run an operator's command: ``drain``, ``undrain``, ``close``, ``halt`` or ``resume``, as JSON."""
         try:
-            order = read_order(what, body)
-        except OrderError as error:
+            order = decode_operator_request(what, body)
+        except OperatorRequestError as error:
             exchange.respond(400, JSON, json.dumps({"error": str(error)}).encode())
             return
         if self.agreed is None:
             answer = {"error": "this broker's fleet: section names no keepers: nothing is agreed"}
             exchange.respond(409, JSON, json.dumps(answer).encode())
             return
-        if what in OF_MAPS and self.agreed.maps is None:
+        if what in MAP_ACTIONS and self.agreed.maps is None:
             answer = {"error": "this broker's fleet: section has no topology: the configured map stays"}
             exchange.respond(409, JSON, json.dumps(answer).encode())
             return
@@ -354,8 +365,8 @@
 
         now, overdue = self.loop.system.wall_ms(), self.entry.overdue // 1_000_000
         for name in names:
-            command = command_of(what, order, name, now, overdue)
-            self.agreed.command(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
+            command = to_command(what, order, name, now, overdue)
+            self.agreed.submit(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
 
     def page(self, path: str) -> Page:
         """Answer to a GET of a path under ``/fleet/``."""
@@ -370,7 +381,7 @@
             found = self.agreed.status(brokers, left)
         elif what == "topology" and self.agreed is not None and self.agreed.maps is not None:
             maps, agreed = self.agreed.maps, self.agreed
-            found = maps.status(now, self.loop.system.wall_ms(), agreed.keeper is not None, agreed.leader)
+            found = maps.status(now, self.loop.system.wall_ms(), agreed.voter is not None, agreed.leader)
         elif what == "agreed" and self.agreed is not None:
             found = [msgspec.to_builtins(line) for line in self.agreed.machine.state.history]
         elif what == "history":
