--- a/benchmarks/capacity/scale/hollow.py
+++ b/benchmarks/capacity/scale/hollow.py
@@ -98,15 +98,15 @@
         self._watch_changes()
         self.look_at_living()
         self.look_at_drained()
-        if self.fleet.shared is not None and plan.queries:
-            self._made_up = Queries(member.name, plan.profile, self.fleet.shared)
+        if self.fleet.load_service is not None and plan.queries:
+            self._made_up = Queries(member.name, plan.profile, self.fleet.load_service)
             loop.call_in(LOAD_PERIOD, self._count_queries)
 
     @property
     def edge(self) -> HollowEdge:
         """Its sockets."""
-        assert isinstance(self.fleet.edge, HollowEdge)
-        return self.fleet.edge
+        assert isinstance(self.fleet.transport, HollowEdge)
+        return self.fleet.transport
 
     def _charge_receivers(self) -> None:
         """What the edge hands to the ledger and the log is charged to them."""
@@ -181,14 +181,14 @@
 
     def propose(self, id: str, name: str, back: bool, done: Callable[[str], None]) -> None:
         """Have a drain committed, or that a broker is back; ``done`` gets why not, or nothing."""
-        if self.fleet.agreed is None:
+        if self.fleet.replicated_log is None:
             done("the log is off")
             return
         now = time.time_ns() // 1_000_000
         if back:
-            self.fleet.agreed.submit(Back(id, "scale", now, name), done)
+            self.fleet.replicated_log.submit(Back(id, "scale", now, name), done)
         else:
-            self.fleet.agreed.submit(Grant(id, "scale", now, name, DRAIN, now + DRAIN_TIME), done)
+            self.fleet.replicated_log.submit(Grant(id, "scale", now, name, DRAIN, now + DRAIN_TIME), done)
 
     def cut(self, unreachable: frozenset[str], places: dict[str, tuple[str, int]], hole: BlackHole) -> None:
         """Reach these members no more, and all others again."""
@@ -211,8 +211,8 @@
     def end(self, leaves: bool) -> None:
         """End without a word, or in good order."""
         self._closed = True
-        if self.fleet.shared is not None:
-            self.fleet.shared.close()
+        if self.fleet.load_service is not None:
+            self.fleet.load_service.close()
         if not leaves:
             self.edge.close()
         self.fleet.close()
--- a/benchmarks/capacity/scale/host.py
+++ b/benchmarks/capacity/scale/host.py
@@ -166,9 +166,9 @@
     def _propose(self, member: str, left: int, every: int, value: bytes | None, number: int = 1) -> None:
         """One change of one resource; the next when this one took effect here, but not sooner than wanted."""
         broker = self.brokers.get(member)
-        if broker is None or broker.fleet.agreed is None or not left:
+        if broker is None or broker.fleet.replicated_log is None or not left:
             return
-        agreed, proposed_at = broker.fleet.agreed, time.monotonic_ns()
+        agreed, proposed_at = broker.fleet.replicated_log, time.monotonic_ns()
         new = encode_resource({"name": TENANT, "weight": float(number % WEIGHTS + 1)})
         wall = time.time_ns() // 1_000_000
         change = Change(f"change {number}", "scale", wall, (Edit(f"tenant/{TENANT}", value, new),))
@@ -250,11 +250,16 @@
         if broker is None:
             return {}
         fleet = broker.fleet
-        beyond: list[Any] = [self, self.loop, self._log, broker, fleet, fleet.edge, fleet.entry]
+        beyond: list[Any] = [self, self.loop, self._log, broker, fleet, fleet.transport, fleet.entry]
         beyond += [fleet.log, self._places, self._names, self._configurations]
         configuration = broker.configuration
         subscriber = None if configuration is None else configuration.subscriber
-        parts = {VIEW: fleet.view, LEDGER: fleet.shared, LOG: fleet.agreed, CONFIGURATION: subscriber}
+        parts = {
+            VIEW: fleet.view,
+            LEDGER: fleet.load_service,
+            LOG: fleet.replicated_log,
+            CONFIGURATION: subscriber,
+        }
         beyond.append(configuration)
         found = {}
         for name, part in parts.items():
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -130,16 +130,16 @@
             )  # fmt: skip
             self.fleet = guest.fleet
             self.guests.add(guest)
-            if guest.fleet.agreed is not None and guest.fleet.agreed.maps is not None:
+            if guest.fleet.replicated_log is not None and guest.fleet.replicated_log.maps is not None:
                 from quincepath.broker.service.maps import MapsGuest  # not loaded where the map stays
 
-                self.guests.add(MapsGuest(guest.fleet.agreed.maps, front.planner, self.log, registry))
-            if guest.fleet.shared is not None:
+                self.guests.add(MapsGuest(guest.fleet.replicated_log.maps, front.planner, self.log, registry))
+            if guest.fleet.load_service is not None:
                 from quincepath.broker.service.sharing import SharingGuest  # not loaded without a ledger
 
                 self.guests.add(
                     SharingGuest(
-                        guest.fleet.shared,
+                        guest.fleet.load_service,
                         self.driver,
                         self.map,
                         self.reception.enqueue,
--- a/quincepath/fleet/service.py
+++ b/quincepath/fleet/service.py
@@ -96,7 +96,7 @@
         registry: CollectorRegistry,
         base: Path,
         open_store: "OpenStore",
-        make_edge: type[Transport] = Transport,
+        make_transport: type[Transport] = Transport,
     ) -> None:
         self.loop, self.entry, self.configured = loop, entry, config.broker.brokers
         self.ramp_time = config.rules.ramp_time
@@ -136,15 +136,15 @@
         self._closed = False
         # Counts that the metrics already have.
         self._exported: tuple[Counts[str], Counts[str]] = (Counts(), Counts())
-        self.edge = make_edge(loop, self.view, places, entry.host, entry.port, self._on_notice)
-        self.agreed: ReplicatedLog | None = None
+        self.transport = make_transport(loop, self.view, places, entry.host, entry.port, self._on_notice)
+        self.replicated_log: ReplicatedLog | None = None
         self.distribution: Distribution | None = None
         self.requests: ConfigurationRequests | None = None
         if entry.keepers:
             from quincepath.fleet import replicated_log  # loaded only with a replicated log
 
             hooks = replicated_log.Hooks(
-                self.edge.send_log_message,
+                self.transport.send_log_message,
                 self._complete_grant,
                 self._on_applied,
                 lambda: self.open_parts(),
@@ -152,24 +152,24 @@
                 self._drop,
                 self._map_factory(config, boot),
             )
-            self.agreed = replicated_log.ReplicatedLog(loop, entry, base, seed, hooks, self.log)
-            self.agreed.change_refusal = self._refuses_change
-            self.edge.on_log_message = self.agreed.receive
+            self.replicated_log = replicated_log.ReplicatedLog(loop, entry, base, seed, hooks, self.log)
+            self.replicated_log.change_refusal = self._change_refusal
+            self.transport.on_log_message = self.replicated_log.receive
             if entry.configuration is not None:
                 self._start_distribution(config, entry.configuration, boot, seed, registry)
-        self.shared: LoadService | None = None
+        self.load_service: LoadService | None = None
         if entry.ledger is not None:
             from quincepath.fleet import load_service  # loaded only with load reports between brokers
 
-            self.shared = load_service.LoadService(
-                config, entry, loop, self.view, self.edge, seed, self.log, registry
+            self.load_service = load_service.LoadService(
+                config, entry, loop, self.view, self.transport, seed, self.log, registry
             )
         self._update_metrics()
 
     @property
     def address(self) -> str:
         """Address at which peers reach this member."""
-        return self.edge.address
+        return self.transport.address
 
     def _on_notice(self, out: Change | OperatorNotice) -> None:
         if isinstance(out, OperatorNotice):
@@ -193,7 +193,7 @@
         self.local_health.set(self.view.prober.health.score)
         for metric, counts, exported in (
             (self.dropped, self.view.dropped, self._exported[0]),
-            (self.sent, self.edge.sent, self._exported[1]),
+            (self.sent, self.transport.sent, self._exported[1]),
         ):
             for label, count in counts.items():
                 metric.labels(label).inc(count - exported[label])
@@ -244,21 +244,21 @@
         from quincepath.fleet.configuration_requests import ConfigurationRequests
         from quincepath.fleet.distribution import build_distribution, route_messages
 
-        assert self.agreed is not None
+        assert self.replicated_log is not None
         self.distribution = build_distribution(
-            config, self.entry, section, self.agreed, self.edge, boot, seed, self._expected_brokers,
-            self._drop, self.log, registry,
+            config, self.entry, section, self.replicated_log, self.transport, boot, seed,
+            self._expected_brokers, self._drop, self.log, registry,
         )  # fmt: skip
-        self.requests = ConfigurationRequests(self.distribution, self.agreed)
-        self.edge.on_log_message = route_messages(self.agreed.receive, self.distribution.receive)
-        self.edge.on_connection_lost = self.distribution.on_connection_lost
+        self.requests = ConfigurationRequests(self.distribution, self.replicated_log)
+        self.transport.on_log_message = route_messages(self.replicated_log.receive, self.distribution.receive)
+        self.transport.on_connection_lost = self.distribution.on_connection_lost
 
     def _expected_brokers(self) -> int:
         """Brokers that should have the newest configuration: all members except those that left."""
         left = {belief.name for belief in self.view.table.all() if belief.phase is Phase.LEFT}
         return len(self.brokers - left)
 
-    def _refuses_change(self, command: "ChangeConfiguration") -> str:
+    def _change_refusal(self, command: "ChangeConfiguration") -> str:
         if self.distribution is None:
             return "the leader's fleet: section has no configuration:"
         return self.distribution.refusal(command)
@@ -268,14 +268,14 @@
 
     def _on_applied(self) -> None:
         """Entries were committed: apply changed drains to the node list at once."""
-        assert self.agreed is not None
+        assert self.replicated_log is not None
         if self.distribution is not None:
             self.distribution.feed()
-        names = frozenset(self.agreed.machine.drained())
+        names = frozenset(self.replicated_log.machine.drained())
         if names != self._drained:
             for name in sorted(names ^ self._drained):
                 event = "drain agreed" if name in names else "drain is over"
-                self.log.info(f"fleet: {event}", node=name, index=self.agreed.applied_index)
+                self.log.info(f"fleet: {event}", node=name, index=self.replicated_log.applied_index)
             self._drained = names
             self.on_drained(names)
 
@@ -346,11 +346,11 @@
         except OperatorRequestError as error:
             exchange.respond(400, JSON, json.dumps({"error": str(error)}).encode())
             return
-        if self.agreed is None:
+        if self.replicated_log is None:
             answer = {"error": "this broker's fleet: section names no keepers: nothing is agreed"}
             exchange.respond(409, JSON, json.dumps(answer).encode())
             return
-        if what in MAP_ACTIONS and self.agreed.maps is None:
+        if what in MAP_ACTIONS and self.replicated_log.maps is None:
             answer = {"error": "this broker's fleet: section has no topology: the configured map stays"}
             exchange.respond(409, JSON, json.dumps(answer).encode())
             return
@@ -366,24 +366,24 @@
         now, overdue = self.loop.system.wall_ms(), self.entry.overdue // 1_000_000
         for name in names:
             command = to_command(what, order, name, now, overdue)
-            self.agreed.submit(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
+            self.replicated_log.submit(command, lambda why, n=name: done(n, why))  # type: ignore[misc]
 
     def page(self, path: str) -> Page:
         """Answer to a GET of a path under ``/fleet/``."""
         now, what = self.loop.clock(), path.removeprefix("/fleet/")
         wall = self.loop.system.wall_ns() / 1e9
-        self.edge.step([])
+        self.transport.step([])
         if what == "view":
             found: Any = view_page(self.view, now, self.configured)
-        elif what == "status" and self.agreed is not None:
+        elif what == "status" and self.replicated_log is not None:
             brokers = [self.entry.member, *(name for name in self.view.settings.peers)]
             left = {belief.name for belief in self.view.table.all() if belief.phase is Phase.LEFT}
-            found = self.agreed.status(brokers, left)
-        elif what == "topology" and self.agreed is not None and self.agreed.maps is not None:
-            maps, agreed = self.agreed.maps, self.agreed
-            found = maps.status(now, self.loop.system.wall_ms(), agreed.voter is not None, agreed.leader)
-        elif what == "agreed" and self.agreed is not None:
-            found = [msgspec.to_builtins(line) for line in self.agreed.machine.state.history]
+            found = self.replicated_log.status(brokers, left)
+        elif what == "topology" and self.replicated_log is not None and self.replicated_log.maps is not None:
+            maps, log = self.replicated_log.maps, self.replicated_log
+            found = maps.status(now, self.loop.system.wall_ms(), log.voter is not None, log.leader)
+        elif what == "agreed" and self.replicated_log is not None:
+            found = [msgspec.to_builtins(line) for line in self.replicated_log.machine.state.history]
         elif what == "history":
             found = history_page(self.view, now, wall)
         elif what.startswith("explain/"):
@@ -392,14 +392,14 @@
             found = None
         if found is None:
             error = "expected /fleet/view, /fleet/history or /fleet/explain/ and the name of a member"
-            if self.agreed is not None:
+            if self.replicated_log is not None:
                 error += ", /fleet/status or /fleet/agreed"
             return Page(404, json.dumps({"error": error, "path": path}).encode())
         return Page(200, json.dumps(found).encode())
 
     def drain(self) -> None:
         """Inform the other members that this broker drains."""
-        self.edge.step([Drain()])
+        self.transport.step([Drain()])
 
     def close(self) -> None:
         """Leave the fleet and close the sockets."""
@@ -407,7 +407,7 @@
             self._closed = True
             if self.distribution is not None:
                 self.distribution.close()
-            if self.agreed is not None:
-                self.agreed.close()
-            self.edge.step([Leave()])
-            self.edge.close()
+            if self.replicated_log is not None:
+                self.replicated_log.close()
+            self.transport.step([Leave()])
+            self.transport.close()
--- a/quincepath/fleet/view/ports.py
+++ b/quincepath/fleet/view/ports.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionAccepted:
-    """Another member opened a connection to this one; its number, given by the edge, is negative."""
+    """Another member opened a connection to this one; its number, given by the transport, is negative."""
 
     connection: int
 
--- a/tests/fleet/distribution/test_virtual_fleet.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -124,7 +124,7 @@
             begun(world)
             world.propose("m5", "second", 1, remove=["node/a1"])
             world.until_all_at(2)
-            sent = {name: dict(world.fleet(name).edge.sent) for name in world.names}
+            sent = {name: dict(world.fleet(name).transport.sent) for name in world.names}
             found.append((world.loop.at, sent, world.revisions))
     assert found[0] == found[1]
 
--- a/tests/fleet/distribution/virtual_fleet.py
+++ b/tests/fleet/distribution/virtual_fleet.py
@@ -109,7 +109,7 @@
             seen.append(revision)
 
         distribution._apply = noted  # type: ignore[method-assign]
-        edge = self.fleet(name).edge
+        edge = self.fleet(name).transport
         heard = edge.on_log_message
         assert heard is not None
 
@@ -124,7 +124,7 @@
     def kill(self, name: str) -> None:
         """At once: nothing of it is said any more."""
         fleet = self.fleet(name)
-        fleet.edge.close()
+        fleet.transport.close()
         self.brokers.pop(name).close()
 
     def cut_off(self, one: Iterable[str], others: Iterable[str]) -> None:
@@ -139,7 +139,7 @@
         return self.distribution(name).subscriber
 
     def agreed(self, name: str) -> ReplicatedLog:
-        found = self.fleet(name).agreed
+        found = self.fleet(name).replicated_log
         assert found is not None
         return found
 
--- a/tests/fleet/test_load_control.py
+++ b/tests/fleet/test_load_control.py
@@ -62,8 +62,8 @@
 
     def living(self, number: int) -> dict[str, int]:
         fleet = self.brokers[number].fleet
-        assert fleet is not None and fleet.shared is not None
-        return fleet.shared._live_boots
+        assert fleet is not None and fleet.load_service is not None
+        return fleet.load_service._live_boots
 
     def ask(self, number: int, kind: str = "hours-report") -> None:
         self.asked += 1
@@ -118,7 +118,7 @@
 
 def test_a_query_that_is_shed_reaches_no_holder_and_is_told_when_to_come_back(fleet: Fleet) -> None:
     fleet.until(fleet.all_known)
-    shared = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
+    shared = fleet.brokers[0].fleet.load_service  # type: ignore[union-attr]
     assert shared is not None and shared.control.overload is not None
     shared.control.overload._fleet_threshold.value = shared.control.overload._local_threshold.value = (
         1.0  # all is below the line
@@ -139,7 +139,7 @@
 
 def test_queries_of_one_address_are_spread_over_the_order_and_one_stays_where_it_is(fleet: Fleet) -> None:
     fleet.until(fleet.all_known)
-    shared = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
+    shared = fleet.brokers[0].fleet.load_service  # type: ignore[union-attr]
     assert shared is not None and shared.control.overload is not None
     places: list[float] = []
     arrive = shared.control.on_arrival
@@ -166,7 +166,7 @@
     module: Any = found.brokers[0].driver.module
     assert found.ends[0].status == 200 and module.fleet_allowance.allowance.until == 0
     fleet = found.brokers[0].fleet
-    assert fleet is not None and (fleet.shared is None) == ("ledger" in fleet_section)
+    assert fleet is not None and (fleet.load_service is None) == ("ledger" in fleet_section)
     found.close()
 
 
@@ -176,7 +176,7 @@
     for _ in range(3):
         found.ask(0)
     found.until(lambda: len(found.ends) == 3)
-    shared = found.brokers[0].fleet.shared  # type: ignore[union-attr]
+    shared = found.brokers[0].fleet.load_service  # type: ignore[union-attr]
     assert shared is not None
     row = shared.control.counter.snapshot(found.loop.now).by_class[0]
     kinds = [sum(r) for r in zip(*shared.control.counter.snapshot(found.loop.now).by_class, strict=True)]
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -182,9 +182,11 @@
         for name, ping in sent_messages(out, Ping):
             if name != silent and ping.number:
                 self.receive(name, Ack(ping.number))
-        for name, ask in sent_messages(out, messages.PingReq):
+        for name, request in sent_messages(out, messages.PingReq):
             if name != silent:
-                self.receive(name, messages.Nack(ask.number) if ask.target == silent else Ack(ask.number))
+                self.receive(
+                    name, messages.Nack(request.number) if request.target == silent else Ack(request.number)
+                )
 
     def phase(self, name: str) -> Phase | None:
         belief = self.view.table.get(name)
@@ -208,7 +210,7 @@
     for one in out:
         if isinstance(one, SendDatagram):
             envelope = msgspec.msgpack.decode(one.data, type=Envelope)
-            found += [(one.to, about) for about in envelope.news if about.name == name]
+            found += [(one.to, state) for state in envelope.news if state.name == name]
     return found
 
 
@@ -397,7 +399,7 @@
     assert one.view.dropped["unknown member"] == 2 and one.phase("stranger") is None
 
 
-class NewerAbout(MemberState, array_like=True, frozen=True):
+class NewerMemberState(MemberState, array_like=True, frozen=True):
     """As a later version may send it: one more field at the end."""
 
     load: int = 0
@@ -405,7 +407,7 @@
 
 def test_messages_of_newer_and_older_versions_are_understood() -> None:
     one = SingleMember()
-    me = NewerAbout("b1", 7, 1, int(Phase.ALIVE), load=9)
+    me = NewerMemberState("b1", 7, 1, int(Phase.ALIVE), load=9)
     raw = msgspec.Raw(msgspec.msgpack.encode([1, 5, "more"]))
     newer = [2, 1, "lab", "b1", "b0", me, 0, 1, raw, [], "yet more"]
     assert sent_messages(one.step(DatagramReceived(msgspec.msgpack.encode(newer))), Ack) == [("b1", Ack(5))]
@@ -479,22 +481,22 @@
             match out:
                 case SendDatagram(to, data):
                     self.in_flight.append((name, to, DatagramReceived(data)))
-                case OpenConnection(line, to):
+                case OpenConnection(connection, to):
                     if to in self.views:
                         number = -1 - self.boots * 1000 - len(self.connections) - self.now // MS * 10_000
-                        self.connections[name, line], self.connections[to, number] = (
+                        self.connections[name, connection], self.connections[to, number] = (
                             (to, number),
-                            (name, line),
+                            (name, connection),
                         )
                         self.step(to, [ConnectionAccepted(number)])
                     else:
-                        self.in_flight.append((to, name, ConnectionClosed(line, "refused")))
-                case SendFrame(line, data):
-                    other = self.connections.get((name, line))
+                        self.in_flight.append((to, name, ConnectionClosed(connection, "refused")))
+                case SendFrame(connection, data):
+                    other = self.connections.get((name, connection))
                     if other is not None:
                         self.in_flight.append((name, other[0], FrameReceived(other[1], data)))
-                case CloseConnection(line):
-                    other = self.connections.pop((name, line), None)
+                case CloseConnection(connection):
+                    other = self.connections.pop((name, connection), None)
                     if other is not None:
                         self.connections.pop(other, None)
                         self.in_flight.append((name, other[0], ConnectionClosed(other[1], "end of stream")))
@@ -589,8 +591,7 @@
 
 
 def possible_actions(world: SmallFleet, crashed: bool, started: bool) -> Iterator[tuple[str, int]]:
-    """All possible next actions: delivery, loss or duplication of each of the two oldest messages, passing
-    time, one crash, one restart."""
+    """All next actions: delivery, loss, duplication of the two oldest messages; time; a crash; a restart."""
     for at in range(min(len(world.in_flight), 2)):
         yield from ((kind, at) for kind in ("deliver", "drop", "double"))
     yield "time", 400  # past the start of indirect probes; two of these pass the end of a probe
@@ -602,8 +603,7 @@
 
 
 def explore(depth: int, settle_every: int = 1) -> tuple[int, int]:
-    """Run all schedules of three members to a depth; the numbers of states visited and of those run to
-    convergence."""
+    """Run all schedules of three members to a depth; count the states, and those run to convergence."""
     seen: set[Any] = set()
     states = converged = 0
     first = SmallFleet(3)
@@ -649,12 +649,12 @@
 
 def plant_foreign_raise(monkeypatch: pytest.MonkeyPatch) -> None:
     """Bug: a member that receives a suspicion raises the suspect's incarnation on its behalf."""
-    hear = table.Table.apply_state
+    original = table.Table.apply_state
 
-    def raising(self: table.Table, about: MemberState, now: int, told_by: str) -> bool:
-        if about.phase == Phase.SUSPECT:
-            about = MemberState(about.name, about.boot, about.incarnation + 1, int(Phase.ALIVE))
-        return hear(self, about, now, told_by)
+    def raising(self: table.Table, state: MemberState, now: int, told_by: str) -> bool:
+        if state.phase == Phase.SUSPECT:
+            state = MemberState(state.name, state.boot, state.incarnation + 1, int(Phase.ALIVE))
+        return original(self, state, now, told_by)
 
     monkeypatch.setattr(table.Table, "apply_state", raising)
 
@@ -666,8 +666,7 @@
     plant(monkeypatch)
     with pytest.raises(AssertionError):
         explore(3)
-    # The derandomized examples differ with the set of loaded modules: enough of them to find the bug in any
-    # case.
+    # The examples differ with the set of loaded modules: there are enough to find the bug in any case.
     search = given(st.lists(ACTION, min_size=30, max_size=60), st.integers(3, 5), st.integers(0, 50))(
         converges
     )
