--- a/quincepath/cli/fleet.py
+++ b/quincepath/cli/fleet.py
@@ -161,14 +161,14 @@
     _print_history(page)
 
 
-def _print_history(lines: list[dict[str, Any]]) -> None:
+def _print_history(changes: list[dict[str, Any]]) -> None:
     columns = ["at", "name", "was", "now", "incarnation", "told by", "cause"]
     rows = [
         [
-            _clock(line["at"]),
-            *(line[key] for key in ("name", "was", "now", "incarnation", "told_by", "cause")),
+            _clock(change["at"]),
+            *(change[key] for key in ("name", "was", "now", "incarnation", "told_by", "cause")),
         ]
-        for line in lines
+        for change in changes
     ]
     print_table("changes of belief", columns, rows)
 
--- a/quincepath/fleet/messages.py
+++ b/quincepath/fleet/messages.py
@@ -176,11 +176,13 @@
     digest: int,
     count: int,
     body: Body,
-    news: Sequence[MemberState] = (),
+    updates: Sequence[MemberState] = (),
 ) -> bytes:
     """Encode one message."""
     raw = msgspec.Raw(_encoder.encode(body))
-    return _encoder.encode(Envelope(SCHEMA, SCHEMA, fleet, me.name, to, me, digest, count, raw, tuple(news)))
+    return _encoder.encode(
+        Envelope(SCHEMA, SCHEMA, fleet, me.name, to, me, digest, count, raw, tuple(updates))
+    )
 
 
 def decode_envelope(
--- a/quincepath/fleet/view/sending.py
+++ b/quincepath/fleet/view/sending.py
@@ -70,13 +70,13 @@
         me, fleet, digest = self._own_state(), self.settings.fleet, self.table.digest
         self._count += 1
         bare = pack(fleet, to, me, digest, self._count, body)
-        news: list[MemberState] = []
+        updates: list[MemberState] = []
         if front or len(self.gossip_queue):
             max_transmits = self.settings.max_transmits(self.table.live_count)
-            news = self.gossip_queue.choose(
+            updates = self.gossip_queue.choose(
                 MAX_DATAGRAM_BYTES - len(bare), max_transmits, self._state_of, front
             )
-        data = pack(fleet, to, me, digest, self._count, body, news) if news else bare
+        data = pack(fleet, to, me, digest, self._count, body, updates) if updates else bare
         self._out.append(SendDatagram(to, data))
 
     def _send_frame(self, connection: int, to: str, body: Body) -> None:
