--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -138,22 +138,22 @@
             )  # fmt: skip
             self.fleet = extension.fleet
             self.extensions.add(extension)
-            if extension.fleet.agreed is not None and extension.fleet.agreed.maps is not None:
+            if extension.fleet.replicated_log is not None and extension.fleet.replicated_log.maps is not None:
                 from quincepath.broker.service.shard_maps import (
                     ShardMapExtension,  # not loaded where the map stays
                 )
 
                 self.extensions.add(
-                    ShardMapExtension(extension.fleet.agreed.maps, front.planner, self.log, registry)
+                    ShardMapExtension(extension.fleet.replicated_log.maps, front.planner, self.log, registry)
                 )
-            if extension.fleet.shared is not None:
+            if extension.fleet.load_service is not None:
                 from quincepath.broker.service.load_control import (
                     LoadControlExtension,  # not loaded without a ledger
                 )
 
                 self.extensions.add(
                     LoadControlExtension(
-                        extension.fleet.shared,
+                        extension.fleet.load_service,
                         self.driver,
                         self.map,
                         self.dispatcher.enqueue,
--- a/tests/fleet/test_load_control.py
+++ b/tests/fleet/test_load_control.py
@@ -63,8 +63,8 @@
 
     def live_boots(self, number: int) -> dict[str, int]:
         fleet = self.brokers[number].fleet
-        assert fleet is not None and fleet.shared is not None
-        return fleet.shared._live_boots
+        assert fleet is not None and fleet.load_service is not None
+        return fleet.load_service._live_boots
 
     def ask(self, number: int, kind: str = "hours-report") -> None:
         self.sent_queries += 1
@@ -121,7 +121,7 @@
 
 def test_a_shed_query_reaches_no_node_and_gets_retry_advice(fleet: Fleet) -> None:
     fleet.wait_until(fleet.full_coverage)
-    service = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
+    service = fleet.brokers[0].fleet.load_service  # type: ignore[union-attr]
     assert service is not None and service.control.overload is not None
     service.control.overload._fleet_threshold.value = service.control.overload._local_threshold.value = (
         1.0  # everything is below the threshold
@@ -147,7 +147,7 @@
 
 def test_queries_of_one_address_get_distinct_but_stable_priorities(fleet: Fleet) -> None:
     fleet.wait_until(fleet.full_coverage)
-    service = fleet.brokers[0].fleet.shared  # type: ignore[union-attr]
+    service = fleet.brokers[0].fleet.load_service  # type: ignore[union-attr]
     assert service is not None and service.control.overload is not None
     places: list[float] = []
     arrive = service.control.on_arrival
@@ -176,7 +176,7 @@
     module: Any = found.brokers[0].driver.module
     assert found.results[0].status == 200 and module.fleet_allowance.allowance.until == 0
     fleet = found.brokers[0].fleet
-    assert fleet is not None and (fleet.shared is None) == ("ledger" in fleet_section)
+    assert fleet is not None and (fleet.load_service is None) == ("ledger" in fleet_section)
     found.close()
 
 
@@ -186,7 +186,7 @@
     for _ in range(3):
         found.ask(0)
     found.wait_until(lambda: len(found.results) == 3)
-    service = found.brokers[0].fleet.shared  # type: ignore[union-attr]
+    service = found.brokers[0].fleet.load_service  # type: ignore[union-attr]
     assert service is not None
     row = service.control.counter.snapshot(found.loop.now).by_class[0]
     kinds = [sum(r) for r in zip(*service.control.counter.snapshot(found.loop.now).by_class, strict=True)]
