--- a/quincepath/lab/fleet/configuration_world/voters.py
+++ b/quincepath/lab/fleet/configuration_world/voters.py
@@ -12,7 +12,7 @@
 from quincepath.fleet.configuration.ports import Committed, Loaded
 from quincepath.lab.fleet.configuration_world.network import MS, SECOND, VirtualNetwork
 
-HEARTBEAT = 200 * MS  # of the leader, as fleet/agreement has it
+HEARTBEAT = 200 * MS  # of the leader, as fleet/consensus has it
 ELECTION = (1000 * MS, 2000 * MS)
 LEASE = 3 * SECOND  # a follower is told of commits for so long after it asked
 ENTRIES_MOST = 64  # deltas in one message
