--- a/benchmarks/capacity/quality.py
+++ b/benchmarks/capacity/quality.py
@@ -101,7 +101,7 @@
         """Jobs that the node has now, from all brokers."""
         assert self._world is not None
         fleet = self._world.fleet
-        return float(fleet.servers[fleet.names[node]].held())
+        return float(fleet.servers[fleet.names[node]].job_count())
 
 
 Plays = dict[str, dict[int, list[Play]]]  # by way and size, one a seed
--- a/quincepath/cli/main.py
+++ b/quincepath/cli/main.py
@@ -152,7 +152,7 @@
         int(work_ms * 1e6), cores, room, cold, ramp, spread, by_metric, fall_multiple, speed=speed
     )
     holder = Leaf(
-        loop, name, store, service, Writer(record, name) if record else None, port, on_death=loop.stop
+        loop, name, store, service, Writer(record, name) if record else None, port, on_crash=loop.stop
     )
     click.echo(json.dumps({"name": name, "port": holder.port, "url": holder.url}))
     sys.stdout.flush()
@@ -280,9 +280,9 @@
     report = run_audit(paths)
     for finding in report.findings[:20]:
         click.echo(str(finding))
-    said = ", ".join(f"{count} {kind}" for kind, count in report.ended.items())
+    said = ", ".join(f"{count} {kind}" for kind, count in report.outcomes.items())
     click.echo(f"{report.queries} queries ({said}), {report.parts_got} parts seen at holders")
-    for name, share in report.margins.items():
+    for name, share in report.limit_use.items():
         click.echo(f"rule {name}: {share:.2f} of its limit used")
     click.echo(f"{len(report.findings)} findings" if report.findings else "no rule broken")
     sys.exit(1 if report.findings else 0)
--- a/quincepath/lab/audit/__init__.py
+++ b/quincepath/lab/audit/__init__.py
@@ -1,12 +1,12 @@
-"""Checks the six rules from records of sockets alone; a broker's own word is not asked.
+"""Checks the six rules of a broker against the records of clients and holders; no broker's record is used.
 
-``audit`` reads record files, ``judge`` takes a ``Book`` that ``collect`` made of lines; both give a
-``Report``. Each finding names the rule, the file and the line at which it showed, and what happened.
-``slack`` from the record's bounds is allowed for transit, because an event is stamped where it was seen, not
+``audit`` reads record files, ``check_rules`` takes a ``RecordIndex`` that ``collect`` made of lines. Both
+return a ``Report``. Each finding names the rule, the file and line that show the violation, and its cause.
+``slack`` in the record's bounds allows for transit, because an event is stamped where it was observed, not
 where it began. Times are ns. A line or file that cannot be read is a finding of rule 0, not an error.
 """
 
-from quincepath.lab.audit.book import Book, Finding, Report, Seen, collect
-from quincepath.lab.audit.rules import audit, judge
+from quincepath.lab.audit.record_index import Finding, LocatedLine, RecordIndex, Report, collect
+from quincepath.lab.audit.rules import audit, check_rules
 
-__all__ = ["Book", "Finding", "Report", "Seen", "audit", "collect", "judge"]
+__all__ = ["Finding", "LocatedLine", "RecordIndex", "Report", "audit", "check_rules", "collect"]
--- a/quincepath/lab/audit/holders.py
+++ b/quincepath/lab/audit/holder_rules.py
@@ -3,19 +3,19 @@
 from bisect import bisect_right
 from collections import defaultdict
 
-from quincepath.lab.audit.book import Book, Finding, Seen
+from quincepath.lab.audit.record_index import Finding, LocatedLine, RecordIndex
 from quincepath.standins.record import Bounds, Got, Told, Up
 
 INFORMED_SHARE = 2 / 3  # of a cold holder's work that came from brokers who knew: then the rule is broken
 FAR = 1 << 62
 
 
-def drains(book: Book, bounds: Bounds) -> None:
+def check_drains(index: RecordIndex, bounds: Bounds) -> None:
     """Rule 3: nothing new past the grace after the broker was told."""
-    news: dict[tuple[str, int], list[Seen[Told]]] = defaultdict(list)
-    for seen in book.told:
+    news: dict[tuple[str, int], list[LocatedLine[Told]]] = defaultdict(list)
+    for seen in index.told:
         news[seen.line.holder, seen.line.broker].append(seen)
-    for got in book.got:
+    for got in index.got:
         mine = news.get((got.line.holder, -1)) or news.get((got.line.holder, got.line.broker), [])
         before = bisect_right([seen.line.at for seen in mine], got.line.at)
         if not before or mine[before - 1].line.phase == "ready":
@@ -24,26 +24,26 @@
         while first and mine[first - 1].line.phase != "ready":
             first -= 1
         late = got.line.at - mine[first].line.at - bounds.notice - bounds.drain_grace
-        book.peak("3: grace after news", 1 + late / bounds.drain_grace)
+        index.record_limit_use("3: grace after news", 1 + late / bounds.drain_grace)
         if late > bounds.slack:
             what = (
                 f"query {got.line.query} reached {got.line.holder} {late / 1e6:.0f} ms past the grace "
                 f"after news that it is {mine[first].line.phase}"
             )
-            book.findings.append(Finding(3, got.line.at, got.where, what))
+            index.findings.append(Finding(3, got.line.at, got.where, what))
 
 
-def cold(book: Book, bounds: Bounds) -> None:
+def check_cold_holders(index: RecordIndex, bounds: Bounds) -> None:
     """Rule 4: work sent to a holder that came up cold, in any window, against what it could do in it."""
-    by_holder: dict[str, list[Seen[Got]]] = defaultdict(list)
-    for got in book.got:
+    by_holder: dict[str, list[LocatedLine[Got]]] = defaultdict(list)
+    for got in index.got:
         by_holder[got.line.holder].append(got)
-    for seen in book.ups:
+    for seen in index.ups:
         up = seen.line
         if up.cold >= 1:
             continue
         known: dict[int, int] = {}  # by broker, when it was told of this start
-        for news in book.told:
+        for news in index.told:
             line = news.line
             if line.holder == up.holder and line.phase == "ready" and line.at >= up.at:
                 known.setdefault(line.broker, line.at + bounds.notice)
@@ -59,10 +59,10 @@
                 g.line.work for g in within if g.line.at >= known.get(-1, known.get(g.line.broker, FAR))
             )
             if informed >= INFORMED_SHARE * work:
-                book.peak("4: window of a cold holder", work / most)
+                index.record_limit_use("4: window of a cold holder", work / most)
             if work > most and informed >= INFORMED_SHARE * work:
                 what = f"{up.holder}, cold, was sent {work / most:.2f} times the most of a window"
-                book.findings.append(Finding(4, start, got.where, what))
+                index.findings.append(Finding(4, start, got.where, what))
                 break
 
 
--- a/quincepath/lab/audit/book.py
+++ b/quincepath/lab/audit/record_index.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Seen(Generic[T]):
+class LocatedLine(Generic[T]):
     """A line with its place."""
 
     where: str
@@ -48,24 +48,24 @@
 
 
 @dataclass(slots=True)
-class Book:
+class RecordIndex:
     """All lines, sorted by what they are; times stand in the lines."""
 
     bounds: Bounds | None = None
     classes: dict[str, ClassRules] = field(default_factory=dict)
-    asks: dict[str, Seen[Ask]] = field(default_factory=dict)
-    ends: dict[str, list[Seen[End]]] = field(default_factory=lambda: defaultdict(list))
-    got: list[Seen[Got]] = field(default_factory=list)
-    said: list[Seen[Said]] = field(default_factory=list)
-    ups: list[Seen[Up]] = field(default_factory=list)
-    told: list[Seen[Told]] = field(default_factory=list)
+    asks: dict[str, LocatedLine[Ask]] = field(default_factory=dict)
+    ends: dict[str, list[LocatedLine[End]]] = field(default_factory=lambda: defaultdict(list))
+    got: list[LocatedLine[Got]] = field(default_factory=list)
+    said: list[LocatedLine[Said]] = field(default_factory=list)
+    ups: list[LocatedLine[Up]] = field(default_factory=list)
+    told: list[LocatedLine[Told]] = field(default_factory=list)
     halts: list[Halt] = field(default_factory=list)
     findings: list[Finding] = field(default_factory=list)
-    peaks: dict[str, float] = field(default_factory=dict)
+    limit_use: dict[str, float] = field(default_factory=dict)
 
-    def peak(self, name: str, value: float) -> None:
+    def record_limit_use(self, name: str, value: float) -> None:
         """How near a rule's limit was come to: 1 is the limit."""
-        self.peaks[name] = max(self.peaks.get(name, 0.0), value)
+        self.limit_use[name] = max(self.limit_use.get(name, 0.0), value)
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,54 +74,54 @@
 
     findings: list[Finding]
     queries: int
-    ended: dict[str, int]
+    outcomes: dict[str, int]
     parts_got: int
     parts_tried: int = 0  # parts of which at least one attempt reached a holder
-    margins: dict[str, float] = field(default_factory=dict)  # by rule, the share of its limit that was used
+    limit_use: dict[str, float] = field(default_factory=dict)  # by rule, the share of its limit that was used
 
-    def attempts_a_part(self) -> float:
+    def attempts_per_part(self) -> float:
         """Attempts that reached holders, for each part that reached one at all."""
         return self.parts_got / max(self.parts_tried, 1)
 
 
-def collect(lines: Iterable[tuple[str, Line]]) -> Book:
-    """Sort lines, given with their places, into a book."""
-    book = Book()
+def collect(lines: Iterable[tuple[str, Line]]) -> RecordIndex:
+    """Sort lines, given with their places, into an index."""
+    index = RecordIndex()
     for where, line in lines:
         match line:
             case Bounds():
-                book.bounds = line
+                index.bounds = line
             case ClassRules():
-                book.classes[line.name] = line
+                index.classes[line.name] = line
             case Ask():
-                if line.query in book.asks:
-                    book.findings.append(Finding(0, line.at, where, f"query {line.query} was asked twice"))
-                book.asks[line.query] = Seen(where, line)
+                if line.query in index.asks:
+                    index.findings.append(Finding(0, line.at, where, f"query {line.query} was asked twice"))
+                index.asks[line.query] = LocatedLine(where, line)
             case End():
-                book.ends[line.query].append(Seen(where, line))
+                index.ends[line.query].append(LocatedLine(where, line))
             case Got():
-                book.got.append(Seen(where, line))
+                index.got.append(LocatedLine(where, line))
             case Said():
-                book.said.append(Seen(where, line))
+                index.said.append(LocatedLine(where, line))
             case Up():
-                book.ups.append(Seen(where, line))
+                index.ups.append(LocatedLine(where, line))
             case Told():
-                book.told.append(Seen(where, line))
+                index.told.append(LocatedLine(where, line))
             case Halt():
-                book.halts.append(line)
+                index.halts.append(line)
             case Head() | Mark():
                 pass
     # Whose attempt it was is known from the client that asked, not from what the broker says of itself.
-    for seen in book.got:
-        asked = book.asks.get(seen.line.query)
+    for seen in index.got:
+        asked = index.asks.get(seen.line.query)
         if asked is not None and asked.line.broker != seen.line.broker:
             seen.line = msgspec.structs.replace(seen.line, broker=asked.line.broker)
-    book.got.sort(key=lambda seen: seen.line.at)
-    book.told.sort(key=lambda seen: seen.line.at)
-    return book
+    index.got.sort(key=lambda seen: seen.line.at)
+    index.told.sort(key=lambda seen: seen.line.at)
+    return index
 
 
-def ask_of(book: Book, query: str) -> str:
+def ask_key(index: RecordIndex, query: str) -> str:
     """The ask that a try belongs to: its client's key, else the try itself."""
-    seen = book.asks.get(query)
+    seen = index.asks.get(query)
     return f"ask {seen.line.ask}" if seen is not None and seen.line.ask else query
--- a/quincepath/lab/audit/rules.py
+++ b/quincepath/lab/audit/rules.py
@@ -4,15 +4,15 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from quincepath.lab.audit.again import budget, effects
-from quincepath.lab.audit.answers import final_answers, honest
-from quincepath.lab.audit.book import Book, Finding, Report, collect
-from quincepath.lab.audit.holders import cold, drains
+from quincepath.lab.audit.answer_rules import check_completeness, check_final_answers
+from quincepath.lab.audit.holder_rules import check_cold_holders, check_drains
+from quincepath.lab.audit.record_index import Finding, RecordIndex, Report, collect
+from quincepath.lab.audit.retry_rules import check_effects, check_retry_budget
 from quincepath.standins.record import End, Line, RecordError, read
 
 
 def audit(paths: Iterable[Path]) -> Report:
-    """Read record files and judge them. A line that cannot be read is a finding."""
+    """Read record files and check them. A line that cannot be read is a finding."""
     lines: list[tuple[str, Line]] = []
     broken: list[Finding] = []
     for path in sorted(paths):
@@ -20,29 +20,36 @@
             lines.extend((f"{path.name}:{number}", line) for number, line in read(path))
         except (RecordError, OSError) as error:
             broken.append(Finding(0, 0, str(path.name), str(error)))
-    book = collect(lines)
-    book.findings.extend(broken)
-    return judge(book)
+    index = collect(lines)
+    index.findings.extend(broken)
+    return check_rules(index)
 
 
-def judge(book: Book) -> Report:
+def check_rules(index: RecordIndex) -> Report:
     """All six rules."""
-    found = book.findings
-    if book.bounds is None:
+    found = index.findings
+    if index.bounds is None:
         found.append(Finding(0, 0, "record", "no line states the bounds to check against"))
-        return Report(found, len(book.asks), {}, len(book.got))
-    if not book.asks:
+        return Report(found, len(index.asks), {}, len(index.got))
+    if not index.asks:
         found.append(Finding(0, 0, "record", "no query was asked: nothing is shown"))
-    for check in (final_answers, effects, drains, cold, honest, budget):
-        check(book, book.bounds)
+    for check in (
+        check_final_answers,
+        check_effects,
+        check_drains,
+        check_cold_holders,
+        check_completeness,
+        check_retry_budget,
+    ):
+        check(index, index.bounds)
     found.sort(key=lambda finding: finding.at)
-    ended: dict[str, int] = defaultdict(int)
-    for ends in book.ends.values():
+    outcomes: dict[str, int] = defaultdict(int)
+    for ends in index.ends.values():
         for seen in ends:
-            ended[_kind_of(seen.line)] += 1
-    margins = dict(sorted(book.peaks.items()))
-    tried = len({(seen.line.query, seen.line.shard, seen.line.step) for seen in book.got})
-    return Report(found, len(book.asks), dict(sorted(ended.items())), len(book.got), tried, margins)
+            outcomes[_kind_of(seen.line)] += 1
+    limit_use = dict(sorted(index.limit_use.items()))
+    tried = len({(seen.line.query, seen.line.shard, seen.line.step) for seen in index.got})
+    return Report(found, len(index.asks), dict(sorted(outcomes.items())), len(index.got), tried, limit_use)
 
 
 def _kind_of(end: End) -> str:
--- a/quincepath/lab/emulator/chance.py
+++ b/quincepath/lab/emulator/chance.py
@@ -5,12 +5,12 @@
 import numpy as np
 
 from quincepath.lab.emulator.script import FleetEntry, MachineKind, TrafficClass
-from quincepath.standins.chance import Source
+from quincepath.standins.random_streams import RandomStream
 
-__all__ = ["Drawn", "Source", "draw_query", "machines", "part_work"]
+__all__ = ["Drawn", "RandomStream", "draw_query", "machines", "part_work"]
 
 
-def machines(fleet: FleetEntry, draw: Source) -> dict[str, MachineKind]:
+def machines(fleet: FleetEntry, draw: RandomStream) -> dict[str, MachineKind]:
     """The kind of machine of each holder, by the kinds' shares."""
     total = sum(kind.share for kind in fleet.kinds)
     found = {}
@@ -35,7 +35,7 @@
     shards: list[int]
 
 
-def draw_query(draw: Source, classes: list[TrafficClass], shards: int) -> Drawn:
+def draw_query(draw: RandomStream, classes: list[TrafficClass], shards: int) -> Drawn:
     """A query by the classes' shares, at shards in a row."""
     left, kind = draw() * sum(entry.share for entry in classes), 0
     while left >= classes[kind].share and kind < len(classes) - 1:
--- a/quincepath/lab/emulator/rehearsal.py
+++ b/quincepath/lab/emulator/rehearsal.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from quincepath.lab.audit import Report, collect, judge
+from quincepath.lab.audit import Report, check_rules, collect
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.troubles import Director
 from quincepath.lab.emulator.world import Emulation, MakeModule
@@ -56,7 +56,7 @@
             "down_most": self.down_most,
             "bad_answers": self.bad_answers,
             "findings": len(self.report.findings),
-            "used_of_limits": {name: round(share, 3) for name, share in self.report.margins.items()},
+            "used_of_limits": {name: round(share, 3) for name, share in self.report.limit_use.items()},
         }
 
 
@@ -78,7 +78,7 @@
     world = Emulation(script, seed, keep, make_module)
     Director(world)
     tally = world.run(until)
-    report = judge(collect((f"line {number}", line) for number, line in enumerate(lines, 1)))
+    report = check_rules(collect((f"line {number}", line) for number, line in enumerate(lines, 1)))
     asked = sum(tally.asked.values())
     seconds = sorted(tally.by_second) or [0]
     worst = 1.0
@@ -93,12 +93,12 @@
         by_class={name: tally.good[name] / count for name, count in sorted(tally.asked.items())},
         worst_window=worst,
         answers=dict(sorted(tally.outcomes.items())),
-        attempts_a_part=report.attempts_a_part(),
+        attempts_a_part=report.attempts_per_part(),
         tries_a_query=tally.tries / max(asked, 1),
         median_s=float(np.percentile(took, 50)),
         p99_s=float(np.percentile(took, 99)),
         fell=tally.fell,
-        fullest={name: s.margin for name, s in world.fleet.servers.items() if s.margin},
+        fullest={name: s.max_window_share for name, s in world.fleet.servers.items() if s.max_window_share},
         down_most=tally.down_most,
         bad_answers=sum(isinstance(line, Said) and not line.good for line in lines),
         events=tally.events,
--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -16,7 +16,7 @@
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest
 from quincepath.lab.audit import Report, audit
 from quincepath.lab.cluster import Cluster, HolderProcess
-from quincepath.lab.emulator.chance import Source, draw_query, machines
+from quincepath.lab.emulator.chance import RandomStream, draw_query, machines
 from quincepath.lab.emulator.processes import BrokerProcess, Lists
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.staging import Staging
@@ -48,13 +48,13 @@
         self.brokers = [BrokerProcess(n, zones[n % len(zones)], folder) for n in range(script.brokers)]
         self.lists: Lists
         self.clients: list[Client] = []
-        self.queries = Source(seed, "queries")
-        self.chance = Source(seed, "clients")
-        self.more = Source(seed, "burst")
-        self.tell = Source(seed, "tell")
+        self.queries = RandomStream(seed, "queries")
+        self.chance = RandomStream(seed, "clients")
+        self.more = RandomStream(seed, "burst")
+        self.tell = RandomStream(seed, "tell")
         self.heavy: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
         self.poison: dict[int, float] = {}  # class: share of queries
-        self.heavily, self.poisonous = Source(seed, "heavy"), Source(seed, "poison")
+        self.heavily, self.poisonous = RandomStream(seed, "heavy"), RandomStream(seed, "poison")
         self.unreachable = 0
         self.ended = False  # whether all queries had their ends when the run did
         self.late_most = 0  # ns by which this process fell behind its schedule
@@ -70,7 +70,7 @@
     def _holders(self) -> list[HolderProcess]:
         fleet = self.script.fleet
         works = ",".join(f"class_{n}={entry.work / MS}" for n, entry in enumerate(self.script.classes))
-        kinds = machines(fleet, Source(self.seed, "kinds"))
+        kinds = machines(fleet, RandomStream(self.seed, "kinds"))
         options = [
             "--works",
             works,
@@ -156,7 +156,7 @@
         """The figures of the day; ``report`` is the audit's."""
         try:
             self.cluster.start()
-            names, lag = list(self.by_name), Source(self.seed, "list")
+            names, lag = list(self.by_name), RandomStream(self.seed, "list")
             low, high = self.script.discovery.lag
             self.lists = Lists(
                 self.loop, self.brokers, self._truth, names, lambda: lag.between(low, high), self.writer
@@ -184,8 +184,8 @@
         return {
             "good": round(self.good / max(self.asked, 1), 4),
             "tries_a_query": round(self.tries / max(self.asked, 1), 4),
-            "attempts_a_part": round(report.attempts_a_part(), 4),
-            "answers": report.ended,
+            "attempts_a_part": round(report.attempts_per_part(), 4),
+            "answers": report.outcomes,
             "unreachable": self.unreachable,
             "late_most_s": round(self.late_most / SECOND, 3),
             # Rules are judged by what clients saw in time: a machine that cannot keep up proves nothing.
@@ -240,7 +240,7 @@
     # --- clients ---
 
     def _schedule(self) -> None:
-        draw = Source(self.seed, "arrivals").generator
+        draw = RandomStream(self.seed, "arrivals").generator
         self.begin = self.loop.clock()
         at, times = float(100 * MS), []
         while True:
--- a/quincepath/lab/emulator/staging.py
+++ b/quincepath/lab/emulator/staging.py
@@ -19,8 +19,8 @@
 from quincepath.lab.emulator.world import RESTART_AFTER
 from quincepath.lab.load import Client
 from quincepath.net.loop import Loop
-from quincepath.standins.chance import Source
 from quincepath.standins.leaf import Faults
+from quincepath.standins.random_streams import RandomStream
 from quincepath.standins.record import Halt, Mark, Writer
 
 MS = 1_000_000
@@ -70,14 +70,14 @@
         self.down: set[str] = set()
         self.count = 0
         for place, entry in enumerate(self.script.troubles):
-            draw = Source(run.seed, f"trouble {place}")
+            draw = RandomStream(run.seed, f"trouble {place}")
             self.loop.call_at(run.begin + entry.at, self._begin(entry, draw))
         self._watch()
 
-    def _begin(self, entry: TroubleEntry, draw: Source) -> Callable[[], None]:
+    def _begin(self, entry: TroubleEntry, draw: RandomStream) -> Callable[[], None]:
         def go() -> None:
             self.mark(f"begins: {entry.kind}")
-            act: Callable[[TroubleEntry, Source], None] = getattr(self, f"_{entry.kind}")
+            act: Callable[[TroubleEntry, RandomStream], None] = getattr(self, f"_{entry.kind}")
             act(entry, draw)
 
         return go
@@ -88,10 +88,10 @@
 
     # --- helpers ---
 
-    def _chosen(self, entry: TroubleEntry, draw: Source) -> list[HolderProcess]:
+    def _chosen(self, entry: TroubleEntry, draw: RandomStream) -> list[HolderProcess]:
         return [self.run.by_name[name] for name in draw.pick(list(self.run.by_name), entry.holders)]
 
-    def _numbers(self, entry: TroubleEntry, draw: Source) -> list[int]:
+    def _numbers(self, entry: TroubleEntry, draw: RandomStream) -> list[int]:
         names = [f"broker{broker.number}" for broker in self.run.brokers]
         return [int(name[6:]) for name in draw.pick(names, entry.brokers)]
 
@@ -124,7 +124,7 @@
         finally:
             line.close()
 
-    def _all(self, entry: TroubleEntry, draw: Source, faults: Faults) -> None:
+    def _all(self, entry: TroubleEntry, draw: RandomStream, faults: Faults) -> None:
         for holder in self._chosen(entry, draw):
             self._for_a_while(holder, entry.last, faults)
 
@@ -136,41 +136,41 @@
 
     # --- holders ---
 
-    def _hang(self, entry: TroubleEntry, draw: Source) -> None:
+    def _hang(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._all(entry, draw, Faults(fault="hang"))
 
-    def _slow(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slow(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._all(entry, draw, Faults(slow=entry.times))
 
-    def _slowdown(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slowdown(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self.run.by_name.values():
             self._for_a_while(holder, entry.last, Faults(slow=entry.times))
 
-    def _errors(self, entry: TroubleEntry, draw: Source) -> None:
+    def _errors(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._all(entry, draw, Faults(fault="errors", share=entry.share))
 
-    def _class_errors(self, entry: TroubleEntry, draw: Source) -> None:
+    def _class_errors(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._all(entry, draw, Faults(fault="errors", share=entry.share, metric=self._metric(entry)))
 
-    def _lost_answers(self, entry: TroubleEntry, draw: Source) -> None:
+    def _lost_answers(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._all(entry, draw, Faults(lose=entry.share))
 
-    def _slow_handshakes(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slow_handshakes(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """The system takes connections by itself: what is slow is that the holder begins to read them."""
         self._all(entry, draw, Faults(handshake_ms=entry.pause / MS))
 
-    def _one_sided(self, entry: TroubleEntry, draw: Source) -> None:
+    def _one_sided(self, entry: TroubleEntry, draw: RandomStream) -> None:
         numbers = self._numbers(entry, draw)
         self._all(entry, draw, Faults(deaf_to=numbers))
 
-    def _pauses(self, entry: TroubleEntry, draw: Source) -> None:
+    def _pauses(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             at = int(draw() * entry.every)
             while at < entry.last:
                 self._later(at, holder, entry.pause, Faults(paused=True))
                 at += int(entry.every * draw.between(0.8, 1.2))
 
-    def _preemption(self, entry: TroubleEntry, draw: Source) -> None:
+    def _preemption(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             at = int(draw() * entry.every / 2)
             while at < entry.last:
@@ -180,31 +180,31 @@
     def _later(self, wait: int, holder: HolderProcess, last: int, faults: Faults) -> None:
         self.loop.call_in(wait, lambda: self._for_a_while(holder, last, faults))
 
-    def _ageing(self, entry: TroubleEntry, draw: Source) -> None:
+    def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             for step in range(AGEING_STEPS):
                 slower = Faults(slow=entry.times ** (1 / AGEING_STEPS))
                 self._later(entry.last * step // AGEING_STEPS, holder, 0, slower)
             self.loop.call_in(entry.last, lambda h=holder: self._down(h, entry.every))  # type: ignore[misc]
 
-    def _kill(self, entry: TroubleEntry, draw: Source) -> None:
+    def _kill(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             self._down(holder, entry.last)
 
     _restart = _kill
 
-    def _silence(self, entry: TroubleEntry, draw: Source) -> None:
+    def _silence(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             self._down(holder, entry.last, silent=True)
 
-    def _flapping(self, entry: TroubleEntry, draw: Source) -> None:
+    def _flapping(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             at = int(draw() * entry.every / 2)
             while at < entry.last:
                 self.loop.call_in(at, lambda h=holder: self._down(h, entry.every // 3))  # type: ignore[misc]
                 at += entry.every
 
-    def _zone_loss(self, entry: TroubleEntry, draw: Source) -> None:
+    def _zone_loss(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self.run.by_name.values():
             if holder.zone == entry.zone:
                 self._down(holder, entry.last, silent=True)
@@ -213,7 +213,7 @@
                 if broker.zone == entry.zone:
                     self._crash(broker.number, entry.last)
 
-    def _drain(self, entry: TroubleEntry, draw: Source) -> None:
+    def _drain(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._chosen(entry, draw):
             holder.phase = "draining"
             self.run.lists.publish(holder.name)
@@ -224,7 +224,7 @@
             holder.phase = "ready"
             self.run.lists.publish(holder.name)
 
-    def _deploy(self, entry: TroubleEntry, draw: Source) -> None:
+    def _deploy(self, entry: TroubleEntry, draw: RandomStream) -> None:
         chosen = self._chosen(entry, draw)
         for wave in range(self.script.fleet.replicas):
             for holder in chosen:
@@ -283,7 +283,7 @@
 
     # --- brokers and their lists ---
 
-    def _broker_stall(self, entry: TroubleEntry, draw: Source) -> None:
+    def _broker_stall(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._numbers(entry, draw):
             broker, now = self.run.brokers[number], time.monotonic_ns()
             if broker.alive:
@@ -291,7 +291,7 @@
                 broker.signal(signal.SIGSTOP)
                 self.loop.call_in(entry.last, lambda b=broker: b.signal(signal.SIGCONT))  # type: ignore[misc]
 
-    def _broker_crash(self, entry: TroubleEntry, draw: Source) -> None:
+    def _broker_crash(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._numbers(entry, draw):
             self._crash(number, entry.last)
 
@@ -326,7 +326,7 @@
             broker.halted = None
             self.run.writer.write(Halt(since, number, time.monotonic_ns(), True))
 
-    def _list_late(self, entry: TroubleEntry, draw: Source) -> None:
+    def _list_late(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._numbers(entry, draw):
             view = self.run.lists.views[number]
             view.lag *= entry.times
@@ -339,14 +339,14 @@
 
         return again
 
-    def _list_frozen(self, entry: TroubleEntry, draw: Source) -> None:
+    def _list_frozen(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._numbers(entry, draw):
             self.run.lists.freeze(number)
             self.loop.call_in(entry.last, lambda n=number: self.run.lists.thaw(n))  # type: ignore[misc]
 
     # --- clients ---
 
-    def _burst(self, entry: TroubleEntry, draw: Source) -> None:
+    def _burst(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self.run.factor *= entry.times
 
         def over() -> None:
@@ -354,7 +354,7 @@
 
         self.loop.call_in(entry.last, over)
 
-    def _impatience(self, entry: TroubleEntry, draw: Source) -> None:
+    def _impatience(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self.run.hurry = entry.times
 
         def calm() -> None:
@@ -362,7 +362,7 @@
 
         self.loop.call_in(entry.last, calm)
 
-    def _retry_storm(self, entry: TroubleEntry, draw: Source) -> None:
+    def _retry_storm(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self.run.storm = True
 
         def calm() -> None:
@@ -370,7 +370,7 @@
 
         self.loop.call_in(entry.last, calm)
 
-    def _heavy_tail(self, entry: TroubleEntry, draw: Source) -> None:
+    def _heavy_tail(self, entry: TroubleEntry, draw: RandomStream) -> None:
         kind, heavy = self._class(entry), self.run.heavy
         heavy[kind] = (entry.share, entry.times)
 
@@ -379,7 +379,7 @@
 
         self.loop.call_in(entry.last, over)
 
-    def _poison(self, entry: TroubleEntry, draw: Source) -> None:
+    def _poison(self, entry: TroubleEntry, draw: RandomStream) -> None:
         kind, poison = self._class(entry), self.run.poison
         poison[kind] = entry.share
 
--- a/quincepath/lab/emulator/troubles.py
+++ b/quincepath/lab/emulator/troubles.py
@@ -5,8 +5,8 @@
 from quincepath.interface import Phase
 from quincepath.lab.emulator.script import TroubleEntry
 from quincepath.lab.emulator.world import Broker, Emulation
-from quincepath.standins.chance import Source
-from quincepath.standins.model import Server, State, Troubles
+from quincepath.standins.model import Server, ServerFaults, State
+from quincepath.standins.random_streams import RandomStream
 
 AGEING_STEPS = 10
 DEPLOY_PAUSE = 500_000_000  # ns that a deployed holder drains before its process ends
@@ -21,10 +21,10 @@
             draw = world.source(f"trouble {place}")
             world.at(world.begin + entry.at, self._begin(entry, draw))
 
-    def _begin(self, entry: TroubleEntry, draw: Source) -> Callable[[], None]:
+    def _begin(self, entry: TroubleEntry, draw: RandomStream) -> Callable[[], None]:
         def go() -> None:
             self.world.mark(f"begins: {entry.kind}")
-            act: Callable[[TroubleEntry, Source], None] = getattr(self, f"_{entry.kind}")
+            act: Callable[[TroubleEntry, RandomStream], None] = getattr(self, f"_{entry.kind}")
             act(entry, draw)
             self.world.after(entry.last, lambda: self.world.mark(f"ends: {entry.kind}"))
 
@@ -32,11 +32,11 @@
 
     # --- helpers ---
 
-    def _servers(self, entry: TroubleEntry, draw: Source) -> list[Server]:
+    def _servers(self, entry: TroubleEntry, draw: RandomStream) -> list[Server]:
         fleet = self.world.fleet
         return [fleet.servers[name] for name in draw.pick(list(fleet.servers), entry.holders)]
 
-    def _brokers(self, entry: TroubleEntry, draw: Source) -> list[Broker]:
+    def _brokers(self, entry: TroubleEntry, draw: RandomStream) -> list[Broker]:
         names = [f"broker{broker.number}" for broker in self.world.brokers]
         return [self.world.brokers[int(name[6:])] for name in draw.pick(names, entry.brokers)]
 
@@ -44,21 +44,23 @@
         self,
         servers: Iterable[Server],
         last: int,
-        begin: Callable[[Troubles], None],
-        end: Callable[[Troubles], None],
+        begin: Callable[[ServerFaults], None],
+        end: Callable[[ServerFaults], None],
     ) -> None:
         """Change servers now and back later; a server that was restarted meanwhile is left alone."""
         for server in servers:
             server.advance(self.world.now)
-            begin(server.troubles)
+            begin(server.faults)
             self.world._schedule(server)
             self.world.after(last, self._undo(server, server.incarnation, end))
 
-    def _undo(self, server: Server, incarnation: int, end: Callable[[Troubles], None]) -> Callable[[], None]:
+    def _undo(
+        self, server: Server, incarnation: int, end: Callable[[ServerFaults], None]
+    ) -> Callable[[], None]:
         def undo() -> None:
             if server.incarnation == incarnation:
                 self.world._wake(server)
-                end(server.troubles)
+                end(server.faults)
                 self.world._schedule(server)
 
         return undo
@@ -68,65 +70,65 @@
 
     # --- holders ---
 
-    def _hang(self, entry: TroubleEntry, draw: Source) -> None:
-        def begin(troubles: Troubles) -> None:
+    def _hang(self, entry: TroubleEntry, draw: RandomStream) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.hang = True
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.hang = False
 
         self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
 
-    def _slow(self, entry: TroubleEntry, draw: Source) -> None:
-        def begin(troubles: Troubles) -> None:
+    def _slow(self, entry: TroubleEntry, draw: RandomStream) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.slow *= entry.times
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.slow /= entry.times
 
         self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
 
-    def _slowdown(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slowdown(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """All holders at once: something that they share is slow."""
         self._slow(entry.model_copy(update={"holders": list(self.world.fleet.servers)}), draw)
 
-    def _lost_answers(self, entry: TroubleEntry, draw: Source) -> None:
-        def begin(troubles: Troubles) -> None:
+    def _lost_answers(self, entry: TroubleEntry, draw: RandomStream) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.lose = entry.share
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.lose = 0.0
 
         self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
 
-    def _errors(self, entry: TroubleEntry, draw: Source, kinds: frozenset[int] | None = None) -> None:
-        def begin(troubles: Troubles) -> None:
+    def _errors(self, entry: TroubleEntry, draw: RandomStream, kinds: frozenset[int] | None = None) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.errors, troubles.error_kinds = entry.share, kinds
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.errors, troubles.error_kinds = 0.0, None
 
         self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
 
-    def _class_errors(self, entry: TroubleEntry, draw: Source) -> None:
+    def _class_errors(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._errors(entry, draw, frozenset((self._class(entry),)))
 
-    def _slow_handshakes(self, entry: TroubleEntry, draw: Source) -> None:
-        def begin(troubles: Troubles) -> None:
+    def _slow_handshakes(self, entry: TroubleEntry, draw: RandomStream) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.handshake = entry.pause
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.handshake = 0
 
         self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
 
-    def _pauses(self, entry: TroubleEntry, draw: Source) -> None:
+    def _pauses(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Each stands still for ``pause`` every ``every``, at times of its own."""
 
-        def begin(troubles: Troubles) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.paused = True
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.paused = False
 
         until = self.world.now + entry.last
@@ -136,13 +138,13 @@
                 self.world.at(at, lambda s=server: self._for_a_while([s], entry.pause, begin, end))  # type: ignore[misc]
                 at += int(entry.every * draw.between(0.8, 1.2))
 
-    def _preemption(self, entry: TroubleEntry, draw: Source) -> None:
+    def _preemption(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Another program takes ``share`` of the machine, on and off."""
 
-        def begin(troubles: Troubles) -> None:
+        def begin(troubles: ServerFaults) -> None:
             troubles.steal = min(entry.share, 0.95)
 
-        def end(troubles: Troubles) -> None:
+        def end(troubles: ServerFaults) -> None:
             troubles.steal = 0.0
 
         until = self.world.now + entry.last
@@ -153,13 +155,13 @@
                 self.world.at(at, lambda s=server, la=last: self._for_a_while([s], la, begin, end))  # type: ignore[misc]
                 at += int(entry.every * draw.between(0.8, 1.2))
 
-    def _ageing(self, entry: TroubleEntry, draw: Source) -> None:
+    def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Slower step by step, up to ``times``, then its process dies and comes back cold."""
 
-        def nothing(troubles: Troubles) -> None:
+        def nothing(troubles: ServerFaults) -> None:
             pass
 
-        def slower(troubles: Troubles) -> None:
+        def slower(troubles: ServerFaults) -> None:
             troubles.slow *= entry.times ** (1 / AGEING_STEPS)
 
         for server in self._servers(entry, draw):
@@ -169,13 +171,13 @@
             self.world.after(entry.last, lambda s=server: self.world.kill(s))  # type: ignore[misc]
             self.world.after(entry.last + entry.every, lambda s=server: self.world.restart(s))  # type: ignore[misc]
 
-    def _kill(self, entry: TroubleEntry, draw: Source) -> None:
+    def _kill(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for server in self._servers(entry, draw):
             self._down(server, entry.last, silent=False)
 
     _restart = _kill
 
-    def _silence(self, entry: TroubleEntry, draw: Source) -> None:
+    def _silence(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for server in self._servers(entry, draw):
             self._down(server, entry.last, silent=True)
 
@@ -184,7 +186,7 @@
             self.world.kill(server, silent)
             self.world.after(last, lambda: self.world.restart(server))
 
-    def _flapping(self, entry: TroubleEntry, draw: Source) -> None:
+    def _flapping(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Up and down: dead for a third of ``every``, back cold, dead again."""
         until = self.world.now + entry.last
         for server in self._servers(entry, draw):
@@ -194,7 +196,7 @@
                 self.world.at(at, lambda s=server, la=last: self._down(s, la, silent=False))  # type: ignore[misc]
                 at += entry.every
 
-    def _zone_loss(self, entry: TroubleEntry, draw: Source) -> None:
+    def _zone_loss(self, entry: TroubleEntry, draw: RandomStream) -> None:
         fleet = self.world.fleet
         zone = self.world.zones[entry.zone or ""]
         for name, server in fleet.servers.items():
@@ -205,7 +207,7 @@
                 if broker.zone == zone:
                     self.world.halt(broker, entry.last, kill=True)
 
-    def _drain(self, entry: TroubleEntry, draw: Source) -> None:
+    def _drain(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for server in self._servers(entry, draw):
             self.world.publish(server.name, Phase.DRAINING)
             self.world.after(entry.last, self._serve_again(server))
@@ -217,7 +219,7 @@
 
         return again
 
-    def _deploy(self, entry: TroubleEntry, draw: Source) -> None:
+    def _deploy(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """In waves, replica by replica, ``every`` apart: drained, ended, back cold."""
         chosen = self._servers(entry, draw)
         for wave in range(self.world.script.fleet.replicas):
@@ -236,7 +238,7 @@
 
         return go
 
-    def _one_sided(self, entry: TroubleEntry, draw: Source) -> None:
+    def _one_sided(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """What these holders send to these brokers is lost; what the brokers send arrives."""
         brokers = self._brokers(entry, draw)
         pairs = {(b.number, s.name) for s in self._servers(entry, draw) for b in brokers}
@@ -249,15 +251,15 @@
 
     # --- brokers and the list ---
 
-    def _broker_stall(self, entry: TroubleEntry, draw: Source) -> None:
+    def _broker_stall(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for broker in self._brokers(entry, draw):
             self.world.halt(broker, entry.last, kill=False)
 
-    def _broker_crash(self, entry: TroubleEntry, draw: Source) -> None:
+    def _broker_crash(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for broker in self._brokers(entry, draw):
             self.world.halt(broker, entry.last, kill=True)
 
-    def _list_late(self, entry: TroubleEntry, draw: Source) -> None:
+    def _list_late(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for broker in self._brokers(entry, draw):
             broker.lag *= entry.times
             self.world.after(entry.last, self._in_time(broker, entry.times))
@@ -269,14 +271,14 @@
 
         return again
 
-    def _list_frozen(self, entry: TroubleEntry, draw: Source) -> None:
+    def _list_frozen(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for broker in self._brokers(entry, draw):
             broker.frozen = True
             self.world.after(entry.last, lambda b=broker: self.world.thaw(b))  # type: ignore[misc]
 
     # --- clients ---
 
-    def _burst(self, entry: TroubleEntry, draw: Source) -> None:
+    def _burst(self, entry: TroubleEntry, draw: RandomStream) -> None:
         world = self.world
         world.rate_factor *= entry.times
 
@@ -285,7 +287,7 @@
 
         world.after(entry.last, over)
 
-    def _heavy_tail(self, entry: TroubleEntry, draw: Source) -> None:
+    def _heavy_tail(self, entry: TroubleEntry, draw: RandomStream) -> None:
         kind, world = self._class(entry), self.world
         world.heavy[kind] = (entry.share, entry.times)
 
@@ -294,7 +296,7 @@
 
         world.after(entry.last, over)
 
-    def _poison(self, entry: TroubleEntry, draw: Source) -> None:
+    def _poison(self, entry: TroubleEntry, draw: RandomStream) -> None:
         kind, world = self._class(entry), self.world
         world.poison[kind] = entry.share
 
@@ -303,7 +305,7 @@
 
         world.after(entry.last, over)
 
-    def _impatience(self, entry: TroubleEntry, draw: Source) -> None:
+    def _impatience(self, entry: TroubleEntry, draw: RandomStream) -> None:
         world = self.world
         world.patience_factor = 1 / entry.times
 
@@ -312,7 +314,7 @@
 
         world.after(entry.last, calm)
 
-    def _retry_storm(self, entry: TroubleEntry, draw: Source) -> None:
+    def _retry_storm(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Clients come back at once, whatever they are told."""
         world = self.world
         world.impatient_retries = True
--- a/quincepath/lab/emulator/world/day.py
+++ b/quincepath/lab/emulator/world/day.py
@@ -8,9 +8,9 @@
 import numpy as np
 
 from quincepath.interface import Effect, Entry, Limits, Phase, QueryClass, Rules, Settings
-from quincepath.lab.emulator.chance import Source, machines
+from quincepath.lab.emulator.chance import RandomStream, machines
 from quincepath.lab.emulator.script import Script, TrafficClass
-from quincepath.lab.emulator.server import Fleet, Kind, Server
+from quincepath.lab.emulator.server import Fleet, Server, ServerConfig
 from quincepath.lab.emulator.world.actors import Broker
 from quincepath.standins.record import Bounds, ClassRules, Head, Line, Mark
 
@@ -53,7 +53,7 @@
         self.tally = Tally()
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
-        self._sources: dict[str, Source] = {}
+        self._sources: dict[str, RandomStream] = {}
         self._handles = 0
         self._wakes: dict[str, int] = {}
         self._down: set[str] = set()
@@ -73,10 +73,10 @@
         self.brokers = [Broker(n, n % len(self.zones)) for n in range(script.brokers)]
         self._write_head()
 
-    def source(self, name: str) -> Source:
+    def source(self, name: str) -> RandomStream:
         """The source of chance of this name."""
         if name not in self._sources:
-            self._sources[name] = Source(self.seed, name)
+            self._sources[name] = RandomStream(self.seed, name)
         return self._sources[name]
 
     def at(self, when: int, call: Callable[[], None]) -> None:
@@ -111,7 +111,7 @@
             for r in range(entry.replicas):
                 name = f"s{s}r{r}"
                 machine = kinds[name]
-                model = Kind(
+                model = ServerConfig(
                     machine.cores, machine.speed, entry.room, entry.table, entry.connect_work, entry.cold,
                     entry.ramp, self.script.rules.fall_multiple, self.script.rules.overload_for,
                     entry.drop_cancelled,
--- a/quincepath/lab/emulator/world/holders.py
+++ b/quincepath/lab/emulator/world/holders.py
@@ -65,7 +65,7 @@
             self._crash(server, State.DOWN)
             self.after(RESTART_AFTER, lambda: self.restart(server))
             return
-        due = server.next_end()
+        due = server.next_completion()
         if due is None or self._wakes.get(server.name, 1 << 62) <= due:
             return
         self._wakes[server.name] = due
@@ -84,7 +84,7 @@
             if job.cancelled:
                 continue
             self._said(server, call, 200, True)
-            if server.troubles.lose and server.draw() < server.troubles.lose:
+            if server.faults.lose and server.draw() < server.faults.lose:
                 continue
             self._back(broker, server, life, self._way_to(broker, server), self._ok(broker, call))
         if server.state is State.UP:
@@ -127,6 +127,6 @@
             return
         server.restart(self.now)
         self._down.discard(server.name)
-        kind = server.kind
+        kind = server.config
         self.sink(Up(self.now, server.name, kind.cold, kind.ramp, kind.cores * kind.speed * 1e9))
         self.publish(server.name, Phase.READY, self.now)
--- a/quincepath/lab/emulator/world/sending.py
+++ b/quincepath/lab/emulator/world/sending.py
@@ -60,13 +60,13 @@
             if server.state is State.SILENT:
                 return
             back = self._way_to(broker, server)
-            if server.state is not State.UP or server.connections >= server.kind.table:
+            if server.state is not State.UP or server.connections >= server.config.max_connections:
                 self._back(broker, server, life, back, refused)
                 return
             server.connections += 1
             call.connection.counted = True
             call.connection.incarnation = server.incarnation
-            self._back(broker, server, life, back + server.troubles.handshake, connected)
+            self._back(broker, server, life, back + server.faults.handshake, connected)
 
         self.after(self.script.limits.connect_timeout, lambda: self._timer(broker, life, late))
         self.after(self._way_to(broker, server), syn)
--- a/quincepath/lab/fleet/properties.py
+++ b/quincepath/lab/fleet/properties.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quincepath.config.schema.classes import ClassEntry
-from quincepath.lab.audit import Book, collect
+from quincepath.lab.audit import RecordIndex, collect
 from quincepath.lab.demo import classes_entry
 from quincepath.lab.fleet.loads import shard_map
 from quincepath.lab.fleet.script import FleetScript
@@ -240,7 +240,7 @@
         return round(jain(list(got.values())), 4)
 
 
-def _book(paths: Iterable[Path]) -> Book:
+def _book(paths: Iterable[Path]) -> RecordIndex:
     """All that can be read; what cannot is the audit's to name."""
     lines: list[tuple[str, Line]] = []
     for path in paths:
--- a/quincepath/lab/memory_network/sockets.py
+++ b/quincepath/lab/memory_network/sockets.py
@@ -5,14 +5,14 @@
 import struct
 from collections import deque
 
-from quincepath.lab.memory_network.registry import ANY, Address, Kind, Registry, os_error
+from quincepath.lab.memory_network.registry import ANY_HOST, Address, Registry, SocketType, os_error
 from quincepath.net.loop import READ, WRITE
 
-STREAM_ROOM = 1 << 20  # bytes that wait in one direction until they are read; a writer then waits
-DATAGRAM_ROOM = 1 << 18  # bytes of datagrams that wait at one socket; what is over is dropped
-DATAGRAM_MOST = 65_507  # bytes of one datagram over IPv4
+STREAM_BUFFER_BYTES = 1 << 20  # bytes that wait in one direction until they are read; a writer then waits
+DATAGRAM_BUFFER_BYTES = 1 << 18  # bytes of datagrams that wait at one socket; what is over is dropped
+MAX_DATAGRAM_BYTES = 65_507  # bytes of one datagram over IPv4
 LOOPBACK = "127.0.0.1"
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, of no time: ``close`` resets
+ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, of no time: ``close`` resets
 
 
 class MemorySocket:
@@ -22,8 +22,8 @@
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
-        self.number = registry.take(self)
-        self.address: Address = (ANY, 0)
+        self.number = registry.add(self)
+        self.address: Address = (ANY_HOST, 0)
         self.closed = False
 
     def fileno(self) -> int:
@@ -44,7 +44,7 @@
         """READ and WRITE as a selector tells them."""
         raise NotImplementedError
 
-    def changed(self) -> None:
+    def mark_changed(self) -> None:
         """The selector has to look at it again."""
         self.registry.changed.add(self.number)
 
@@ -52,7 +52,7 @@
         """Give it back; closing twice does nothing."""
         if not self.closed:
             self.closed = True
-            self.registry.give_back(self.number)
+            self.registry.remove(self.number)
 
 
 class MemoryStream(MemorySocket):
@@ -61,32 +61,32 @@
     def __init__(self, registry: Registry) -> None:
         super().__init__(registry)
         self.peer: MemoryStream | None = None
-        self.remote: Address = (ANY, 0)
+        self.remote: Address = (ANY_HOST, 0)
         self._incoming = bytearray()
-        self._peer_ended = False
-        self._own_ended = False
+        self._eof_received = False
+        self._write_closed = False
         self._connecting = False
         self._error = 0  # told by the next call, as SO_ERROR
-        self._broken = False
+        self._failed = False
         self._reset_on_close = False
 
     # --- connecting ---
 
     def connect_ex(self, address: Address) -> int:
         """Begin to connect; the outcome is told by readiness and SO_ERROR, as by a non-blocking socket."""
-        self.address = (LOOPBACK, self.registry.free_port())
+        self.address = (LOOPBACK, self.registry.next_port())
         self.remote = address
-        listener = self.registry.bound(Kind.STREAM, address)
+        listener = self.registry.lookup(SocketType.STREAM, address)
         if not isinstance(listener, MemoryListener):
-            self._fail(errno.ECONNREFUSED)
+            self._set_error(errno.ECONNREFUSED)
         elif listener.full:
             self._connecting = True  # until the caller gives up, as with a system that drops the SYN
         else:
             other = MemoryStream(self.registry)
             other.address, other.remote = address, self.address
             self.peer, other.peer = other, self
-            listener.arrived(other)
-            self.changed()
+            listener.enqueue(other)
+            self.mark_changed()
         return errno.EINPROGRESS
 
     def connect(self, address: Address) -> None:
@@ -112,14 +112,14 @@
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
         """SO_LINGER of no time makes ``close`` a reset."""
         if option == socket.SO_LINGER and isinstance(value, bytes):
-            self._reset_on_close = value == RESET
+            self._reset_on_close = value == ZERO_LINGER
 
     # --- bytes ---
 
     @property
-    def room(self) -> int:
+    def send_space(self) -> int:
         """Bytes that the other end can still hold."""
-        return STREAM_ROOM - len(self.peer._incoming) if self.peer is not None else 0
+        return STREAM_BUFFER_BYTES - len(self.peer._incoming) if self.peer is not None else 0
 
     def send(self, data: bytes | memoryview) -> int:
         """Bytes taken. Raises ``BlockingIOError`` where the other end is full, ``OSError`` where it is gone.
@@ -127,18 +127,18 @@
         A closed end takes them and answers by a reset.
         """
         self._raise_error()
-        if self._own_ended:
+        if self._write_closed:
             raise os_error(errno.EPIPE)
         if self.peer is None:
             raise os_error(errno.ENOTCONN)
         if self.peer.closed:
-            self._fail(errno.ECONNRESET)
+            self._set_error(errno.ECONNRESET)
             return len(data)
-        taken = min(self.room, len(data))
+        taken = min(self.send_space, len(data))
         if not taken and len(data):
             raise os_error(errno.EAGAIN)
         self.peer._incoming += data[:taken]
-        self.peer.changed()
+        self.peer.mark_changed()
         return taken
 
     def recv_into(self, buffer: memoryview) -> int:
@@ -157,10 +157,10 @@
             if not peek:
                 del self._incoming[:count]
                 if self.peer is not None:
-                    self.peer.changed()
+                    self.peer.mark_changed()
             return found
         self._raise_error()
-        if self._peer_ended:
+        if self._eof_received:
             return b""
         if self.peer is None:
             raise os_error(errno.ENOTCONN)
@@ -172,10 +172,10 @@
         """End the writing side (SHUT_WR alone is used). Raises ``OSError`` where there is no connection."""
         if how != socket.SHUT_WR:
             raise ValueError(f"shutdown({how}): expected SHUT_WR ({socket.SHUT_WR})")
-        if self.peer is None or self._broken:
+        if self.peer is None or self._failed:
             raise os_error(errno.ENOTCONN)
-        self._own_ended = True
-        self.peer._end()
+        self._write_closed = True
+        self.peer._receive_eof()
 
     def close(self) -> None:
         """End both sides; over unread bytes, or after SO_LINGER of no time, the other end gets a reset."""
@@ -188,17 +188,17 @@
         if peer is None or peer.closed:
             return
         if reset:
-            peer._fail(errno.ECONNRESET)
-        peer._end()
+            peer._set_error(errno.ECONNRESET)
+        peer._receive_eof()
 
-    def _end(self) -> None:
-        self._peer_ended = True
-        self.changed()
+    def _receive_eof(self) -> None:
+        self._eof_received = True
+        self.mark_changed()
 
-    def _fail(self, code: int) -> None:
-        self._error, self._broken = code, True
-        self._peer_ended = self._own_ended = True
-        self.changed()
+    def _set_error(self, code: int) -> None:
+        self._error, self._failed = code, True
+        self._eof_received = self._write_closed = True
+        self.mark_changed()
 
     def _raise_error(self) -> None:
         if self._error:
@@ -211,8 +211,8 @@
             return 0
         if self._error or self.peer is None:
             return READ | WRITE
-        read = READ if self._incoming or self._peer_ended else 0
-        write = WRITE if self.room or self.peer.closed or self._own_ended else 0
+        read = READ if self._incoming or self._eof_received else 0
+        write = WRITE if self.send_space or self.peer.closed or self._write_closed else 0
         return read | write
 
 
@@ -226,17 +226,17 @@
 
     def bind(self, address: Address) -> None:
         """Take an address. Raises ``OSError`` where it is taken."""
-        self.address = self.registry.bind(Kind.STREAM, address, self)
+        self.address = self.registry.bind(SocketType.STREAM, address, self)
 
     @property
     def full(self) -> bool:
         """Whether no more can wait to be accepted."""
         return len(self._waiting) >= self._backlog
 
-    def arrived(self, stream: MemoryStream) -> None:
+    def enqueue(self, stream: MemoryStream) -> None:
         """A connection that waits to be accepted."""
         self._waiting.append(stream)
-        self.changed()
+        self.mark_changed()
 
     def accept(self) -> tuple[MemoryStream, Address]:
         """The connection that waits longest. Raises ``BlockingIOError`` where none does."""
@@ -254,10 +254,10 @@
         if self.closed:
             return
         if self.address[1]:
-            self.registry.release(Kind.STREAM, self.address)
+            self.registry.release(SocketType.STREAM, self.address)
         super().close()
         for stream in self._waiting:
-            stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
             stream.close()
         self._waiting.clear()
 
@@ -268,23 +268,23 @@
     def __init__(self, registry: Registry) -> None:
         super().__init__(registry)
         self._incoming: deque[bytes] = deque()
-        self._held = 0
+        self._buffered_bytes = 0
 
     def bind(self, address: Address) -> None:
         """Take an address. Raises ``OSError`` where it is taken."""
-        self.address = self.registry.bind(Kind.DATAGRAM, address, self)
+        self.address = self.registry.bind(SocketType.DATAGRAM, address, self)
 
     def sendto(self, data: bytes, address: Address) -> int:
         """To whoever is bound there; lost where nobody is, or where its room is full."""
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise os_error(errno.EMSGSIZE)
         if not self.address[1]:
             self.bind((LOOPBACK, 0))
-        other = self.registry.bound(Kind.DATAGRAM, address)
-        if isinstance(other, MemoryDatagrams) and other._held + len(data) <= DATAGRAM_ROOM:
+        other = self.registry.lookup(SocketType.DATAGRAM, address)
+        if isinstance(other, MemoryDatagrams) and other._buffered_bytes + len(data) <= DATAGRAM_BUFFER_BYTES:
             other._incoming.append(bytes(data))
-            other._held += len(data)
-            other.changed()
+            other._buffered_bytes += len(data)
+            other.mark_changed()
         return len(data)
 
     def recv(self, count: int) -> bytes:
@@ -292,7 +292,7 @@
         if not self._incoming:
             raise os_error(errno.EAGAIN)
         data = self._incoming.popleft()
-        self._held -= len(data)
+        self._buffered_bytes -= len(data)
         return data[:count]
 
     def recv_into(self, buffer: memoryview) -> int:
@@ -309,5 +309,5 @@
         """Give its address back."""
         if not self.closed:
             if self.address[1]:
-                self.registry.release(Kind.DATAGRAM, self.address)
+                self.registry.release(SocketType.DATAGRAM, self.address)
             super().close()
--- a/quincepath/standins/leaf.py
+++ b/quincepath/standins/leaf.py
@@ -17,9 +17,9 @@
 from quincepath.net.http1 import Limits, Request, response_head
 from quincepath.net.loop import Loop, Timer
 from quincepath.net.server import ClientConnection, Exchange, HttpServer, Timeouts
-from quincepath.standins.chance import Source
 from quincepath.standins.data import Store
-from quincepath.standins.model import Job, Kind, Server, State
+from quincepath.standins.model import Job, Server, ServerConfig, State
+from quincepath.standins.random_streams import RandomStream
 from quincepath.standins.record import Got, Mark, Said, Up, Writer
 
 MS = 1_000_000
@@ -67,7 +67,7 @@
 
     work: int = 4 * MS
     cores: int = 2
-    room: int = 64
+    queue_limit: int = 64
     cold: float = 1.0
     ramp: int = 10 * SECOND
     spread: float = 0.0
@@ -76,10 +76,11 @@
     overload_for: int = 2 * SECOND
     speed: float = 1.0
 
-    def kind(self) -> Kind:
+    def server_config(self) -> ServerConfig:
         """As the laboratory's model has it."""
-        return Kind(
-            cores=self.cores, speed=self.speed, room=self.room, cold=min(self.cold, 1.0), ramp=self.ramp,
+        return ServerConfig(
+            cores=self.cores, speed=self.speed, queue_limit=self.queue_limit,
+            cold=min(self.cold, 1.0), ramp=self.ramp,
             fall_multiple=self.fall_multiple, overload_for=self.overload_for,
         )  # fmt: skip
 
@@ -103,20 +104,20 @@
         service: Service | None = None,
         record: Writer | None = None,
         port: int = 0,
-        most_connections: int = 4000,
-        on_death: Callable[[], None] = lambda: None,
+        max_connections: int = 4000,
+        on_crash: Callable[[], None] = lambda: None,
     ) -> None:
-        self.on_death = on_death
+        self.on_crash = on_crash
         self.loop, self.name, self.store, self.record = loop, name, store, record
         self.service = service or Service()
         self._faults = Faults()
         warm = self.service.cold >= 1
-        self.model = Server(name, self.service.kind(), Source(1, name), loop.now, warm)
+        self.model = Server(name, self.service.server_config(), RandomStream(1, name), loop.now, warm)
         self.requests = 0
         self._met = 0.0
         self._look: Timer | None = None
         self.server = HttpServer(
-            loop, "127.0.0.1", port, self._request, Limits(body=8 << 20), TIMES, most_connections,
+            loop, "127.0.0.1", port, self._request, Limits(body=8 << 20), TIMES, max_connections,
             on_connection=self._greet,
         )  # fmt: skip
         self.port = self.server.port
@@ -134,9 +135,9 @@
     def faults(self, faults: Faults) -> None:
         self._catch_up()
         self._faults = faults
-        troubles = self.model.troubles
-        troubles.slow, troubles.steal, troubles.paused = faults.slow, faults.steal, faults.paused
-        troubles.lose = faults.lose
+        model_faults = self.model.faults
+        model_faults.slow, model_faults.steal, model_faults.paused = faults.slow, faults.steal, faults.paused
+        model_faults.lose = faults.lose
         self._arm()
 
     def close(self, reset: bool = False) -> None:
@@ -281,7 +282,7 @@
         """Carry the model on to now and answer what ended on the way."""
         for _, job in self.model.advance(self.loop.now):
             if not job.cancelled and not (
-                self.model.troubles.lose and self.model.draw() < self.model.troubles.lose
+                self.model.faults.lose and self.model.draw() < self.model.faults.lose
             ):
                 self._answer(job.tag)
 
@@ -291,9 +292,9 @@
             self._look.cancel()
         if self.model.poisoned():
             self.close(reset=True)
-            self.on_death()
+            self.on_crash()
             return
-        due = self.model.next_end()
+        due = self.model.next_completion()
         self._look = None if due is None else self.loop.call_at(due, self._due)
 
     def _due(self) -> None:
--- a/quincepath/standins/model.py
+++ b/quincepath/standins/model.py
@@ -16,13 +16,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class ServerConfig:
     """A kind of machine. Times in ns; ``cold`` is its share of capacity when it starts."""
 
     cores: int = 2
     speed: float = 1.0
-    room: int = 64
-    table: int = 1000
+    queue_limit: int = 64
+    max_connections: int = 1000
     connect_work: int = 200_000
     cold: float = 0.2
     ramp: int = 10 * SECOND
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Troubles:
+class ServerFaults:
     """What is wrong with a server now; the defaults are a sound one."""
 
     slow: float = 1.0  # times as long
@@ -71,14 +71,14 @@
 class Server:
     """A holder. What it decides by chance is drawn from ``draw``, a source of floats below 1."""
 
-    def __init__(self, name: str, kind: Kind, draw: Any, now: int, warm: bool = True) -> None:
-        self.name, self.kind, self.draw = name, kind, draw
-        self.troubles = Troubles()
+    def __init__(self, name: str, config: ServerConfig, draw: Any, now: int, warm: bool = True) -> None:
+        self.name, self.config, self.draw = name, config, draw
+        self.faults = ServerFaults()
         self.state = State.UP
         self.incarnation = 0
         self.connections = 0
-        self.started = now - kind.ramp if warm else now
-        self.margin = 0.0  # fullest window seen while cold, as a share of what makes it fall
+        self.started = now - config.ramp if warm else now
+        self.max_window_share = 0.0  # fullest window seen while cold, as a share of what makes it fall
         self._at = now
         self._waiting: deque[Job] = deque()
         self._running: list[Job] = []
@@ -89,27 +89,27 @@
 
     def warmth(self, now: int) -> float:
         """Share of its capacity that it has now."""
-        age = (now - self.started) / self.kind.ramp
-        return min(1.0, self.kind.cold + (1 - self.kind.cold) * max(age, 0.0))
+        age = (now - self.started) / self.config.ramp
+        return min(1.0, self.config.cold + (1 - self.config.cold) * max(age, 0.0))
 
     def rate(self, now: int) -> float:
         """Work (ns) that one core does in a ns."""
-        troubles = self.troubles
-        if troubles.paused or self.state is not State.UP:
+        faults = self.faults
+        if faults.paused or self.state is not State.UP:
             return 0.0
-        return self.kind.speed * self.warmth(now) * (1 - troubles.steal) / troubles.slow
+        return self.config.speed * self.warmth(now) * (1 - faults.steal) / faults.slow
 
-    def held(self) -> int:
+    def job_count(self) -> int:
         """Jobs waiting or running."""
         return len(self._waiting) + len(self._running)
 
     def restart(self, now: int, warm: bool = False) -> None:
-        """A new process: empty, cold, without troubles."""
+        """A new process: empty, cold, without faults."""
         self.state = State.UP
         self.incarnation += 1
         self.connections = 0
-        self.started = now - self.kind.ramp if warm else now
-        self.troubles = Troubles()
+        self.started = now - self.config.ramp if warm else now
+        self.faults = ServerFaults()
         self._at = now
         self._waiting.clear()
         self._running.clear()
@@ -131,13 +131,13 @@
         """A call came in: ``queued``, ``full``, ``error``, ``hung`` or ``fell``."""
         if self._push(now, job.work):
             return "fell"
-        troubles = self.troubles
-        if troubles.hang:
+        faults = self.faults
+        if faults.hang:
             return "hung"
-        hit = troubles.error_kinds is None or troubles.error_kinds & job.kinds
-        if troubles.errors and hit and self.draw() < troubles.errors:
+        hit = faults.error_kinds is None or faults.error_kinds & job.kinds
+        if faults.errors and hit and self.draw() < faults.errors:
             return "error"
-        if len(self._waiting) >= self.kind.room:
+        if len(self._waiting) >= self.config.queue_limit:
             return "full"
         job.left = job.work
         self._waiting.append(job)
@@ -147,7 +147,7 @@
     def cancel(self, now: int, job: Job) -> None:
         """Nobody waits for it any more; what runs goes on."""
         job.cancelled = True
-        if self.kind.drop_cancelled and job in self._waiting:
+        if self.config.drop_cancelled and job in self._waiting:
             self._waiting.remove(job)
 
     def advance(self, now: int) -> list[tuple[int, Job]]:
@@ -175,7 +175,7 @@
                 self._begin(self._at)
         return ended
 
-    def next_end(self) -> int | None:
+    def next_completion(self) -> int | None:
         """When to look again; None while nothing runs or nothing moves."""
         rate = self.rate(self._at)
         if not self._running or rate <= 0:
@@ -188,9 +188,9 @@
         return any(job.poison for job in self._running)
 
     def _begin(self, now: int) -> None:
-        while self._waiting and len(self._running) < self.kind.cores:
+        while self._waiting and len(self._running) < self.config.cores:
             job = self._waiting.popleft()
-            if self.kind.skip_expired and job.expires <= now:
+            if self.config.skip_expired and job.expires <= now:
                 continue
             self._running.append(job)
 
@@ -198,14 +198,14 @@
         """Count work that reaches it; true where it falls over from that."""
         self._pushed.append((now, work))
         self._pushed_sum += work
-        while self._pushed and self._pushed[0][0] <= now - self.kind.overload_for:
+        while self._pushed and self._pushed[0][0] <= now - self.config.overload_for:
             self._pushed_sum -= self._pushed.popleft()[1]
         warmth = self.warmth(now)
         if warmth >= 1:
             return False
-        able = self.kind.cores * self.kind.speed * warmth * self.kind.overload_for
-        full = self._pushed_sum / (self.kind.fall_multiple * able)
-        self.margin = max(self.margin, full)
+        able = self.config.cores * self.config.speed * warmth * self.config.overload_for
+        full = self._pushed_sum / (self.config.fall_multiple * able)
+        self.max_window_share = max(self.max_window_share, full)
         return full > 1
 
 
--- a/quincepath/standins/chance.py
+++ b/quincepath/standins/random_streams.py
@@ -7,7 +7,7 @@
 BLOCK = 1024
 
 
-class Source:
+class RandomStream:
     """A named source of chance: floats below 1, drawn ahead in blocks."""
 
     def __init__(self, seed: int, name: str) -> None:
--- a/tests/net/test_memory_network.py
+++ b/tests/net/test_memory_network.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quincepath.lab.memory_network import MemoryNetwork, registry, sockets
-from quincepath.lab.memory_network.registry import Kind, Registry
+from quincepath.lab.memory_network.registry import Registry, SocketType
 from quincepath.net.loop import READ, WRITE
 from quincepath.net.system import System
 
@@ -220,7 +220,7 @@
 
 
 def test_socket_and_port_limits(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registry, "MOST_SOCKETS", 3)
+    monkeypatch.setattr(registry, "MAX_SOCKETS", 3)
     network = MemoryNetwork(1, lambda: 0)
     kept = [network.datagram_socket() for _ in range(3)]
     assert errno_of(network.stream_socket) == errno.EMFILE
@@ -264,4 +264,4 @@
     one, same, other = (MemoryNetwork(seed, lambda: 5) for seed in (1, 1, 2))
     assert one.entropy(16) == same.entropy(16) != other.entropy(16)
     assert one.wall_ns() == same.wall_ns() == one.wall_ms() * 1_000_000 + 5
-    assert Registry().bound(Kind.STREAM, (HOST, 1)) is None and sockets.LOOPBACK == HOST
+    assert Registry().lookup(SocketType.STREAM, (HOST, 1)) is None and sockets.LOOPBACK == HOST
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -90,8 +90,8 @@
 def test_a_sound_record_passes(tmp_path: Path) -> None:
     report = judged(sound(), tmp_path)
     assert report.findings == []
-    assert (report.queries, report.ended) == (6, {"partial": 1, "refused": 1, "whole": 4})
-    assert report.margins == {"1: client's time": 0.005, "6: attempts of a part": pytest.approx(1 / 3)}
+    assert (report.queries, report.outcomes) == (6, {"partial": 1, "refused": 1, "whole": 4})
+    assert report.limit_use == {"1: client's time": 0.005, "6: attempts of a part": pytest.approx(1 / 3)}
 
 
 def again(query: str, shard: int, attempt: int, at: int) -> Got:
@@ -168,10 +168,10 @@
     report = judged(tape, tmp_path)
     assert report.findings == []
     # News at 99.7 s, read 0.1 s later at the latest, a part at 100.002 s: 202 of 500 ms of grace.
-    assert report.margins["3: grace after news"] == pytest.approx(202 / 500, abs=0.001)
-    assert report.margins["6: attempts of a part"] == pytest.approx(2 / 3)
-    assert report.margins["6: extra attempts"] == pytest.approx(1 / (2 + 0.1 * 6), abs=0.2)
-    assert 0 < report.margins["4: window of a cold holder"] < 0.05
+    assert report.limit_use["3: grace after news"] == pytest.approx(202 / 500, abs=0.001)
+    assert report.limit_use["6: attempts of a part"] == pytest.approx(2 / 3)
+    assert report.limit_use["6: extra attempts"] == pytest.approx(1 / (2 + 0.1 * 6), abs=0.2)
+    assert 0 < report.limit_use["4: window of a cold holder"] < 0.05
 
 
 def test_unseen_attempts_leave_an_unsafe_part_free_to_go_again(tmp_path: Path) -> None:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -114,7 +114,7 @@
     record = tmp_path / "day"
     result = run_day(DayScript.model_validate(SHORT_DAY), record)
     assert result.report.findings == []
-    assert result.asked > 200 and sum(result.report.ended.values()) == result.asked
+    assert result.asked > 200 and sum(result.report.outcomes.values()) == result.asked
     # A broker that refuses all would break no rule: most queries must be served, too.
     assert result.good > 0.5
     run = subprocess.run([*COMMAND, "audit", str(record)], capture_output=True, text=True)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -23,8 +23,8 @@
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.story import StoryError, tell
 from quincepath.policy import Aggregator
-from quincepath.standins.chance import Source
-from quincepath.standins.model import SECOND, Job, Kind, Server, State
+from quincepath.standins.model import SECOND, Job, Server, ServerConfig, State
+from quincepath.standins.random_streams import RandomStream
 from quincepath.standins.record import Ask, End, Line, Said, Told
 
 ROOT = Path(__file__).parent.parent
@@ -49,15 +49,15 @@
     return Script.model_validate({**SMALL, "troubles": list(troubles), **more})
 
 
-def draw() -> Source:
-    return Source(1, "test")
+def draw() -> RandomStream:
+    return RandomStream(1, "test")
 
 
 # --- the server model ---
 
 
 def server(warm: bool = True, **kind: Any) -> Server:
-    return Server("s", Kind(**kind), draw(), 100 * SECOND, warm)
+    return Server("s", ServerConfig(**kind), draw(), 100 * SECOND, warm)
 
 
 def job(work_ms: float = 10, expires: int = 1 << 60) -> Job:
@@ -79,7 +79,7 @@
     holder = server()
     holder.offer(100 * SECOND, job(10))
     holder.advance(100 * SECOND + 5 * MS)
-    holder.troubles.slow = 4.0  # half is done, the rest takes four times as long
+    holder.faults.slow = 4.0  # half is done, the rest takes four times as long
     assert [(at - 100 * SECOND) / MS for at, _ in holder.advance(101 * SECOND)] == pytest.approx(
         [25], abs=0.01
     )
@@ -89,10 +89,10 @@
     holder = server()
     holder.offer(100 * SECOND, job(10))
     holder.advance(100 * SECOND + 4 * MS)
-    holder.troubles.paused = True
-    assert holder.next_end() is None
+    holder.faults.paused = True
+    assert holder.next_completion() is None
     assert holder.advance(100 * SECOND + 300 * MS) == []
-    holder.troubles.paused = False
+    holder.faults.paused = False
     assert [(at - 100 * SECOND) / MS for at, _ in holder.advance(101 * SECOND)] == pytest.approx(
         [306], abs=0.01
     )
@@ -105,7 +105,7 @@
 
 
 def test_the_room_is_bounded_and_cancelled_or_expired_work_is_not_begun() -> None:
-    holder = server(cores=1, room=2)
+    holder = server(cores=1, queue_limit=2)
     first, second, third = job(), job(), job(expires=100 * SECOND + 5 * MS)
     said = [holder.offer(100 * SECOND, one) for one in (first, second, third, job())]
     assert said == ["queued", "queued", "queued", "full"]
@@ -118,8 +118,8 @@
     able = 2 * 0.2 * 2 * SECOND * 2.0 / MS  # ms of work in a window
     pushed = [cold.offer(100 * SECOND, job(able / 10)) for _ in range(11)]
     assert pushed[:10].count("fell") == 0 and pushed[10] == "fell"
-    assert cold.margin > 1
-    warm = server(cores=2, room=1000)
+    assert cold.max_window_share > 1
+    warm = server(cores=2, queue_limit=1000)
     assert {warm.offer(100 * SECOND, job(able / 10)) for _ in range(50)} == {"queued"}
 
 
@@ -130,7 +130,7 @@
         holder.offer(100 * SECOND, one)
     assert holder.stop(101 * SECOND, State.DOWN) == held
     holder.restart(102 * SECOND)
-    assert holder.held() == 0 and holder.state is State.UP and holder.incarnation == 1
+    assert holder.job_count() == 0 and holder.state is State.UP and holder.incarnation == 1
 
 
 # --- replays ---
