--- a/quincepath/lab/audit/record_index.py
+++ b/quincepath/lab/audit/record_index.py
@@ -1,4 +1,4 @@
-"""The record of a day, sorted by what its lines are, and what is found in it."""
+"""The lines of a record, indexed by type, and the findings of the audit."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A broken rule, 1 to 6; 0 is a record that does not hold together."""
+    """A violation of rule 1 to 6; rule 0 is a record that is inconsistent or cannot be read."""
 
     rule: int
     at: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class LocatedLine(Generic[T]):
-    """A line with its place."""
+    """A line with its file and line number."""
 
     where: str
     line: T
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class RecordIndex:
-    """All lines, sorted by what they are; times stand in the lines."""
+    """All lines of a record by type, the findings, and the use of each limit."""
 
     bounds: Bounds | None = None
     classes: dict[str, ClassRules] = field(default_factory=dict)
@@ -64,28 +64,28 @@
     limit_use: dict[str, float] = field(default_factory=dict)
 
     def record_limit_use(self, name: str, value: float) -> None:
-        """How near a rule's limit was come to: 1 is the limit."""
+        """Keep the highest use of a rule's limit; 1 is the limit."""
         self.limit_use[name] = max(self.limit_use.get(name, 0.0), value)
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What was found, earliest first, and what was looked at."""
+    """The findings, earliest first, and totals of the record."""
 
     findings: list[Finding]
     queries: int
     outcomes: dict[str, int]
     parts_got: int
     parts_tried: int = 0  # parts of which at least one attempt reached a holder
-    limit_use: dict[str, float] = field(default_factory=dict)  # by rule, the share of its limit that was used
+    limit_use: dict[str, float] = field(default_factory=dict)  # share used of each rule's limit
 
     def attempts_per_part(self) -> float:
-        """Attempts that reached holders, for each part that reached one at all."""
+        """Return the mean number of attempts that reached holders, over parts with at least one."""
         return self.parts_got / max(self.parts_tried, 1)
 
 
 def collect(lines: Iterable[tuple[str, Line]]) -> RecordIndex:
-    """Sort lines, given with their places, into an index."""
+    """Index lines, each given with its file and line number."""
     index = RecordIndex()
     for where, line in lines:
         match line:
@@ -111,17 +111,17 @@
                 index.halts.append(line)
             case Head() | Mark():
                 pass
-    # Whose attempt it was is known from the client that asked, not from what the broker says of itself.
-    for seen in index.got:
-        asked = index.asks.get(seen.line.query)
-        if asked is not None and asked.line.broker != seen.line.broker:
-            seen.line = msgspec.structs.replace(seen.line, broker=asked.line.broker)
-    index.got.sort(key=lambda seen: seen.line.at)
-    index.told.sort(key=lambda seen: seen.line.at)
+    # The client's record tells which broker an attempt belongs to; the broker's own header is not trusted.
+    for entry in index.got:
+        ask = index.asks.get(entry.line.query)
+        if ask is not None and ask.line.broker != entry.line.broker:
+            entry.line = msgspec.structs.replace(entry.line, broker=ask.line.broker)
+    index.got.sort(key=lambda entry: entry.line.at)
+    index.told.sort(key=lambda entry: entry.line.at)
     return index
 
 
 def ask_key(index: RecordIndex, query: str) -> str:
-    """The ask that a try belongs to: its client's key, else the try itself."""
-    seen = index.asks.get(query)
-    return f"ask {seen.line.ask}" if seen is not None and seen.line.ask else query
+    """Return the key of the ask that a try belongs to: its client's key, else the try itself."""
+    entry = index.asks.get(query)
+    return f"ask {entry.line.ask}" if entry is not None and entry.line.ask else query
--- a/quincepath/lab/audit/rules.py
+++ b/quincepath/lab/audit/rules.py
@@ -1,4 +1,4 @@
-"""All rules over one record, or over the files of one."""
+"""Applies all rules to an indexed record or to record files."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -12,27 +12,27 @@
 
 
 def audit(paths: Iterable[Path]) -> Report:
-    """Read record files and check them. A line that cannot be read is a finding."""
+    """Read record files and check all rules. A line that cannot be read is a finding."""
     lines: list[tuple[str, Line]] = []
-    broken: list[Finding] = []
+    unreadable: list[Finding] = []
     for path in sorted(paths):
         try:
             lines.extend((f"{path.name}:{number}", line) for number, line in read(path))
         except (RecordError, OSError) as error:
-            broken.append(Finding(0, 0, str(path.name), str(error)))
+            unreadable.append(Finding(0, 0, str(path.name), str(error)))
     index = collect(lines)
-    index.findings.extend(broken)
+    index.findings.extend(unreadable)
     return check_rules(index)
 
 
 def check_rules(index: RecordIndex) -> Report:
-    """All six rules."""
-    found = index.findings
+    """Check all six rules."""
+    findings = index.findings
     if index.bounds is None:
-        found.append(Finding(0, 0, "record", "no line states the bounds to check against"))
-        return Report(found, len(index.asks), {}, len(index.got))
+        findings.append(Finding(0, 0, "record", "no line states the bounds to check against"))
+        return Report(findings, len(index.asks), {}, len(index.got))
     if not index.asks:
-        found.append(Finding(0, 0, "record", "no query was asked: nothing is shown"))
+        findings.append(Finding(0, 0, "record", "no query was asked: nothing is shown"))
     for check in (
         check_final_answers,
         check_effects,
@@ -42,17 +42,19 @@
         check_retry_budget,
     ):
         check(index, index.bounds)
-    found.sort(key=lambda finding: finding.at)
+    findings.sort(key=lambda finding: finding.at)
     outcomes: dict[str, int] = defaultdict(int)
     for ends in index.ends.values():
-        for seen in ends:
-            outcomes[_kind_of(seen.line)] += 1
+        for end in ends:
+            outcomes[_outcome_of(end.line)] += 1
     limit_use = dict(sorted(index.limit_use.items()))
-    tried = len({(seen.line.query, seen.line.shard, seen.line.step) for seen in index.got})
-    return Report(found, len(index.asks), dict(sorted(outcomes.items())), len(index.got), tried, limit_use)
+    parts_tried = len({(got.line.query, got.line.shard, got.line.step) for got in index.got})
+    return Report(
+        findings, len(index.asks), dict(sorted(outcomes.items())), len(index.got), parts_tried, limit_use
+    )
 
 
-def _kind_of(end: End) -> str:
+def _outcome_of(end: End) -> str:
     if end.status == 200:
         return end.mark or "unmarked"
     return {503: "refused", 502: "failed", 504: "failed", 0: "lost", -1: "none"}.get(
--- a/quincepath/lab/memory_network/__init__.py
+++ b/quincepath/lab/memory_network/__init__.py
@@ -1,8 +1,8 @@
-"""An in-memory network in place of the operating system beneath a loop (``net/system.py``).
+"""An in-memory network that replaces the operating system below an event loop (``net/system.py``).
 
-What is sent is there at once, so a loop over it needs no real time; what is ready is told in the order in
-which the sockets were made. Only what the project's edge uses is here: non-blocking IPv4 streams and
-datagrams, and errors as Linux gives them.
+Sent data arrives at once, so a loop on this network needs no real time. Ready sockets are reported in the
+order of their creation. Only what the project uses is implemented: non-blocking IPv4 streams and datagrams,
+with the errors of Linux.
 """
 
 from quincepath.lab.memory_network.network import MemoryNetwork
--- a/quincepath/lab/memory_network/network.py
+++ b/quincepath/lab/memory_network/network.py
@@ -1,4 +1,4 @@
-"""The system of one loop in memory: nothing of the machine enters."""
+"""The in-memory system of one event loop; nothing in it depends on the machine."""
 
 import random
 import selectors
@@ -11,12 +11,12 @@
 from quincepath.lab.memory_network.sockets import MemoryDatagrams, MemoryListener, MemoryStream
 from quincepath.net.system import System
 
-EPOCH_NS = 1_700_000_000_000_000_000  # the wall clock where the loop's clock is 0
-RESIDENT_BYTES = 64 << 20  # of each broker, whatever the one process of the run holds
+EPOCH_NS = 1_700_000_000_000_000_000  # the wall clock when the loop's clock is 0
+RESIDENT_BYTES = 64 << 20  # reported for each broker; all brokers of a run share one process
 
 
 class MemoryNetwork(System):
-    """The system of one loop: all sockets of one run. ``clock`` gives ns; ``seed`` decides the entropy."""
+    """The system of one loop, with all sockets of a run. ``clock`` returns ns; ``seed`` sets the entropy."""
 
     def __init__(self, seed: int, clock: Callable[[], int]) -> None:
         self._clock = clock
@@ -25,19 +25,19 @@
         self.resident_bytes = lambda: RESIDENT_BYTES
 
     def selector(self) -> selectors.BaseSelector:
-        """One that knows this network's sockets only."""
+        """Make a selector for the sockets of this network."""
         return MemorySelector(self.registry)
 
     def stream_socket(self) -> socket.socket:
-        """Raises ``OSError`` where too many are open, as all that make sockets here."""
+        """Make a stream socket. Raises ``OSError`` at the limit of open sockets, as the methods below do."""
         return cast(socket.socket, MemoryStream(self.registry))
 
     def datagram_socket(self) -> socket.socket:
-        """Not bound yet."""
+        """Make an unbound datagram socket."""
         return cast(socket.socket, MemoryDatagrams(self.registry))
 
     def listening_socket(self, host: str, port: int, backlog: int) -> socket.socket:
-        """Raises ``OSError`` where the address is taken."""
+        """Make a listening socket. Raises ``OSError`` where the address is in use."""
         listener = MemoryListener(self.registry, backlog)
         try:
             listener.bind((host, port))
@@ -47,9 +47,9 @@
         return cast(socket.socket, listener)
 
     def wall_ns(self) -> int:
-        """A fixed day, moved on by the loop's clock."""
+        """Return the wall clock: a fixed epoch plus the loop's clock."""
         return EPOCH_NS + self._clock()
 
     def entropy(self, count: int) -> bytes:
-        """Bytes of the seed."""
+        """Return random bytes that the seed determines."""
         return self._random.randbytes(count)
--- a/quincepath/lab/memory_network/registry.py
+++ b/quincepath/lab/memory_network/registry.py
@@ -1,4 +1,4 @@
-"""What the sockets of one network share: their numbers, who is bound where, and who may be ready."""
+"""State shared by the sockets of one network: numbers, bound addresses, and sockets that may be ready."""
 
 import errno
 import os
@@ -6,77 +6,77 @@
 from enum import Enum, auto
 from typing import Protocol
 
-MAX_SOCKETS = 50_000  # open at once; over it a new one is refused, as without descriptors
-FIRST_PORT, LAST_PORT = 20_000, 65_535  # given out in order where port 0 is asked for
+MAX_SOCKETS = 50_000  # open at once; beyond it creation fails, as without free file descriptors
+FIRST_PORT, LAST_PORT = 20_000, 65_535  # assigned in order where port 0 is requested
 ANY_HOST = "0.0.0.0"
 Address = tuple[str, int]
 
 
 def os_error(code: int) -> OSError:
-    """The error of a system call; Python makes the fitting subclass of it."""
+    """Make the error of a system call; Python selects the subclass by the code."""
     return OSError(code, os.strerror(code))
 
 
 class SocketType(Enum):
-    """Streams and datagrams have ports of their own."""
+    """Type of a socket; streams and datagrams have separate port spaces."""
 
     STREAM = auto()
     DATAGRAM = auto()
 
 
 class Endpoint(Protocol):
-    """A socket, as the selector and the table see it."""
+    """A socket, as the selector and the registry use it."""
 
     def fileno(self) -> int:
-        """Its number; -1 once closed."""
+        """Return its number; -1 once closed."""
 
     def ready(self) -> int:
-        """READ and WRITE as a selector tells them."""
+        """Return its readiness, as a mask of READ and WRITE."""
 
 
 class Registry:
-    """The table of one network. All that give out something raise ``OSError`` when nothing is left."""
+    """The socket table of one network. Methods that assign a resource raise ``OSError`` when none is left."""
 
     def __init__(self) -> None:
         self.sockets: dict[int, Endpoint] = {}
-        self.changed: set[int] = set()  # numbers of the sockets that may be ready
+        self.changed: set[int] = set()  # numbers of sockets that may be ready
         self._bound: dict[tuple[SocketType, str, int], Endpoint] = {}
-        self._numbers = 0
+        self._last_number = 0
         self._port = FIRST_PORT - 1
 
     def add(self, sock: Endpoint) -> int:
-        """A number for a new socket, never used twice."""
+        """Add a new socket and return its number, which is never reused."""
         if len(self.sockets) >= MAX_SOCKETS:
             raise os_error(errno.EMFILE)
-        self._numbers += 1
-        self.sockets[self._numbers] = sock
-        return self._numbers
+        self._last_number += 1
+        self.sockets[self._last_number] = sock
+        return self._last_number
 
     def remove(self, number: int) -> None:
-        """It is closed."""
+        """Remove a closed socket."""
         self.sockets.pop(number, None)
         self.changed.discard(number)
 
     def next_port(self) -> int:
-        """The next one; after the last the first again."""
+        """Return the next port; the first follows the last."""
         self._port = self._port + 1 if self._port < LAST_PORT else FIRST_PORT
         return self._port
 
-    def bind(self, kind: SocketType, address: Address, sock: Endpoint) -> Address:
-        """Give an address; port 0 is replaced by a free one."""
+    def bind(self, socket_type: SocketType, address: Address, sock: Endpoint) -> Address:
+        """Bind a socket to an address; port 0 is replaced by a free port."""
         host, port = address
-        free: Iterable[int] = (self.next_port() for _ in range(FIRST_PORT, LAST_PORT + 1))
-        for one in [port] if port else free:
-            if (kind, host, one) not in self._bound:
-                self._bound[kind, host, one] = sock
-                return host, one
+        candidates: Iterable[int] = (self.next_port() for _ in range(FIRST_PORT, LAST_PORT + 1))
+        for candidate in [port] if port else candidates:
+            if (socket_type, host, candidate) not in self._bound:
+                self._bound[socket_type, host, candidate] = sock
+                return host, candidate
         raise os_error(errno.EADDRINUSE)
 
-    def release(self, kind: SocketType, address: Address) -> None:
-        """The address is free again."""
-        self._bound.pop((kind, *address), None)
+    def release(self, socket_type: SocketType, address: Address) -> None:
+        """Free a bound address."""
+        self._bound.pop((socket_type, *address), None)
 
-    def lookup(self, kind: SocketType, address: Address) -> Endpoint | None:
-        """Who has an address, or that port of all addresses."""
+    def lookup(self, socket_type: SocketType, address: Address) -> Endpoint | None:
+        """Return the socket bound to an address, or to its port on all addresses."""
         host, port = address
-        return self._bound.get((kind, host, port)) or self._bound.get((kind, ANY_HOST, port))
+        return self._bound.get((socket_type, host, port)) or self._bound.get((socket_type, ANY_HOST, port))
--- a/quincepath/lab/memory_network/selector.py
+++ b/quincepath/lab/memory_network/selector.py
@@ -1,4 +1,4 @@
-"""Readiness of an in-memory network's sockets."""
+"""The selector of an in-memory network."""
 
 import selectors
 from collections.abc import Mapping
@@ -8,27 +8,27 @@
 
 
 class MemorySelector(selectors.BaseSelector):
-    """Tells readiness in the order of the sockets' numbers; it never waits."""
+    """Reports ready sockets in the order of their numbers; it never waits."""
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
         self._keys: dict[int, selectors.SelectorKey] = {}
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Watch a socket of this network. Raises ``KeyError`` where it is watched already."""
+        """Register a socket of this network. Raises ``KeyError`` where it is registered already."""
         number = fileobj.fileno()
         if number in self._keys:
             raise KeyError(f"{fileobj!r} is already registered")
-        return self._put(fileobj, number, events, data)
+        return self._set_key(fileobj, number, events, data)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Watch it for something else. Raises ``KeyError`` where it is not watched."""
+        """Change the events of a socket. Raises ``KeyError`` where it is not registered."""
         number = fileobj.fileno()
         if number not in self._keys:
             raise KeyError(f"{fileobj!r} is not registered")
-        return self._put(fileobj, number, events, data)
+        return self._set_key(fileobj, number, events, data)
 
-    def _put(self, fileobj: Any, number: int, events: int, data: Any) -> selectors.SelectorKey:
+    def _set_key(self, fileobj: Any, number: int, events: int, data: Any) -> selectors.SelectorKey:
         if number not in self._registry.sockets:
             raise ValueError(f"{fileobj!r}: expected an open socket of this network")
         key = self._keys[number] = selectors.SelectorKey(fileobj, number, events, data)
@@ -36,27 +36,27 @@
         return key
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Watch it no more. Raises ``KeyError`` where it is not watched."""
+        """Unregister a socket. Raises ``KeyError`` where it is not registered."""
         return self._keys.pop(fileobj.fileno())
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is ready now; a time-out is not waited for."""
-        found, still = [], set()
+        """Return the sockets that are ready now; the timeout is ignored."""
+        ready, still_ready = [], set()
         for number in sorted(self._registry.changed):
             key, sock = self._keys.get(number), self._registry.sockets.get(number)
             if key is None or sock is None:
-                continue  # ``register`` brings it back
+                continue  # ``register`` marks it as changed again
             mask = sock.ready() & key.events
             if mask:
-                found.append((key, mask))
-                still.add(number)
-        self._registry.changed = still
-        return found
+                ready.append((key, mask))
+                still_ready.add(number)
+        self._registry.changed = still_ready
+        return ready
 
     def get_map(self) -> Mapping[Any, selectors.SelectorKey]:
-        """By number."""
+        """Return the registered keys by socket number."""
         return self._keys
 
     def close(self) -> None:
-        """Forget all."""
+        """Unregister all sockets."""
         self._keys.clear()
--- a/quincepath/lab/memory_network/sockets.py
+++ b/quincepath/lab/memory_network/sockets.py
@@ -8,15 +8,15 @@
 from quincepath.lab.memory_network.registry import ANY_HOST, Address, Registry, SocketType, os_error
 from quincepath.net.loop import READ, WRITE
 
-STREAM_BUFFER_BYTES = 1 << 20  # bytes that wait in one direction until they are read; a writer then waits
-DATAGRAM_BUFFER_BYTES = 1 << 18  # bytes of datagrams that wait at one socket; what is over is dropped
-MAX_DATAGRAM_BYTES = 65_507  # bytes of one datagram over IPv4
+STREAM_BUFFER_BYTES = 1 << 20  # unread bytes in one direction; a full buffer blocks the writer
+DATAGRAM_BUFFER_BYTES = 1 << 18  # unread datagrams of one socket; those beyond it are dropped
+MAX_DATAGRAM_BYTES = 65_507  # one datagram over IPv4
 LOOPBACK = "127.0.0.1"
-ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on, of no time: ``close`` resets
+ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER on with timeout 0: ``close`` resets the connection
 
 
 class MemorySocket:
-    """What streams, listeners and datagram sockets have in common."""
+    """Base of streams, listeners and datagram sockets."""
 
     family = socket.AF_INET
 
@@ -27,29 +27,29 @@
         self.closed = False
 
     def fileno(self) -> int:
-        """Its number, never used twice; -1 once it is closed."""
+        """Return its number, which is never reused; -1 once it is closed."""
         return -1 if self.closed else self.number
 
     def setblocking(self, flag: bool) -> None:
-        """Nothing blocks here."""
+        """Ignored: no call blocks."""
 
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
-        """Taken and of no effect, but for SO_LINGER of a stream."""
+        """Ignored, except for SO_LINGER of a stream."""
 
     def getsockname(self) -> Address:
-        """Where it is bound."""
+        """Return the address that it is bound to."""
         return self.address
 
     def ready(self) -> int:
-        """READ and WRITE as a selector tells them."""
+        """Return its readiness, as a mask of READ and WRITE."""
         raise NotImplementedError
 
     def mark_changed(self) -> None:
-        """The selector has to look at it again."""
+        """Have the selector check its readiness again."""
         self.registry.changed.add(self.number)
 
     def close(self) -> None:
-        """Give it back; closing twice does nothing."""
+        """Close it; a second close does nothing."""
         if not self.closed:
             self.closed = True
             self.registry.remove(self.number)
@@ -66,65 +66,66 @@
         self._eof_received = False
         self._write_closed = False
         self._connecting = False
-        self._error = 0  # told by the next call, as SO_ERROR
+        self._error = 0  # errno reported by the next call or as SO_ERROR
         self._failed = False
         self._reset_on_close = False
 
     # --- connecting ---
 
     def connect_ex(self, address: Address) -> int:
-        """Begin to connect; the outcome is told by readiness and SO_ERROR, as by a non-blocking socket."""
+        """Start to connect; as for a non-blocking socket, readiness and SO_ERROR report the outcome."""
         self.address = (LOOPBACK, self.registry.next_port())
         self.remote = address
         listener = self.registry.lookup(SocketType.STREAM, address)
         if not isinstance(listener, MemoryListener):
             self._set_error(errno.ECONNREFUSED)
         elif listener.full:
-            self._connecting = True  # until the caller gives up, as with a system that drops the SYN
+            self._connecting = True  # until the caller gives up: the kernel drops a SYN to a full backlog
         else:
-            other = MemoryStream(self.registry)
-            other.address, other.remote = address, self.address
-            self.peer, other.peer = other, self
-            listener.enqueue(other)
+            accepted = MemoryStream(self.registry)
+            accepted.address, accepted.remote = address, self.address
+            self.peer, accepted.peer = accepted, self
+            listener.enqueue(accepted)
             self.mark_changed()
         return errno.EINPROGRESS
 
     def connect(self, address: Address) -> None:
-        """Connect at once. Raises ``OSError`` where nobody accepts."""
+        """Connect immediately. Raises ``OSError`` where no listener accepts."""
         self.connect_ex(address)
         if self._connecting:
             raise os_error(errno.ETIMEDOUT)
         self._raise_error()
 
     def getpeername(self) -> Address:
-        """The other end. Raises ``OSError`` where there is none."""
+        """Return the address of the peer. Raises ``OSError`` where it is not connected."""
         if self.peer is None:
             raise os_error(errno.ENOTCONN)
         return self.remote
 
     def getsockopt(self, level: int, option: int) -> int:
-        """SO_ERROR, which is cleared; 0 for all else."""
+        """Return and clear SO_ERROR; 0 for every other option."""
         if (level, option) != (socket.SOL_SOCKET, socket.SO_ERROR):
             return 0
         code, self._error = self._error, 0
         return code
 
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
-        """SO_LINGER of no time makes ``close`` a reset."""
+        """Handle SO_LINGER, where a timeout of 0 makes ``close`` reset; ignore other options."""
         if option == socket.SO_LINGER and isinstance(value, bytes):
             self._reset_on_close = value == ZERO_LINGER
 
-    # --- bytes ---
+    # --- data ---
 
     @property
     def send_space(self) -> int:
-        """Bytes that the other end can still hold."""
+        """Free bytes in the receive buffer of the peer."""
         return STREAM_BUFFER_BYTES - len(self.peer._incoming) if self.peer is not None else 0
 
     def send(self, data: bytes | memoryview) -> int:
-        """Bytes taken. Raises ``BlockingIOError`` where the other end is full, ``OSError`` where it is gone.
+        """Send and return the number of bytes accepted.
 
-        A closed end takes them and answers by a reset.
+        Raises ``BlockingIOError`` where the buffer of the peer is full and ``OSError`` after the connection
+        has failed. A closed peer accepts the bytes and answers with a reset.
         """
         self._raise_error()
         if self._write_closed:
@@ -134,31 +135,34 @@
         if self.peer.closed:
             self._set_error(errno.ECONNRESET)
             return len(data)
-        taken = min(self.send_space, len(data))
-        if not taken and len(data):
+        sent = min(self.send_space, len(data))
+        if not sent and len(data):
             raise os_error(errno.EAGAIN)
-        self.peer._incoming += data[:taken]
+        self.peer._incoming += data[:sent]
         self.peer.mark_changed()
-        return taken
+        return sent
 
     def recv_into(self, buffer: memoryview) -> int:
-        """Bytes read, 0 at the end. Raises ``BlockingIOError`` for nothing yet, ``OSError`` on a reset."""
-        found = self._read(len(buffer), peek=False)
-        buffer[: len(found)] = found
-        return len(found)
+        """Read into ``buffer`` and return the number of bytes, 0 at the end of the stream.
+
+        Raises ``BlockingIOError`` where no data has arrived and ``OSError`` after a reset.
+        """
+        data = self._read(len(buffer), peek=False)
+        buffer[: len(data)] = data
+        return len(data)
 
     def recv(self, count: int, flags: int = 0) -> bytes:
-        """As ``recv_into``; MSG_PEEK leaves what it shows."""
+        """Read as ``recv_into`` does; MSG_PEEK leaves the data in the buffer."""
         return self._read(count, bool(flags & socket.MSG_PEEK))
 
     def _read(self, count: int, peek: bool) -> bytes:
         if self._incoming:
-            found = bytes(self._incoming[:count])
+            data = bytes(self._incoming[:count])
             if not peek:
                 del self._incoming[:count]
                 if self.peer is not None:
                     self.peer.mark_changed()
-            return found
+            return data
         self._raise_error()
         if self._eof_received:
             return b""
@@ -166,10 +170,10 @@
             raise os_error(errno.ENOTCONN)
         raise os_error(errno.EAGAIN)
 
-    # --- ending ---
+    # --- closing ---
 
     def shutdown(self, how: int) -> None:
-        """End the writing side (SHUT_WR alone is used). Raises ``OSError`` where there is no connection."""
+        """Close the sending side; only SHUT_WR is supported. Raises ``OSError`` where it is not connected."""
         if how != socket.SHUT_WR:
             raise ValueError(f"shutdown({how}): expected SHUT_WR ({socket.SHUT_WR})")
         if self.peer is None or self._failed:
@@ -178,7 +182,7 @@
         self.peer._receive_eof()
 
     def close(self) -> None:
-        """End both sides; over unread bytes, or after SO_LINGER of no time, the other end gets a reset."""
+        """Close both directions; with unread bytes or a linger time of 0 the peer gets a reset."""
         if self.closed:
             return
         reset = self._reset_on_close or bool(self._incoming)
@@ -206,7 +210,7 @@
             raise os_error(code)
 
     def ready(self) -> int:
-        """Readable with bytes, at the end and on an error; writable with room, and on an error."""
+        """Readable with data, at the end and on an error; writable with buffer space and on an error."""
         if self._connecting:
             return 0
         if self._error or self.peer is None:
@@ -217,49 +221,49 @@
 
 
 class MemoryListener(MemorySocket):
-    """A socket that listens."""
+    """A listening socket."""
 
     def __init__(self, registry: Registry, backlog: int) -> None:
         super().__init__(registry)
-        self._backlog = backlog
-        self._waiting: deque[MemoryStream] = deque()
+        self._max_backlog = backlog
+        self._backlog: deque[MemoryStream] = deque()
 
     def bind(self, address: Address) -> None:
-        """Take an address. Raises ``OSError`` where it is taken."""
+        """Bind to an address. Raises ``OSError`` where it is in use."""
         self.address = self.registry.bind(SocketType.STREAM, address, self)
 
     @property
     def full(self) -> bool:
-        """Whether no more can wait to be accepted."""
-        return len(self._waiting) >= self._backlog
+        """Whether the backlog is full."""
+        return len(self._backlog) >= self._max_backlog
 
     def enqueue(self, stream: MemoryStream) -> None:
-        """A connection that waits to be accepted."""
-        self._waiting.append(stream)
+        """Add a connection to the backlog."""
+        self._backlog.append(stream)
         self.mark_changed()
 
     def accept(self) -> tuple[MemoryStream, Address]:
-        """The connection that waits longest. Raises ``BlockingIOError`` where none does."""
-        if not self._waiting:
+        """Accept the oldest connection of the backlog. Raises ``BlockingIOError`` where it is empty."""
+        if not self._backlog:
             raise os_error(errno.EAGAIN)
-        stream = self._waiting.popleft()
+        stream = self._backlog.popleft()
         return stream, stream.remote
 
     def ready(self) -> int:
-        """Readable while a connection waits."""
-        return READ if self._waiting else 0
+        """Readable while the backlog is not empty."""
+        return READ if self._backlog else 0
 
     def close(self) -> None:
-        """Who still waits is reset."""
+        """Close it and reset the connections in the backlog."""
         if self.closed:
             return
         if self.address[1]:
             self.registry.release(SocketType.STREAM, self.address)
         super().close()
-        for stream in self._waiting:
+        for stream in self._backlog:
             stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
             stream.close()
-        self._waiting.clear()
+        self._backlog.clear()
 
 
 class MemoryDatagrams(MemorySocket):
@@ -271,24 +275,27 @@
         self._buffered_bytes = 0
 
     def bind(self, address: Address) -> None:
-        """Take an address. Raises ``OSError`` where it is taken."""
+        """Bind to an address. Raises ``OSError`` where it is in use."""
         self.address = self.registry.bind(SocketType.DATAGRAM, address, self)
 
     def sendto(self, data: bytes, address: Address) -> int:
-        """To whoever is bound there; lost where nobody is, or where its room is full."""
+        """Send to the socket bound there; the datagram is lost without one, or if its buffer is full."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise os_error(errno.EMSGSIZE)
         if not self.address[1]:
             self.bind((LOOPBACK, 0))
-        other = self.registry.lookup(SocketType.DATAGRAM, address)
-        if isinstance(other, MemoryDatagrams) and other._buffered_bytes + len(data) <= DATAGRAM_BUFFER_BYTES:
-            other._incoming.append(bytes(data))
-            other._buffered_bytes += len(data)
-            other.mark_changed()
+        receiver = self.registry.lookup(SocketType.DATAGRAM, address)
+        if (
+            isinstance(receiver, MemoryDatagrams)
+            and receiver._buffered_bytes + len(data) <= DATAGRAM_BUFFER_BYTES
+        ):
+            receiver._incoming.append(bytes(data))
+            receiver._buffered_bytes += len(data)
+            receiver.mark_changed()
         return len(data)
 
     def recv(self, count: int) -> bytes:
-        """The oldest datagram, cut to ``count`` bytes. Raises ``BlockingIOError`` where there is none."""
+        """Return the oldest datagram, cut to ``count`` bytes. Raises ``BlockingIOError`` if there is none."""
         if not self._incoming:
             raise os_error(errno.EAGAIN)
         data = self._incoming.popleft()
@@ -296,17 +303,17 @@
         return data[:count]
 
     def recv_into(self, buffer: memoryview) -> int:
-        """As ``recv``; tells how many bytes there are."""
+        """Receive as ``recv`` does; return the number of bytes."""
         data = self.recv(len(buffer))
         buffer[: len(data)] = data
         return len(data)
 
     def ready(self) -> int:
-        """Readable while a datagram waits; always writable."""
+        """Readable while a datagram is buffered; always writable."""
         return (READ if self._incoming else 0) | WRITE
 
     def close(self) -> None:
-        """Give its address back."""
+        """Close it and free its address."""
         if not self.closed:
             if self.address[1]:
                 self.registry.release(SocketType.DATAGRAM, self.address)
--- a/quincepath/standins/__init__.py
+++ b/quincepath/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, written from public specifications."""
+"""Test doubles for external systems, written from public specifications."""
--- a/quincepath/standins/data.py
+++ b/quincepath/standins/data.py
@@ -1,4 +1,4 @@
-"""Small seeded data of invented tractors: engine hours and fuel use by district. Same seed, same data."""
+"""Small synthetic data set, set by its seed: engine hours and fuel use of tractors, by district."""
 
 import zlib
 from collections.abc import Iterable, Sequence
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Series:
-    """One series in memory: labels by name, times (ms) and values."""
+    """One time series: labels by name, timestamps (ms) and values."""
 
     labels: dict[str, str]
     times: list[int]
@@ -29,23 +29,23 @@
 def district_series(
     seed: int, district: str, tractors: int = 4, metrics: Sequence[str] = METRICS
 ) -> list[Series]:
-    """The series of one district; the same at each of its holders."""
-    random = np.random.default_rng([seed, zlib.crc32(district.encode())])
-    found = []
+    """Generate the series of one district; each of its holders has the same ones."""
+    generator = np.random.default_rng([seed, zlib.crc32(district.encode())])
+    generated = []
     times = [BEGIN_MS + i * STEP_MS for i in range(SAMPLES)]
     for tractor in range(tractors):
         name = f"tractor-{tractor:02d}.{district}"
-        hours = random.uniform(100, 9000) + np.cumsum(random.random(SAMPLES) / 60)
-        fuel = random.gamma(2.0, 4.0, SAMPLES)
+        hours = generator.uniform(100, 9000) + np.cumsum(generator.random(SAMPLES) / 60)
+        fuel = generator.gamma(2.0, 4.0, SAMPLES)
         for number, metric in enumerate(metrics):
             values = (hours, fuel)[number % 2]
             labels = {"__name__": metric, LABEL: district, "tractor": name}
-            found.append(Series(labels, times, [round(float(v), 3) for v in values]))
-    return found
+            generated.append(Series(labels, times, [round(float(v), 3) for v in values]))
+    return generated
 
 
 class Store:
-    """The data of one holder; answers remote read by looking at every series."""
+    """The data of one holder; answers remote read requests by a scan of all series."""
 
     def __init__(
         self, seed: int, districts: Iterable[str], tractors: int = 4, metrics: Sequence[str] = METRICS
@@ -54,25 +54,25 @@
         self.series: Sequence[Series] = sorted(series, key=lambda s: sorted(s.labels.items()))
 
     def read(self, request: ReadRequest) -> ReadResponse:
-        """One result for each query."""
+        """Answer a request with one result for each of its queries."""
         response = ReadResponse()
         for query in request.queries:
-            response.results.add().timeseries.extend(self._one(query))
+            response.results.add().timeseries.extend(self._select(query))
         return response
 
-    def _one(self, query: Query) -> list[TimeSeries]:
-        tests = [(matcher.name, accepts(matcher)) for matcher in query.matchers]
-        low, high = query.start_timestamp_ms, query.end_timestamp_ms
-        found = []
+    def _select(self, query: Query) -> list[TimeSeries]:
+        predicates = [(matcher.name, accepts(matcher)) for matcher in query.matchers]
+        start, end = query.start_timestamp_ms, query.end_timestamp_ms
+        results = []
         for series in self.series:
-            if not all(test(series.labels.get(name, "")) for name, test in tests):
+            if not all(accept(series.labels.get(name, "")) for name, accept in predicates):
                 continue
-            one = TimeSeries()
+            selected = TimeSeries()
             for time, value in zip(series.times, series.values, strict=True):
-                if low <= time <= high:
-                    one.samples.add(timestamp=time, value=value)
-            if one.samples:
+                if start <= time <= end:
+                    selected.samples.add(timestamp=time, value=value)
+            if selected.samples:
                 for name in sorted(series.labels):
-                    one.labels.add(name=name, value=series.labels[name])
-                found.append(one)
-        return found
+                    selected.labels.add(name=name, value=series.labels[name])
+                results.append(selected)
+        return results
--- a/quincepath/standins/leaf.py
+++ b/quincepath/standins/leaf.py
@@ -1,7 +1,7 @@
-"""A stand-in holder: remote read over seeded data, a few cores' worth of service time, faults on request.
+"""A test double of a storage server (holder): remote read, modelled service time, faults on request.
 
-``POST /control`` with a JSON object changes how it behaves from the next request on; see ``Faults``. It
-writes a record of what came in and went out, from which the audit judges the brokers.
+``POST /control`` with a JSON object sets the faults from the next request on; see ``Faults``. The server
+records the parts that it receives and answers; the audit checks the brokers against these records.
 """
 
 import zlib
@@ -24,12 +24,14 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-PATH = "/api/v1/read"
-FAR = 1 << 62  # ns: a holder of remote read is not told when its client gives up
-TIMES = Timeouts(idle=120 * SECOND, request=30 * SECOND, write=30 * SECOND)
-INCIDENT = "incident"  # a matcher on this label that all series pass: what a query is meant to do to a holder
-POISON = "poison"
-HEAVY = "heavy-"  # and how many times the work
+READ_PATH = "/api/v1/read"
+NO_DEADLINE_NS = 1 << 62  # a remote read request does not state when its client gives up
+TIMEOUTS = Timeouts(idle=120 * SECOND, request=30 * SECOND, write=30 * SECOND)
+INCIDENT = (
+    "incident"  # label of a matcher that every series passes; its value is what the query does to a holder
+)
+POISON = "poison"  # crashes the holder while it runs
+HEAVY = "heavy-"  # followed by the factor on the work
 FAULTS = (
     "none", "hang", "silence", "errors", "full", "reset", "cut", "trickle", "corrupt", "miscount", "oversize",
     "late",
@@ -37,13 +39,15 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """How it misbehaves. ``share`` of the calls meet ``fault``; the rest is as in the laboratory's model.
-
-    hang: taken, never answered. silence: not read any more. errors: 500. full: 429. reset: the connection is
-    reset. cut: it ends inside the body. trickle: a byte a second. corrupt: not snappy. miscount: a result too
-    few. oversize: 80 MB. late: answered after ``late_ms``. ``slow`` times as long, ``steal`` a share of the
-    machine, ``lose`` a share of the answers. ``metric``: only calls that read it meet ``fault``.
-    ``handshake_ms``: a new connection is read only after it. ``deaf_to``: brokers to which nothing gets back.
+    """Faults of a holder. ``share`` of the calls get ``fault``; the other faults apply to all calls.
+
+    hang: accepted, never answered. silence: the connection is not read any more. errors: status 500. full:
+    status 429. reset: the connection is reset. cut: it ends within the body. trickle: one byte a second.
+    corrupt: the body is not snappy. miscount: one result is missing. oversize: a body of 80 MB. late:
+    answered after ``late_ms``. ``slow``: factor on the service time; ``steal``: share of the machine that
+    another program uses; ``lose``: share of the answers that are lost. ``metric``: only calls that read it
+    get ``fault``. ``handshake_ms``: delay before a new connection is read. ``deaf_to``: brokers to which all
+    answers are lost.
     """
 
     fault: str = "none"
@@ -60,9 +64,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """What a part costs, by metric where ``works`` names it, and what the holder can do. Times in ns.
+    """Work of a part, by metric where ``works`` names it, and the holder's capacity. Times in ns.
 
-    ``cold`` of 1 is a warm start. A part's work is the same at each holder and attempt: drawn by its name.
+    ``cold`` is the share of its capacity that the holder has at its start; 1 is a warm start. With ``spread``
+    the work of a part is log-normal, drawn by the part's name: the same at each holder and attempt.
     """
 
     work: int = 4 * MS
@@ -77,7 +82,7 @@
     speed: float = 1.0
 
     def server_config(self) -> ServerConfig:
-        """As the laboratory's model has it."""
+        """Return the configuration of the server model."""
         return ServerConfig(
             cores=self.cores, speed=self.speed, queue_limit=self.queue_limit,
             cold=min(self.cold, 1.0), ramp=self.ramp,
@@ -94,7 +99,7 @@
 
 
 class Leaf:
-    """One holder on a loop."""
+    """One holder, run by an event loop."""
 
     def __init__(
         self,
@@ -114,49 +119,49 @@
         warm = self.service.cold >= 1
         self.model = Server(name, self.service.server_config(), RandomStream(1, name), loop.now, warm)
         self.requests = 0
-        self._met = 0.0
-        self._look: Timer | None = None
+        self._fault_credit = 0.0
+        self._model_timer: Timer | None = None
         self.server = HttpServer(
-            loop, "127.0.0.1", port, self._request, Limits(body=8 << 20), TIMES, max_connections,
-            on_connection=self._greet,
+            loop, "127.0.0.1", port, self._request, Limits(body=8 << 20), TIMEOUTS, max_connections,
+            on_connection=self._on_connection,
         )  # fmt: skip
         self.port = self.server.port
-        self.url = f"http://127.0.0.1:{self.port}{PATH}"
+        self.url = f"http://127.0.0.1:{self.port}{READ_PATH}"
         if record is not None:
             capacity = self.service.cores * self.service.speed * 1e9
             record.write(Up(self.loop.clock(), name, self.service.cold, self.service.ramp, capacity))
 
     @property
     def faults(self) -> Faults:
-        """How it misbehaves now."""
+        """The faults in force."""
         return self._faults
 
     @faults.setter
     def faults(self, faults: Faults) -> None:
-        self._catch_up()
+        self._advance_model()
         self._faults = faults
         model_faults = self.model.faults
         model_faults.slow, model_faults.steal, model_faults.paused = faults.slow, faults.steal, faults.paused
         model_faults.lose = faults.lose
-        self._arm()
+        self._schedule_completion()
 
     def close(self, reset: bool = False) -> None:
-        """Stop; ``reset`` as if the process had been killed."""
+        """Stop serving; ``reset`` resets the connections, as when the process is killed."""
         for peer in list(self.server.connections):
             peer.stream.close(reset)
         self.server.close()
         self.model.stop(self.loop.now, State.DOWN)
-        if self._look is not None:
-            self._look.cancel()
+        if self._model_timer is not None:
+            self._model_timer.cancel()
 
     def _request(self, exchange: Exchange) -> None:
         request = exchange.request
         if request.path == "/control" and request.method == "POST":
             self._control(exchange)
-        elif request.path == PATH and request.method == "POST":
+        elif request.path == READ_PATH and request.method == "POST":
             self._read(exchange)
         else:
-            exchange.text(404, f"not found; remote read is at {PATH}")
+            exchange.text(404, f"not found; remote read is at {READ_PATH}")
 
     def _control(self, exchange: Exchange) -> None:
         try:
@@ -178,39 +183,39 @@
             exchange.text(400, str(error))
             return
         parts = parts_of(exchange.request)
-        works = self._works(request, parts)
+        work_by_part = self._part_work(request, parts)
         sender = exchange.request.headers.get("x-quincepath-broker", "")
         broker = int(sender) if _is_number(sender) else 0
         if self.record is not None:
-            for (query, shard, step, attempt), work in zip(parts, works, strict=False):
+            for (query, shard, step, attempt), work in zip(parts, work_by_part, strict=False):
                 self.record.write(
                     Got(self.loop.clock(), self.name, query, shard, step, attempt, int(work), broker)
                 )
         call = _Call(exchange, request, parts, broker)
-        poison = any(value == POISON for _, value in map(_meant, request.queries))
-        job = Job(sum(works), FAR, frozenset(), call, poison)
+        poison = any(value == POISON for _, value in map(_metric_and_incident, request.queries))
+        job = Job(sum(work_by_part), NO_DEADLINE_NS, frozenset(), call, poison)
         exchange.on_disconnect = lambda: self.model.cancel(self.loop.now, job)
-        if self._faulty(call):
+        if self._inject_fault(call):
             return
-        self._catch_up()
-        said = self.model.offer(self.loop.now, job)
-        if said == "full":
-            self._say(call, 503, {"Retry-After": "1"}, b"full\n", False)
-        elif said == "fell":
+        self._advance_model()
+        outcome = self.model.offer(self.loop.now, job)
+        if outcome == "full":
+            self._respond(call, 503, {"Retry-After": "1"}, b"full\n", False)
+        elif outcome == "fell":
             if self.record is not None:
                 self.record.write(Mark(self.loop.clock(), f"{self.name} fell over"))
-            self.close(reset=True)  # pushed over: down until somebody starts it anew
+            self.close(reset=True)  # crashed by overload: down until it is restarted
         else:
-            self._arm()
+            self._schedule_completion()
 
-    def _works(self, request: ReadRequest, parts: list[tuple[str, int, int, int]]) -> list[float]:
-        """The work of each part; one for a client that names none."""
+    def _part_work(self, request: ReadRequest, parts: list[tuple[str, int, int, int]]) -> list[float]:
+        """Return the work of each part; one value for a client that names no parts."""
         service = self.service
-        meant = [_meant(query) for query in request.queries] or [("", "")]
-        alike = len(meant) == len(parts)
-        found = []
-        for place, (query, shard, step, _) in enumerate(parts or [("", 0, 1, 0)]):
-            metric, incident = meant[place if alike else 0]
+        incidents = [_metric_and_incident(query) for query in request.queries] or [("", "")]
+        one_query_per_part = len(incidents) == len(parts)
+        results = []
+        for position, (query, shard, step, _) in enumerate(parts or [("", 0, 1, 0)]):
+            metric, incident = incidents[position if one_query_per_part else 0]
             mean = float(service.works.get(metric, service.work))
             if incident.startswith(HEAVY):
                 mean *= float(incident.removeprefix(HEAVY))
@@ -218,118 +223,122 @@
                 name = f"{query.partition('.')[0]}/{shard}/{step}"
                 normal = float(np.random.default_rng(zlib.crc32(name.encode())).standard_normal())
                 mean *= float(np.exp(service.spread * normal - service.spread**2 / 2))
-            found.append(mean)
-        return found
+            results.append(mean)
+        return results
 
-    def _greet(self, peer: ClientConnection) -> None:
-        """A new connection; with slow handshakes nothing that it sends is read for a time."""
+    def _on_connection(self, peer: ClientConnection) -> None:
+        """Delay reading of a new connection by ``handshake_ms``."""
         if self.faults.handshake_ms:
             peer.stream.pause()
             self.loop.call_in(int(self.faults.handshake_ms * MS), peer.stream.resume)
 
-    def _faulty(self, job: _Call) -> bool:
-        """Carry out a fault that needs no service; the share is met evenly, without chance."""
+    def _inject_fault(self, call: _Call) -> bool:
+        """Apply the fault if this call gets it; the share is spread evenly over calls, not at random."""
         fault = self.faults.fault
         if fault == "none":
             return False
-        if self.faults.metric and all(_meant(q)[0] != self.faults.metric for q in job.request.queries):
+        if self.faults.metric and all(
+            _metric_and_incident(q)[0] != self.faults.metric for q in call.request.queries
+        ):
             return False
-        self._met += self.faults.share
-        if self._met < 1:
+        self._fault_credit += self.faults.share
+        if self._fault_credit < 1:
             return False
-        self._met -= 1
+        self._fault_credit -= 1
         match fault:
             case "hang":
                 pass
             case "silence":
-                job.exchange.connection.stream.pause()
+                call.exchange.connection.stream.pause()
             case "errors":
-                self._say(job, 500, {}, b"failing\n", False)
+                self._respond(call, 500, {}, b"failing\n", False)
             case "full":
-                self._say(job, 429, {"Retry-After": "1"}, b"full\n", False)
+                self._respond(call, 429, {"Retry-After": "1"}, b"full\n", False)
             case "reset":
-                job.exchange.connection.stream.close(reset=True)
+                call.exchange.connection.stream.close(reset=True)
             case "cut":
-                self._raw(job, response_head(200, HEADERS, 100_000, True) + b"x" * 100)
-                job.exchange.connection.stream.close()
+                self._write_raw(call, response_head(200, HEADERS, 100_000, True) + b"x" * 100)
+                call.exchange.connection.stream.close()
             case "trickle":
-                self._raw(job, response_head(200, HEADERS, 1000, True))
-                self._trickle(job)
+                self._write_raw(call, response_head(200, HEADERS, 1000, True))
+                self._trickle(call)
             case "corrupt":
-                self._say(job, 200, HEADERS, b"\xff\xff\xff\xff\xff not snappy", False)
+                self._respond(call, 200, HEADERS, b"\xff\xff\xff\xff\xff not snappy", False)
             case "miscount":
-                answer = self.store.read(job.request)
+                answer = self.store.read(call.request)
                 del answer.results[-1]
-                self._say(job, 200, HEADERS, encode(answer), False)
+                self._respond(call, 200, HEADERS, encode(answer), False)
             case "oversize":
-                self._say(job, 200, HEADERS, b"\0" * 80_000_000, False)
+                self._respond(call, 200, HEADERS, b"\0" * 80_000_000, False)
             case _:
-                self.loop.call_in(int(self.faults.late_ms * MS), lambda: self._answer(job))
+                self.loop.call_in(int(self.faults.late_ms * MS), lambda: self._answer(call))
         return True
 
     @staticmethod
-    def _raw(job: _Call, data: bytes) -> None:
-        job.exchange.answered = True
-        job.exchange.connection.stream.write(data)
+    def _write_raw(call: _Call, data: bytes) -> None:
+        call.exchange.answered = True
+        call.exchange.connection.stream.write(data)
 
-    def _trickle(self, job: _Call) -> None:
-        stream = job.exchange.connection.stream
+    def _trickle(self, call: _Call) -> None:
+        stream = call.exchange.connection.stream
         if not stream.closed:
             stream.write(b"x")
-            self.loop.call_in(SECOND, lambda: self._trickle(job))
+            self.loop.call_in(SECOND, lambda: self._trickle(call))
 
-    def _catch_up(self) -> None:
-        """Carry the model on to now and answer what ended on the way."""
+    def _advance_model(self) -> None:
+        """Advance the model to now and answer the jobs that completed."""
         for _, job in self.model.advance(self.loop.now):
             if not job.cancelled and not (
                 self.model.faults.lose and self.model.draw() < self.model.faults.lose
             ):
                 self._answer(job.tag)
 
-    def _arm(self) -> None:
-        """Look again when the model's next job ends."""
-        if self._look is not None:
-            self._look.cancel()
+    def _schedule_completion(self) -> None:
+        """Set the timer for the model's next completion."""
+        if self._model_timer is not None:
+            self._model_timer.cancel()
         if self.model.poisoned():
             self.close(reset=True)
             self.on_crash()
             return
-        due = self.model.next_completion()
-        self._look = None if due is None else self.loop.call_at(due, self._due)
-
-    def _due(self) -> None:
-        self._look = None
-        self._catch_up()
-        self._arm()
-
-    def _answer(self, job: _Call) -> None:
-        if job.exchange.connection.stream.closed:
+        next_completion = self.model.next_completion()
+        self._model_timer = (
+            None if next_completion is None else self.loop.call_at(next_completion, self._on_timer)
+        )
+
+    def _on_timer(self) -> None:
+        self._model_timer = None
+        self._advance_model()
+        self._schedule_completion()
+
+    def _answer(self, call: _Call) -> None:
+        if call.exchange.connection.stream.closed:
             return
         try:
-            body = encode(self.store.read(job.request))
+            body = encode(self.store.read(call.request))
         except MatcherError as error:
-            self._say(job, 400, {}, str(error).encode(), False)
+            self._respond(call, 400, {}, str(error).encode(), False)
             return
-        self._say(job, 200, HEADERS, body, True)
+        self._respond(call, 200, HEADERS, body, True)
 
-    def _say(self, job: _Call, status: int, headers: dict[str, str], body: bytes, good: bool) -> None:
+    def _respond(self, call: _Call, status: int, headers: dict[str, str], body: bytes, good: bool) -> None:
         if self.record is not None:
-            for query, shard, step, attempt in job.parts:
+            for query, shard, step, attempt in call.parts:
                 now = self.loop.clock()
                 self.record.write(Said(now, self.name, query, shard, step, attempt, status, good))
-        if job.broker in self.faults.deaf_to:
-            return  # it went out and got lost
-        job.exchange.on_disconnect = None
-        job.exchange.respond(status, headers, body)
+        if call.broker in self.faults.deaf_to:
+            return  # sent, but lost on the way
+        call.exchange.on_disconnect = None
+        call.exchange.respond(status, headers, body)
 
 
 def _is_number(text: str) -> bool:
-    """Plain digits only: others, such as superscripts, are digits to ``isdigit`` and not to ``int``."""
+    """Return whether it is ASCII digits: ``isdigit`` alone accepts superscripts, which ``int`` rejects."""
     return text.isascii() and text.isdigit() and len(text) < 16
 
 
-def _meant(query: Query) -> tuple[str, str]:
-    """The metric that a query reads, and what it is meant to do to the holder."""
+def _metric_and_incident(query: Query) -> tuple[str, str]:
+    """Return the metric that a query reads and the incident that it causes at the holder."""
     metric = incident = ""
     for matcher in query.matchers:
         if matcher.name == "__name__":
@@ -340,10 +349,10 @@
 
 
 def parts_of(request: Request) -> list[tuple[str, int, int, int]]:
-    """What a broker says of the parts in a call: (query, shard, step, attempt); empty for other clients."""
-    found = []
+    """Parse the parts header of a broker: (query, shard, step, attempt) each; empty for other clients."""
+    parts = []
     for item in request.headers.get("x-quincepath-parts", "").split(","):
         pieces = item.strip().split("/")
         if len(pieces) == 4 and all(_is_number(piece) for piece in pieces[1:]):
-            found.append((pieces[0], int(pieces[1]), int(pieces[2]), int(pieces[3])))
-    return found
+            parts.append((pieces[0], int(pieces[1]), int(pieces[2]), int(pieces[3])))
+    return parts
--- a/quincepath/standins/model.py
+++ b/quincepath/standins/model.py
@@ -1,8 +1,8 @@
-"""One holder as a model. Pure: time is handed in, chance comes from a generator of its own.
+"""A model of one storage server (holder), without I/O: the caller passes time and a random number source.
 
-Jobs wait in a bounded room and are served on cores. The rate of a core changes with warmth, slowness,
-neighbours and pauses; ``advance`` carries what runs on at the rate that held until now. A server that is
-pushed past its multiple while cold falls over and stays down.
+Jobs wait in a bounded queue and run on cores. The speed of a core depends on warm-up, slowness, other
+programs on the machine and pauses; ``advance`` moves running jobs forward at the rate in force so far. A cold
+server that receives more than ``fall_multiple`` times its capacity in a window crashes and stays down.
 """
 
 from collections import deque
@@ -11,13 +11,17 @@
 from typing import Any
 
 SECOND = 1_000_000_000
-WARM_STEP = SECOND // 20  # ns for which the rate of a warming server is taken as constant
-SOON = 1  # ns
+WARM_STEP_NS = SECOND // 20  # the rate of a server that warms up is taken as constant for this long
+MIN_STEP_NS = 1
 
 
 @dataclass(slots=True, frozen=True)
 class ServerConfig:
-    """A kind of machine. Times in ns; ``cold`` is its share of capacity when it starts."""
+    """Capacity and limits of a server. Times in ns.
+
+    ``cold`` is the share of its capacity that it has at its start, ``ramp`` the time until it is warm. Work
+    above ``fall_multiple`` times the capacity within ``overload_for`` crashes a cold server.
+    """
 
     cores: int = 2
     speed: float = 1.0
@@ -33,43 +37,43 @@
 
 
 class State(Enum):
-    """What a server does with what reaches it."""
+    """Whether a server accepts requests, and why not."""
 
     UP = "up"
-    DOWN = "down"  # the process is gone: dials are refused
-    SILENT = "silent"  # the machine is gone: nothing comes back
-    FALLEN = "fallen"  # pushed over: down until somebody restarts it
+    DOWN = "down"  # the process has completed: connections are refused
+    SILENT = "silent"  # the machine is unreachable: no packet is answered
+    FALLEN = "fallen"  # crashed by overload: down until it is restarted
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One call. ``work`` is ns on a warm core of speed 1; ``tag`` is the caller's."""
+    """One call. ``work`` is in ns on a warm core of speed 1; ``tag`` is for the caller's use."""
 
     work: float
     expires: int
-    kinds: frozenset[int]
+    classes: frozenset[int]
     tag: Any
     poison: bool = False
-    left: float = 0.0
+    remaining: float = 0.0
     cancelled: bool = False
 
 
 @dataclass(slots=True)
 class ServerFaults:
-    """What is wrong with a server now; the defaults are a sound one."""
+    """Faults in force at a server; the defaults are a healthy one."""
 
-    slow: float = 1.0  # times as long
-    steal: float = 0.0  # share of the machine that another program takes
+    slow: float = 1.0  # factor on the service time
+    steal: float = 0.0  # share of the machine that another program uses
     paused: bool = False
-    hang: bool = False  # takes jobs, never answers
-    errors: float = 0.0  # share of jobs that fail at once
-    error_kinds: frozenset[int] | None = None  # only jobs with a part of these classes
-    lose: float = 0.0  # share of answers that get lost
-    handshake: int = 0  # ns that a new connection takes on top
+    hang: bool = False  # accepts jobs and never answers
+    errors: float = 0.0  # share of jobs that fail immediately
+    error_kinds: frozenset[int] | None = None  # only jobs with a part of these classes; None: all
+    lose: float = 0.0  # share of answers that are lost
+    handshake: int = 0  # additional ns until a new connection is established
 
 
 class Server:
-    """A holder. What it decides by chance is drawn from ``draw``, a source of floats below 1."""
+    """A modelled holder. Random decisions use ``draw``, which returns floats below 1."""
 
     def __init__(self, name: str, config: ServerConfig, draw: Any, now: int, warm: bool = True) -> None:
         self.name, self.config, self.draw = name, config, draw
@@ -78,33 +82,33 @@
         self.incarnation = 0
         self.connections = 0
         self.started = now - config.ramp if warm else now
-        self.max_window_share = 0.0  # fullest window seen while cold, as a share of what makes it fall
+        self.max_window_share = 0.0  # highest window load while cold, of the load that crashes it
         self._at = now
         self._waiting: deque[Job] = deque()
         self._running: list[Job] = []
-        self._pushed: deque[tuple[int, float]] = deque()
-        self._pushed_sum = 0.0
+        self._arrivals: deque[tuple[int, float]] = deque()
+        self._window_work = 0.0
 
-    # --- its condition ---
+    # --- condition ---
 
     def warmth(self, now: int) -> float:
-        """Share of its capacity that it has now."""
+        """Return the share of its capacity that it has now."""
         age = (now - self.started) / self.config.ramp
         return min(1.0, self.config.cold + (1 - self.config.cold) * max(age, 0.0))
 
     def rate(self, now: int) -> float:
-        """Work (ns) that one core does in a ns."""
+        """Return the work (ns) that one core does in 1 ns."""
         faults = self.faults
         if faults.paused or self.state is not State.UP:
             return 0.0
         return self.config.speed * self.warmth(now) * (1 - faults.steal) / faults.slow
 
     def job_count(self) -> int:
-        """Jobs waiting or running."""
+        """Return the number of jobs that wait or run."""
         return len(self._waiting) + len(self._running)
 
     def restart(self, now: int, warm: bool = False) -> None:
-        """A new process: empty, cold, without faults."""
+        """Start a new process: empty, cold unless ``warm``, without faults."""
         self.state = State.UP
         self.incarnation += 1
         self.connections = 0
@@ -113,105 +117,108 @@
         self._at = now
         self._waiting.clear()
         self._running.clear()
-        self._pushed.clear()
-        self._pushed_sum = 0.0
+        self._arrivals.clear()
+        self._window_work = 0.0
 
     def stop(self, now: int, state: State) -> list[Job]:
-        """The process ends; what it held is returned, unanswered."""
-        lost = [*self._running, *self._waiting]
+        """End the process and return its jobs, none of which is answered."""
+        unfinished = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
         self.state = state
         self._at = now
-        return lost
+        return unfinished
 
     # --- work ---
 
     def offer(self, now: int, job: Job) -> str:
-        """A call came in: ``queued``, ``full``, ``error``, ``hung`` or ``fell``."""
-        if self._push(now, job.work):
+        """Receive a call and return what becomes of it.
+
+        ``queued``, ``full`` (rejected), ``error``, ``hung`` (never answered) or ``fell`` (it crashes).
+        """
+        if self._exceeds_limit(now, job.work):
             return "fell"
         faults = self.faults
         if faults.hang:
             return "hung"
-        hit = faults.error_kinds is None or faults.error_kinds & job.kinds
-        if faults.errors and hit and self.draw() < faults.errors:
+        matches_class = faults.error_kinds is None or faults.error_kinds & job.classes
+        if faults.errors and matches_class and self.draw() < faults.errors:
             return "error"
         if len(self._waiting) >= self.config.queue_limit:
             return "full"
-        job.left = job.work
+        job.remaining = job.work
         self._waiting.append(job)
-        self._begin(now)
+        self._start_jobs(now)
         return "queued"
 
     def cancel(self, now: int, job: Job) -> None:
-        """Nobody waits for it any more; what runs goes on."""
+        """Cancel a job: it leaves the queue, but a running job continues."""
         job.cancelled = True
         if self.config.drop_cancelled and job in self._waiting:
             self._waiting.remove(job)
 
     def advance(self, now: int) -> list[tuple[int, Job]]:
-        """Carry on to ``now``; the jobs that ended on the way, with their times."""
-        ended: list[tuple[int, Job]] = []
+        """Advance to ``now``; return the jobs that completed until then, with their times."""
+        completed: list[tuple[int, Job]] = []
         while self._at < now:
             rate = self.rate(self._at)
             until = now
             if self.warmth(self._at) < 1:
-                until = min(until, self._at + WARM_STEP)
+                until = min(until, self._at + WARM_STEP_NS)
             if not self._running or rate <= 0:
                 self._at = until
                 continue
-            shortest = min(job.left for job in self._running)
-            done_at = self._at + max(int(shortest / rate), SOON)
-            step_to = min(done_at, until)
-            did = (step_to - self._at) * rate
-            self._at = step_to
+            shortest = min(job.remaining for job in self._running)
+            completes_at = self._at + max(int(shortest / rate), MIN_STEP_NS)
+            step_end = min(completes_at, until)
+            work_done = (step_end - self._at) * rate
+            self._at = step_end
             for job in self._running:
-                job.left -= did
-            finished = [job for job in self._running if job.left <= rate]
+                job.remaining -= work_done
+            finished = [job for job in self._running if job.remaining <= rate]
             if finished:
-                self._running = [job for job in self._running if job.left > rate]
-                ended.extend((self._at, job) for job in finished)
-                self._begin(self._at)
-        return ended
+                self._running = [job for job in self._running if job.remaining > rate]
+                completed.extend((self._at, job) for job in finished)
+                self._start_jobs(self._at)
+        return completed
 
     def next_completion(self) -> int | None:
-        """When to look again; None while nothing runs or nothing moves."""
+        """Return when to advance next; None while no job runs or the server is stopped."""
         rate = self.rate(self._at)
         if not self._running or rate <= 0:
             return None
-        soonest = self._at + max(int(min(job.left for job in self._running) / rate), SOON)
-        return min(soonest, self._at + WARM_STEP) if self.warmth(self._at) < 1 else soonest
+        soonest = self._at + max(int(min(job.remaining for job in self._running) / rate), MIN_STEP_NS)
+        return min(soonest, self._at + WARM_STEP_NS) if self.warmth(self._at) < 1 else soonest
 
     def poisoned(self) -> bool:
-        """Whether a job now running takes the process down."""
+        """Return whether a running job crashes the process."""
         return any(job.poison for job in self._running)
 
-    def _begin(self, now: int) -> None:
+    def _start_jobs(self, now: int) -> None:
         while self._waiting and len(self._running) < self.config.cores:
             job = self._waiting.popleft()
             if self.config.skip_expired and job.expires <= now:
                 continue
             self._running.append(job)
 
-    def _push(self, now: int, work: float) -> bool:
-        """Count work that reaches it; true where it falls over from that."""
-        self._pushed.append((now, work))
-        self._pushed_sum += work
-        while self._pushed and self._pushed[0][0] <= now - self.config.overload_for:
-            self._pushed_sum -= self._pushed.popleft()[1]
+    def _exceeds_limit(self, now: int, work: float) -> bool:
+        """Count arriving work; return whether it crashes the server."""
+        self._arrivals.append((now, work))
+        self._window_work += work
+        while self._arrivals and self._arrivals[0][0] <= now - self.config.overload_for:
+            self._window_work -= self._arrivals.popleft()[1]
         warmth = self.warmth(now)
         if warmth >= 1:
             return False
-        able = self.config.cores * self.config.speed * warmth * self.config.overload_for
-        full = self._pushed_sum / (self.config.fall_multiple * able)
-        self.max_window_share = max(self.max_window_share, full)
-        return full > 1
+        capacity = self.config.cores * self.config.speed * warmth * self.config.overload_for
+        window_share = self._window_work / (self.config.fall_multiple * capacity)
+        self.max_window_share = max(self.max_window_share, window_share)
+        return window_share > 1
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Servers by name, in a fixed order, with where they stand and what they hold."""
+    """Servers by name, in a fixed order, with their zones, cells and node ids."""
 
     servers: dict[str, Server] = field(default_factory=dict)
     zones: dict[str, int] = field(default_factory=dict)
@@ -220,7 +227,7 @@
     names: dict[bytes, str] = field(default_factory=dict)
 
     def add(self, server: Server, zone: int, cell: int) -> None:
-        """Add a server; its node id is its place in the fleet."""
+        """Add a server; its node id follows from its position in the fleet."""
         number = len(self.servers)
         node = bytes((10, 0, number // 250, number % 250 + 1)) + (9000).to_bytes(2)
         self.servers[server.name] = server
--- a/quincepath/standins/record.py
+++ b/quincepath/standins/record.py
@@ -1,8 +1,9 @@
-"""Records of what passed on sockets: one JSON line an event, written where it passed. Schema 1.
+"""Records of a run: one JSON line per event, written by the process that observed it. Schema 1.
 
-Client ends write ``ask`` and ``end``; holders write ``up``, ``got``, ``said``; whoever runs the day writes
-``told`` (news put where brokers read it) and ``mark`` (a fault begins). All times are nanoseconds of the
-machine's monotonic clock, which its processes share. A broker writes nothing here.
+Clients write ``ask`` and ``end``; holders write ``up``, ``got`` and ``said``; the process that runs the
+scenario writes ``told`` (a change of membership was published to brokers), ``halt`` (a broker was stopped)
+and ``mark`` (a fault begins). All times are nanoseconds of the machine's monotonic clock, which its processes
+share. Brokers write no records.
 """
 
 from collections.abc import Iterator
@@ -15,14 +16,19 @@
 
 
 class Head(msgspec.Struct, tag="head", frozen=True):
-    """First line of each file; ``who`` wrote it."""
+    """First line of each file; ``who`` names the process that wrote it."""
 
     who: str
     schema: int = SCHEMA
 
 
 class ClassRules(msgspec.Struct, tag="class", frozen=True):
-    """What is promised of a class: shares of its parts, and its effect (safe, keyed, unsafe)."""
+    """Guarantees of a query class.
+
+    ``need`` is the share of parts for a whole answer, ``floor`` the share below which no answer is given.
+    ``effect`` is safe, keyed (may be sent again within ``window``, ns) or unsafe (not sent again once
+    it may have run).
+    """
 
     name: str
     need: float
@@ -32,11 +38,15 @@
 
 
 class Bounds(msgspec.Struct, tag="bounds", frozen=True):
-    """The figures of the rules that the audit checks against. ``slack`` is allowed for transit (ns)."""
+    """Limits that the audit checks against. Times in ns; ``slack`` is the allowance for transit.
+
+    The retry budget allows ``budget_free`` plus ``budget_ratio`` for each query and part that
+    was accepted, in any ``budget_window``.
+    """
 
     attempts: int
     drain_grace: int
-    notice: int  # until news put down is read by a broker
+    notice: int  # from the publication of a membership change until every broker has read it
     fall_multiple: float
     overload_for: int
     ramp_time: int
@@ -45,11 +55,11 @@
     budget_ratio: float
     brokers: int
     slack: int
-    linger: int = 0  # a marked ask may run on for so long after its last client has gone
+    linger: int = 0  # how long an ask with a key may run after its last client has disconnected
 
 
 class Ask(msgspec.Struct, tag="ask", frozen=True):
-    """A client's query left. ``shards`` it touches, by number; ``patience`` until the client gives up."""
+    """A client sent a query. ``shards``: numbers of those it reads; ``patience``: the client's timeout."""
 
     at: int
     query: str
@@ -57,12 +67,16 @@
     shards: list[int]
     patience: int
     broker: int = 0
-    ask: str = ""  # the client's key of what it wants to know: tries with the same one are one ask
-    tenant: str = ""  # as the client named itself
+    ask: str = ""  # the client's idempotency key: tries with the same key are one ask
+    tenant: str = ""  # name that the client sent
 
 
 class End(msgspec.Struct, tag="end", frozen=True):
-    """What the client saw: a status (0 connection lost, -1 it gave up), the mark, parts in and asked."""
+    """The outcome that a client saw.
+
+    ``status`` is 0 where the connection was lost and -1 where the client gave up. ``mark`` is the
+    completeness that the answer states; ``parts_in`` of ``parts_asked`` parts are in it.
+    """
 
     at: int
     query: str
@@ -71,12 +85,16 @@
     parts_in: int = 0
     parts_asked: int = 0
     retry_ms: int = 0
-    joined: str = ""  # how this try shared a run, as the broker said: retry, equal or replayed
-    run: str = ""  # the query whose run it shared
+    joined: str = ""  # how the broker says this try shared a run: retry, equal or replayed
+    run: str = ""  # the query whose run was shared
 
 
 class Up(msgspec.Struct, tag="up", frozen=True):
-    """A holder began to serve. ``capacity``: work a second when warm; ``cold``: its share at first."""
+    """A holder started to serve.
+
+    ``capacity``: work (ns) that it does in a second when warm; ``cold``: the share of that at its start;
+    ``ramp``: ns until it is warm.
+    """
 
     at: int
     holder: str
@@ -86,7 +104,7 @@
 
 
 class Got(msgspec.Struct, tag="got", frozen=True):
-    """One part of a call came in whole at a holder, with the work (ns) it brings."""
+    """A holder received one part of a call completely; ``work`` is its cost (ns)."""
 
     at: int
     holder: str
@@ -99,7 +117,7 @@
 
 
 class Said(msgspec.Struct, tag="said", frozen=True):
-    """A holder's answer to a part went out: its status, and whether it is good (whole and true)."""
+    """A holder sent its answer to a part; ``good`` if the answer is complete and correct."""
 
     at: int
     holder: str
@@ -112,7 +130,7 @@
 
 
 class Told(msgspec.Struct, tag="told", frozen=True):
-    """News of a holder was put where brokers read it; ``broker`` -1 is where all read it."""
+    """A holder's phase was published to one broker, or to all where ``broker`` is -1."""
 
     at: int
     holder: str
@@ -121,7 +139,7 @@
 
 
 class Halt(msgspec.Struct, tag="halt", frozen=True):
-    """A broker was stopped for a time, or killed, from outside: what it owed meanwhile it could not do."""
+    """A broker was suspended or killed from outside, so answers due until ``until`` are excused."""
 
     at: int
     broker: int
@@ -130,7 +148,7 @@
 
 
 class Mark(msgspec.Struct, tag="mark", frozen=True):
-    """Something of the script happened."""
+    """An event of the scenario, such as the begin of a fault."""
 
     at: int
     what: str
@@ -142,11 +160,11 @@
 
 
 class RecordError(ValueError):
-    """A record that cannot be read; the text names file and line."""
+    """A record that cannot be read; the message names file and line."""
 
 
 class Writer:
-    """Appends lines; each is handed to the system at once, so that a killed process loses none."""
+    """Appends lines to a file, unbuffered, so that a killed process loses none."""
 
     def __init__(self, path: Path, who: str) -> None:
         self._file: IO[bytes] = path.open("ab", buffering=0)
@@ -162,7 +180,7 @@
 
 
 def read(path: Path) -> Iterator[tuple[int, Line]]:
-    """The lines with their numbers from 1. Raises ``RecordError`` at one that cannot be read."""
+    """Yield line numbers, from 1, and lines. Raises ``RecordError`` at a line that cannot be read."""
     for number, raw in enumerate(path.read_bytes().splitlines(), 1):
         try:
             line = _DECODER.decode(raw)
