--- a/quincepath/standins/leaf.py
+++ b/quincepath/standins/leaf.py
@@ -27,9 +27,7 @@
 READ_PATH = "/api/v1/read"
 NO_DEADLINE_NS = 1 << 62  # a remote read request does not state when its client gives up
 TIMEOUTS = Timeouts(idle=120 * SECOND, request=30 * SECOND, write=30 * SECOND)
-INCIDENT = (
-    "incident"  # label of a matcher that every series passes; its value is what the query does to a holder
-)
+INCIDENT = "incident"  # label of a matcher that every series passes; the value sets the effect on a holder
 POISON = "poison"  # crashes the holder while it runs
 HEAVY = "heavy-"  # followed by the factor on the work
 FAULTS = (
--- a/quincepath/standins/model.py
+++ b/quincepath/standins/model.py
@@ -40,7 +40,7 @@
     """Whether a server accepts requests, and why not."""
 
     UP = "up"
-    DOWN = "down"  # the process has completed: connections are refused
+    DOWN = "down"  # the process has ended: connections are refused
     SILENT = "silent"  # the machine is unreachable: no packet is answered
     FALLEN = "fallen"  # crashed by overload: down until it is restarted
 
