--- a/benchmarks/capacity/quality.py
+++ b/benchmarks/capacity/quality.py
@@ -91,10 +91,10 @@
             MODULE: Aggregator,
         }
         self._world = Emulation(_script(brokers), seed, make_module=makers[way])
-        tally = self._world.run()
-        asked = sum(tally.asked.values())
-        self.p99_seconds = float(np.percentile(np.array(tally.took), 99))
-        self.in_time = sum(tally.good.values()) / max(asked, 1)
+        statistics = self._world.run()
+        asked = sum(statistics.asked.values())
+        self.p99_seconds = float(np.percentile(np.array(statistics.latencies_s), 99))
+        self.in_time = sum(statistics.good.values()) / max(asked, 1)
         self._world = None  # its record is large
 
     def _queue(self, node: NodeId) -> float:
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -52,7 +52,7 @@
         )
         virtual = rehearse(script).figures()
         with tempfile.TemporaryDirectory() as folder:
-            sockets = SocketRun(script, script.seed, Path(folder)).play()
+            sockets = SocketRun(script, script.seed, Path(folder)).run()
         row = {
             "script": name,
             "good": [virtual["good"], sockets["good"]],
--- a/quincepath/cli/lab.py
+++ b/quincepath/cli/lab.py
@@ -14,14 +14,14 @@
 
 from quincepath.config.load import ConfigError, load, parse
 from quincepath.config.values import parse_duration
+from quincepath.lab.emulator.fault_search import SearchResult, minimize, search_faults
 from quincepath.lab.emulator.from_day import from_day
-from quincepath.lab.emulator.hunt import Find, cut_down, search
+from quincepath.lab.emulator.query_trace import QueryTraceError, trace_query
 from quincepath.lab.emulator.recording import RecordingError, RecordingWriter, read_recording
 from quincepath.lab.emulator.rehearsal import Outcome, rehearse
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.sockets import SocketRun
-from quincepath.lab.emulator.story import StoryError, tell
-from quincepath.lab.emulator.world import BEGIN
+from quincepath.lab.emulator.world import RUN_START_NS
 from quincepath.observe.logs import setup
 from quincepath.standins.record import Ask, End, Line, Mark
 
@@ -143,7 +143,7 @@
 def _on_sockets(plan: Script, seed: int | None, as_json: bool) -> None:
     """Play over loopback, say what came of it and end."""
     with tempfile.TemporaryDirectory(prefix="quincepath-rehearse-") as folder:
-        figures = SocketRun(plan, plan.seed if seed is None else seed, Path(folder)).play()
+        figures = SocketRun(plan, plan.seed if seed is None else seed, Path(folder)).run()
     click.echo(json.dumps(figures, indent=None if as_json else 1))
     if figures["void"]:
         behind = f"this machine could not keep up (behind by {figures['late_most_s']} s"
@@ -231,7 +231,7 @@
                 self.answered += line.status == 200
             case Mark():
                 self.last = line.what
-        at = getattr(line, "at", BEGIN) - BEGIN
+        at = getattr(line, "at", RUN_START_NS) - RUN_START_NS
         if self.speed:
             time.sleep(max(self.began + at / SECOND / self.speed - time.monotonic(), 0))
         second = min(at // SECOND, self.seconds)
@@ -314,7 +314,7 @@
         _show(outcomes)
     first = outcomes[script.name]
     for finding in first.report.findings[:FINDINGS_SHOWN]:
-        click.echo(f"{finding} (at {(finding.at - BEGIN) / 1e9:.3f} s)")
+        click.echo(f"{finding} (at {(finding.at - RUN_START_NS) / 1e9:.3f} s)")
     for name in first.fell:
         click.echo(f"{name} fell over")
     sys.exit(1 if first.broken else 0)
@@ -328,7 +328,7 @@
     """Look into a recording; with --query run it again and tell what its broker knew and did."""
     try:
         found = read_recording(record)
-        until = None if at is None else BEGIN + parse_duration(at)
+        until = None if at is None else RUN_START_NS + parse_duration(at)
     except RecordingError as error:
         fail([str(error)])
         return
@@ -348,9 +348,9 @@
         return
     try:
         script = parse(found.head.script, Script, f"{record.name} (script)")
-        for told in tell(script, found.head.seed, found.lines, query, until):
+        for told in trace_query(script, found.head.seed, found.lines, query, until):
             click.echo(told)
-    except (ConfigError, StoryError) as error:
+    except (ConfigError, QueryTraceError) as error:
         fail([str(error)])
 
 
@@ -361,17 +361,17 @@
 @click.option("--worst", default=3, help="How many to cut down and show.")
 def hunt(seeds: int, first: int, large: bool, worst: int) -> None:
     """Draw days from ranges and cut the worst down to what matters. Exit status 1 if a rule broke on any."""
-    finds: list[Find] = []
+    finds: list[SearchResult] = []
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
-        for find in search(range(first, first + seeds), large):
+        for find in search_faults(range(first, first + seeds), large):
             finds.append(find)
             bar.update(1)
-    finds.sort(key=Find.badness, reverse=True)
+    finds.sort(key=SearchResult.badness, reverse=True)
     broken = sum(find.broken for find in finds)
     middle = sorted(find.good for find in finds)[len(finds) // 2]
     click.echo(f"{len(finds)} days (simulated): {broken} broke a rule, good in the middle {middle:.3f}")
     for find in finds[:worst]:
-        cut = cut_down(find)
+        cut = minimize(find)
         kinds = ", ".join(f"{t.kind} at {t.at / 1e9:.1f} s" for t in cut.script.troubles)
         click.echo(f"day {find.number}: good {find.good:.3f}; cut down to {cut.good:.3f}: {kinds}")
         for text in [cut.contract] if cut.outcome is None else cut.outcome.report.findings[:3]:
--- a/quincepath/lab/emulator/hunt.py
+++ b/quincepath/lab/emulator/fault_search.py
@@ -7,16 +7,16 @@
 import numpy as np
 
 from quincepath.lab.emulator.rehearsal import Outcome, rehearse
-from quincepath.lab.emulator.script import KINDS, Script
-from quincepath.lab.emulator.world import ContractBroken
+from quincepath.lab.emulator.script import Script, TroubleKind
+from quincepath.lab.emulator.world import ContractViolation
 
-ALL_KINDS = sorted(get_args(KINDS))
-KEPT = 0.8  # a cut script must lose so much of what the whole one loses, to count as the same find
-LENGTH = 14  # seconds of a drawn day
+TROUBLE_KINDS = sorted(get_args(TroubleKind))
+MIN_KEPT_LOSS = 0.8  # a cut script must lose so much of what the whole one loses, to count as the same find
+LENGTH_S = 14  # seconds of a drawn day
 
 
 @dataclass(slots=True, frozen=True)
-class Find:
+class SearchResult:
     """A drawn day: its number, script and outcome; ``contract`` says where the program itself failed."""
 
     number: int
@@ -41,7 +41,7 @@
         return 10.0 * len(self.outcome.report.findings) + 10.0 * len(self.outcome.fell) + 1 - self.good
 
 
-def draw(number: int, large: bool = False) -> Script:
+def draw_script(number: int, large: bool = False) -> Script:
     """A day by its number: fleet, traffic and one to four troubles, overlapping as they fall."""
     random = np.random.default_rng([91, number])
 
@@ -59,7 +59,7 @@
     for _ in range(int(random.integers(1, 5))):
         at, last = between(2, 8), between(1.5, 6)
         trouble: dict[str, Any] = {
-            "kind": ALL_KINDS[int(random.integers(len(ALL_KINDS)))],
+            "kind": TROUBLE_KINDS[int(random.integers(len(TROUBLE_KINDS)))],
             "at": f"{at}s",
             "last": f"{last}s",
             "holders": between(0.1, 0.35),
@@ -84,7 +84,7 @@
         {
             "about": f"drawn day {number}",
             "seed": number,
-            "length": f"{LENGTH}s",
+            "length": f"{LENGTH_S}s",
             "brokers": brokers,
             "fleet": {
                 "sets": sets,
@@ -119,31 +119,31 @@
     )
 
 
-def play(number: int, script: Script, run: Callable[[Script], Outcome] = rehearse) -> Find:
+def run_script(number: int, script: Script, run: Callable[[Script], Outcome] = rehearse) -> SearchResult:
     """Run one day. A broken contract is a find like any other: the search goes on."""
     try:
-        return Find(number, script, run(script))
-    except ContractBroken as error:
-        return Find(number, script, None, str(error))
+        return SearchResult(number, script, run(script))
+    except ContractViolation as error:
+        return SearchResult(number, script, None, str(error))
 
 
-def search(numbers: Iterator[int] | range, large: bool = False) -> Iterator[Find]:
+def search_faults(numbers: Iterator[int] | range, large: bool = False) -> Iterator[SearchResult]:
     """Run drawn days, one after the other."""
     for number in numbers:
-        yield play(number, draw(number, large))
+        yield run_script(number, draw_script(number, large))
 
 
-def cut_down(find: Find, run: Callable[[Script], Outcome] = rehearse) -> Find:
+def minimize(result: SearchResult, run: Callable[[Script], Outcome] = rehearse) -> SearchResult:
     """Leave out troubles, one at a time, as long as what is left loses nearly as much."""
-    best = find
-    again = True
-    while again and len(best.script.troubles) > 1:
-        again = False
-        for place in range(len(best.script.troubles)):
-            fewer = [t for at, t in enumerate(best.script.troubles) if at != place]
+    best = result
+    improved = True
+    while improved and len(best.script.troubles) > 1:
+        improved = False
+        for index in range(len(best.script.troubles)):
+            fewer = [t for at, t in enumerate(best.script.troubles) if at != index]
             script = best.script.model_copy(update={"troubles": fewer})
-            tried = play(find.number, script, run)
-            if tried.badness() >= KEPT * find.badness():
-                best, again = tried, True
+            candidate = run_script(result.number, script, run)
+            if candidate.badness() >= MIN_KEPT_LOSS * result.badness():
+                best, improved = candidate, True
                 break
     return best
--- a/quincepath/lab/emulator/from_day.py
+++ b/quincepath/lab/emulator/from_day.py
@@ -12,8 +12,8 @@
 from quincepath.config.load import ConfigError, parse
 from quincepath.lab.emulator.script import Script
 
-US_A_SECOND = 1e6
-KINDS = {
+US_PER_SECOND = 1e6
+SCRIPT_KINDS = {
     "answer_lost": "lost_answers",
     "ageing": "ageing",
     "balancer_crash": "broker_crash",
@@ -33,19 +33,19 @@
     "vanish": "silence",
     "zone_loss": "zone_loss",
 }
-TIMES = {"slow", "ageing", "burst"}  # whose size is how many times as slow or as much
-SHARES = {"neighbour", "class_fail", "fast_errors"}  # whose size is a share
+KINDS_WITH_FACTOR = {"slow", "ageing", "burst"}  # whose size is how many times as slow or as much
+KINDS_WITH_SHARE = {"neighbour", "class_fail", "fast_errors"}  # whose size is a share
 
 
 @dataclass(slots=True, frozen=True)
-class FromDay:
+class ConvertedDay:
     """The script, and a line for each thing that was left out or taken over in part."""
 
     script: Script
     notes: list[str]
 
 
-def _us(value: float) -> str:
+def _us_text(value: float) -> str:
     return f"{max(int(value), 1)}us"
 
 
@@ -63,19 +63,23 @@
 def _trouble(
     entry: dict[str, Any], day: dict[str, Any], names: list[str], notes: list[str]
 ) -> dict[str, Any]:
-    kind = KINDS[entry["kind"]]
-    found: dict[str, Any] = {"kind": kind, "at": _us(entry["at"]), "last": _us(entry["len"])}
+    kind = SCRIPT_KINDS[entry["kind"]]
+    found: dict[str, Any] = {
+        "kind": kind,
+        "at": _us_text(entry["at"]),
+        "last": _us_text(entry["len"]),
+    }
     size, extra = float(entry.get("size", 0)), float(entry.get("extra", 0))
     if kind == "broker_crash":
         found["brokers"] = [f"broker{n}" for n in entry["on"]] or 1.0
     elif kind != "zone_loss":
         found["holders"] = [names[n] for n in entry["on"] if n < len(names) and names[n]] or 1.0
-    if entry["kind"] in TIMES:
+    if entry["kind"] in KINDS_WITH_FACTOR:
         found["times"] = max(size, 0.01)
-    elif entry["kind"] in SHARES:
+    elif entry["kind"] in KINDS_WITH_SHARE:
         found["share"] = min(size, 1.0)
     elif kind == "list_late":
-        usual = day["discovery"]["notice"] / US_A_SECOND
+        usual = day["discovery"]["notice"] / US_PER_SECOND
         found["times"] = 1 + size / max(usual, 0.1)
     elif kind == "zone_loss":
         found["zone"] = day["zones"][entry["which"]]
@@ -93,7 +97,7 @@
     return found
 
 
-def from_day(path: Path) -> FromDay:
+def from_day(path: Path) -> ConvertedDay:
     """Read a day file. Raises ``ConfigError``."""
     try:
         day = json.loads(path.read_text(encoding="utf-8"))
@@ -105,7 +109,7 @@
         raise ConfigError([f"{path}: not a drawn day of the bench: {type(error).__name__} {error}"]) from None
 
 
-def _convert(day: dict[str, Any], path: Path) -> FromDay:
+def _convert(day: dict[str, Any], path: Path) -> ConvertedDay:
     notes: list[str] = []
     fam, cells = day["fam"], day["fam"]["cells"]
     if day.get("family") != "fanout" or fam.get("reach", 1) != 1:
@@ -123,10 +127,10 @@
                 "name": entry["name"],
                 "share": entry["share"],
                 "parts": [most, most],
-                "work": _us(entry["work"]),
+                "work": _us_text(entry["work"]),
                 "spread": entry["cv"],
-                "target": _us(entry["aim"]),
-                "deadline": _us(entry["deadline"]),
+                "target": _us_text(entry["aim"]),
+                "deadline": _us_text(entry["deadline"]),
                 "need": ask["need"],
                 "floor": ask["floor"],
                 "late_worth": entry["late_worth"],
@@ -143,7 +147,7 @@
     values: dict[str, Any] = {
         "about": f"from a drawn day of {day['site']} ({day['kind']})",
         "seed": int(day.get("noise", 1)) % (1 << 31),
-        "length": _us(day["length"]),
+        "length": _us_text(day["length"]),
         "brokers": len(day["balancers"]),
         "fleet": {
             "sets": cells,
@@ -152,26 +156,26 @@
             "zones": day["zones"],
             "kinds": [{"name": machine["name"], "cores": machine["cores"], "speed": 1.0}],
             "cold": machine["cold_from"],
-            "ramp": _us(machine["cold"]),
+            "ramp": _us_text(machine["cold"]),
         },
         "traffic": {
-            "rate": round(day["traffic"]["load"] * fam["capacity"] * US_A_SECOND / work, 3),
+            "rate": round(day["traffic"]["load"] * fam["capacity"] * US_PER_SECOND / work, 3),
             "retries": day["clients"]["retries"],
-            "wait": _us(day["clients"]["backoff_us"]),
+            "wait": _us_text(day["clients"]["backoff_us"]),
             "honour": day["clients"]["honour"],
         },
-        "network": {"same_zone": _us(day["net"]["same"]), "cross_zone": _us(day["net"]["cross"])},
-        "discovery": {"lag": [_us(day["discovery"]["notice"] * f) for f in (0.9, 1.1)]},
+        "network": {"same_zone": _us_text(day["net"]["same"]), "cross_zone": _us_text(day["net"]["cross"])},
+        "discovery": {"lag": [_us_text(day["discovery"]["notice"] * f) for f in (0.9, 1.1)]},
         "limits": {"attempts": day["allow"]["max_attempts"], "second_copies": day["allow"]["second_copies"]},
-        "rules": {"drain_grace": _us(day["drain_grace"]), "fall_multiple": day["fall_multiple"],
-                  "overload_for": _us(day["fall_for"])},
+        "rules": {"drain_grace": _us_text(day["drain_grace"]), "fall_multiple": day["fall_multiple"],
+                  "overload_for": _us_text(day["fall_for"])},
         "classes": classes,
     }  # fmt: skip
     troubles = []
     for entry in day["troubles"]:
-        if entry["kind"] not in KINDS:
+        if entry["kind"] not in SCRIPT_KINDS:
             notes.append(f"{entry['kind']} at {entry['at'] / 1e6:.1f} s has no counterpart here")
         elif entry["at"] < day["length"]:
             troubles.append(_trouble(entry, day, names, notes))
     values["troubles"] = troubles
-    return FromDay(parse(json.dumps(values), Script, path.name), notes)
+    return ConvertedDay(parse(json.dumps(values), Script, path.name), notes)
--- a/quincepath/lab/emulator/staging.py
+++ b/quincepath/lab/emulator/process_troubles.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from quincepath.lab.cluster import HolderProcess
-from quincepath.lab.emulator.processes import BrokerProcess, Lists
+from quincepath.lab.emulator.processes import BrokerProcess, RosterFiles
 from quincepath.lab.emulator.script import Script, TroubleEntry
-from quincepath.lab.emulator.troubles import AGEING_STEPS, DEPLOY_PAUSE
-from quincepath.lab.emulator.world import RESTART_AFTER
+from quincepath.lab.emulator.troubles import AGEING_STEPS, DEPLOY_DRAIN_NS
+from quincepath.lab.emulator.world import RESTART_DELAY_NS
 from quincepath.lab.load import Client
 from quincepath.net.loop import Loop
 from quincepath.standins.chance import Source
@@ -24,24 +24,26 @@
 from quincepath.standins.record import Halt, Mark, Writer
 
 MS = 1_000_000
-LOOK = 50 * MS  # between looks for holders that ended by themselves, and for processes that come up
+POLL_INTERVAL_NS = (
+    50 * MS
+)  # between looks for holders that ended by themselves, and for processes that come up
 
 
-def together(active: list[Faults]) -> Faults:
+def combine_faults(active: list[Faults]) -> Faults:
     """The sum of faults: times multiply, the larger share counts, the latest fault of a call is met."""
-    whole = Faults()
+    combined = Faults()
     for one in active:
-        whole.slow *= one.slow
-        whole.steal, whole.lose = max(whole.steal, one.steal), max(whole.lose, one.lose)
-        whole.paused = whole.paused or one.paused
-        whole.handshake_ms = max(whole.handshake_ms, one.handshake_ms)
-        whole.deaf_to = sorted({*whole.deaf_to, *one.deaf_to})
+        combined.slow *= one.slow
+        combined.steal, combined.lose = max(combined.steal, one.steal), max(combined.lose, one.lose)
+        combined.paused = combined.paused or one.paused
+        combined.handshake_ms = max(combined.handshake_ms, one.handshake_ms)
+        combined.deaf_to = sorted({*combined.deaf_to, *one.deaf_to})
         if one.fault != "none":
-            whole.fault, whole.share, whole.metric = one.fault, one.share, one.metric
-    return whole
+            combined.fault, combined.share, combined.metric = one.fault, one.share, one.metric
+    return combined
 
 
-class Stage(Protocol):
+class TroubleTarget(Protocol):
     """What troubles act on: the run's processes, lists and clients, and how clients ask (``SocketRun``)."""
 
     script: Script
@@ -52,35 +54,35 @@
     by_name: dict[str, HolderProcess]
     brokers: list[BrokerProcess]
     clients: list[Client]
-    lists: Lists
-    fresh: set[str]  # holders that were started again
-    factor: float  # times the usual rate of queries
-    hurry: float  # clients have so many times less patience
-    storm: bool  # whether clients come back at once
-    heavy: dict[int, tuple[float, float]]  # class: share of queries, times the work
-    poison: dict[int, float]  # class: share of queries
+    roster_files: RosterFiles
+    restarted: set[str]  # holders that were started again
+    rate_factor: float  # times the usual rate of queries
+    patience_divisor: float  # clients have so many times less patience
+    immediate_retries: bool  # whether clients come back at once
+    heavy_factors: dict[int, tuple[float, float]]  # class: share of queries, times the work
+    poison_shares: dict[int, float]  # class: share of queries
 
 
-class Staging:
+class ProcessTroubleInjector:
     """Puts a script's troubles into a run on sockets, at their times on its loop."""
 
-    def __init__(self, run: Stage) -> None:
+    def __init__(self, run: TroubleTarget) -> None:
         self.run, self.loop, self.script = run, run.loop, run.script
-        self.active: dict[str, dict[int, Faults]] = defaultdict(dict)
+        self.active_faults: dict[str, dict[int, Faults]] = defaultdict(dict)
         self.down: set[str] = set()
-        self.count = 0
+        self.last_fault_id = 0
         for place, entry in enumerate(self.script.troubles):
             draw = Source(run.seed, f"trouble {place}")
             self.loop.call_at(run.begin + entry.at, self._begin(entry, draw))
-        self._watch()
+        self._check_holders()
 
     def _begin(self, entry: TroubleEntry, draw: Source) -> Callable[[], None]:
-        def go() -> None:
+        def start() -> None:
             self.mark(f"begins: {entry.kind}")
             act: Callable[[TroubleEntry, Source], None] = getattr(self, f"_{entry.kind}")
             act(entry, draw)
 
-        return go
+        return start
 
     def mark(self, what: str) -> None:
         """Note something of the script."""
@@ -88,188 +90,192 @@
 
     # --- helpers ---
 
-    def _chosen(self, entry: TroubleEntry, draw: Source) -> list[HolderProcess]:
+    def _pick_holders(self, entry: TroubleEntry, draw: Source) -> list[HolderProcess]:
         return [self.run.by_name[name] for name in draw.pick(list(self.run.by_name), entry.holders)]
 
-    def _numbers(self, entry: TroubleEntry, draw: Source) -> list[int]:
+    def _pick_brokers(self, entry: TroubleEntry, draw: Source) -> list[int]:
         names = [f"broker{broker.number}" for broker in self.run.brokers]
         return [int(name[6:]) for name in draw.pick(names, entry.brokers)]
 
-    def _for_a_while(self, holder: HolderProcess, last: int, faults: Faults) -> None:
+    def _apply_for(self, holder: HolderProcess, last: int, faults: Faults) -> None:
         """Let faults act on a holder; a process that is started anew meanwhile is without them."""
-        self.count += 1
-        mine = self.count
-        self.active[holder.name][mine] = faults
-        self._apply(holder)
+        self.last_fault_id += 1
+        fault_id = self.last_fault_id
+        self.active_faults[holder.name][fault_id] = faults
+        self._send_faults(holder)
 
-        def over() -> None:
-            if self.active[holder.name].pop(mine, None) is not None:
-                self._apply(holder)
+        def end() -> None:
+            if self.active_faults[holder.name].pop(fault_id, None) is not None:
+                self._send_faults(holder)
 
         if last:
-            self.loop.call_in(last, over)
+            self.loop.call_in(last, end)
 
-    def _apply(self, holder: HolderProcess) -> None:
+    def _send_faults(self, holder: HolderProcess) -> None:
         """Tell the process. Off the loop for about a millisecond: a live holder answers at once."""
         if holder.name in self.down or holder.process is None:
             return
-        line = HTTPConnection("127.0.0.1", holder.port, timeout=2)
+        connection = HTTPConnection("127.0.0.1", holder.port, timeout=2)
         try:
-            line.request(
-                "POST", "/control", msgspec.json.encode(together([*self.active[holder.name].values()]))
+            connection.request(
+                "POST",
+                "/control",
+                msgspec.json.encode(combine_faults([*self.active_faults[holder.name].values()])),
             )
-            line.getresponse().read()
+            connection.getresponse().read()
         except OSError as error:
             self.mark(f"{holder.name} does not take its faults: {error}")
         finally:
-            line.close()
+            connection.close()
 
-    def _all(self, entry: TroubleEntry, draw: Source, faults: Faults) -> None:
-        for holder in self._chosen(entry, draw):
-            self._for_a_while(holder, entry.last, faults)
+    def _apply_to_holders(self, entry: TroubleEntry, draw: Source, faults: Faults) -> None:
+        for holder in self._pick_holders(entry, draw):
+            self._apply_for(holder, entry.last, faults)
 
-    def _metric(self, entry: TroubleEntry) -> str:
-        return f"class_{self._class(entry)}"
+    def _metric_name(self, entry: TroubleEntry) -> str:
+        return f"class_{self._class_index(entry)}"
 
-    def _class(self, entry: TroubleEntry) -> int:
+    def _class_index(self, entry: TroubleEntry) -> int:
         return next(k for k, known in enumerate(self.script.classes) if known.name == entry.of_class)
 
     # --- holders ---
 
     def _hang(self, entry: TroubleEntry, draw: Source) -> None:
-        self._all(entry, draw, Faults(fault="hang"))
+        self._apply_to_holders(entry, draw, Faults(fault="hang"))
 
     def _slow(self, entry: TroubleEntry, draw: Source) -> None:
-        self._all(entry, draw, Faults(slow=entry.times))
+        self._apply_to_holders(entry, draw, Faults(slow=entry.times))
 
     def _slowdown(self, entry: TroubleEntry, draw: Source) -> None:
         for holder in self.run.by_name.values():
-            self._for_a_while(holder, entry.last, Faults(slow=entry.times))
+            self._apply_for(holder, entry.last, Faults(slow=entry.times))
 
     def _errors(self, entry: TroubleEntry, draw: Source) -> None:
-        self._all(entry, draw, Faults(fault="errors", share=entry.share))
+        self._apply_to_holders(entry, draw, Faults(fault="errors", share=entry.share))
 
     def _class_errors(self, entry: TroubleEntry, draw: Source) -> None:
-        self._all(entry, draw, Faults(fault="errors", share=entry.share, metric=self._metric(entry)))
+        self._apply_to_holders(
+            entry, draw, Faults(fault="errors", share=entry.share, metric=self._metric_name(entry))
+        )
 
     def _lost_answers(self, entry: TroubleEntry, draw: Source) -> None:
-        self._all(entry, draw, Faults(lose=entry.share))
+        self._apply_to_holders(entry, draw, Faults(lose=entry.share))
 
     def _slow_handshakes(self, entry: TroubleEntry, draw: Source) -> None:
         """The system takes connections by itself: what is slow is that the holder begins to read them."""
-        self._all(entry, draw, Faults(handshake_ms=entry.pause / MS))
+        self._apply_to_holders(entry, draw, Faults(handshake_ms=entry.pause / MS))
 
     def _one_sided(self, entry: TroubleEntry, draw: Source) -> None:
-        numbers = self._numbers(entry, draw)
-        self._all(entry, draw, Faults(deaf_to=numbers))
+        numbers = self._pick_brokers(entry, draw)
+        self._apply_to_holders(entry, draw, Faults(deaf_to=numbers))
 
     def _pauses(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
+        for holder in self._pick_holders(entry, draw):
             at = int(draw() * entry.every)
             while at < entry.last:
-                self._later(at, holder, entry.pause, Faults(paused=True))
+                self._apply_later(at, holder, entry.pause, Faults(paused=True))
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _preemption(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
+        for holder in self._pick_holders(entry, draw):
             at = int(draw() * entry.every / 2)
             while at < entry.last:
-                self._later(at, holder, entry.every // 2, Faults(steal=min(entry.share, 0.95)))
+                self._apply_later(at, holder, entry.every // 2, Faults(steal=min(entry.share, 0.95)))
                 at += int(entry.every * draw.between(0.8, 1.2))
 
-    def _later(self, wait: int, holder: HolderProcess, last: int, faults: Faults) -> None:
-        self.loop.call_in(wait, lambda: self._for_a_while(holder, last, faults))
+    def _apply_later(self, wait: int, holder: HolderProcess, last: int, faults: Faults) -> None:
+        self.loop.call_in(wait, lambda: self._apply_for(holder, last, faults))
 
     def _ageing(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
+        for holder in self._pick_holders(entry, draw):
             for step in range(AGEING_STEPS):
                 slower = Faults(slow=entry.times ** (1 / AGEING_STEPS))
-                self._later(entry.last * step // AGEING_STEPS, holder, 0, slower)
-            self.loop.call_in(entry.last, lambda h=holder: self._down(h, entry.every))  # type: ignore[misc]
+                self._apply_later(entry.last * step // AGEING_STEPS, holder, 0, slower)
+            self.loop.call_in(entry.last, lambda h=holder: self._stop_for(h, entry.every))  # type: ignore[misc]
 
     def _kill(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
-            self._down(holder, entry.last)
+        for holder in self._pick_holders(entry, draw):
+            self._stop_for(holder, entry.last)
 
     _restart = _kill
 
     def _silence(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
-            self._down(holder, entry.last, silent=True)
+        for holder in self._pick_holders(entry, draw):
+            self._stop_for(holder, entry.last, silent=True)
 
     def _flapping(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
+        for holder in self._pick_holders(entry, draw):
             at = int(draw() * entry.every / 2)
             while at < entry.last:
-                self.loop.call_in(at, lambda h=holder: self._down(h, entry.every // 3))  # type: ignore[misc]
+                self.loop.call_in(at, lambda h=holder: self._stop_for(h, entry.every // 3))  # type: ignore[misc]
                 at += entry.every
 
     def _zone_loss(self, entry: TroubleEntry, draw: Source) -> None:
         for holder in self.run.by_name.values():
             if holder.zone == entry.zone:
-                self._down(holder, entry.last, silent=True)
+                self._stop_for(holder, entry.last, silent=True)
         if entry.share >= 1:
             for broker in self.run.brokers:
                 if broker.zone == entry.zone:
-                    self._crash(broker.number, entry.last)
+                    self._kill_broker(broker.number, entry.last)
 
     def _drain(self, entry: TroubleEntry, draw: Source) -> None:
-        for holder in self._chosen(entry, draw):
+        for holder in self._pick_holders(entry, draw):
             holder.phase = "draining"
-            self.run.lists.publish(holder.name)
-            self.loop.call_in(entry.last, lambda h=holder: self._serve_again(h))  # type: ignore[misc]
+            self.run.roster_files.publish(holder.name)
+            self.loop.call_in(entry.last, lambda h=holder: self._end_drain(h))  # type: ignore[misc]
 
-    def _serve_again(self, holder: HolderProcess) -> None:
+    def _end_drain(self, holder: HolderProcess) -> None:
         if holder.name not in self.down:
             holder.phase = "ready"
-            self.run.lists.publish(holder.name)
+            self.run.roster_files.publish(holder.name)
 
     def _deploy(self, entry: TroubleEntry, draw: Source) -> None:
-        chosen = self._chosen(entry, draw)
+        chosen = self._pick_holders(entry, draw)
         for wave in range(self.script.fleet.replicas):
             for holder in chosen:
                 if holder.name.endswith(f"r{wave}"):
-                    self.loop.call_in(wave * entry.every, lambda h=holder: self._wave(h, entry))  # type: ignore[misc]
+                    self.loop.call_in(wave * entry.every, lambda h=holder: self._drain_and_restart(h, entry))  # type: ignore[misc]
 
-    def _wave(self, holder: HolderProcess, entry: TroubleEntry) -> None:
+    def _drain_and_restart(self, holder: HolderProcess, entry: TroubleEntry) -> None:
         if holder.name not in self.down:
             holder.phase = "draining"
-            self.run.lists.publish(holder.name)
-            wait = self.script.discovery.lag[1] + DEPLOY_PAUSE
-            self.loop.call_in(wait, lambda: self._down(holder, entry.pause))
+            self.run.roster_files.publish(holder.name)
+            wait = self.script.discovery.lag[1] + DEPLOY_DRAIN_NS
+            self.loop.call_in(wait, lambda: self._stop_for(holder, entry.pause))
 
     # --- processes that end and come back ---
 
-    def _down(self, holder: HolderProcess, last: int, silent: bool = False) -> None:
+    def _stop_for(self, holder: HolderProcess, last: int, silent: bool = False) -> None:
         """End a holder's process, or stop it as it stands: then its connections stay and nothing comes."""
         if holder.name in self.down or holder.process is None:
             return
         self.down.add(holder.name)
-        self.active[holder.name].clear()
+        self.active_faults[holder.name].clear()
         if silent:
             holder.signal(signal.SIGSTOP)
         else:
             holder.kill()
-        self.run.lists.publish(holder.name)
-        self.loop.call_in(last, lambda: self._back(holder))
+        self.run.roster_files.publish(holder.name)
+        self.loop.call_in(last, lambda: self._relaunch(holder))
 
-    def _back(self, holder: HolderProcess) -> None:
+    def _relaunch(self, holder: HolderProcess) -> None:
         if holder.process is not None:
             holder.kill()
         holder.launch(self.script.fleet.cold)
-        self._look(holder)
+        self._await_ready(holder)
 
-    def _look(self, holder: HolderProcess) -> None:
+    def _await_ready(self, holder: HolderProcess) -> None:
         if not holder.ready():
-            self.loop.call_in(LOOK, lambda: self._look(holder))
+            self.loop.call_in(POLL_INTERVAL_NS, lambda: self._await_ready(holder))
             return
         holder.wait()
         holder.phase = "ready"
         self.down.discard(holder.name)
-        self.run.fresh.add(holder.name)
-        self.run.lists.publish(holder.name)
+        self.run.restarted.add(holder.name)
+        self.run.roster_files.publish(holder.name)
 
-    def _watch(self) -> None:
+    def _check_holders(self) -> None:
         """Holders that a poisoned query took down come back after a while; fallen ones stay down."""
         for holder in self.run.by_name.values():
             if (
@@ -278,13 +284,13 @@
                 and holder.process.poll() is not None
             ):
                 self.mark(f"{holder.name} ended by itself")
-                self._down(holder, RESTART_AFTER)
-        self.loop.call_in(LOOK, self._watch)
+                self._stop_for(holder, RESTART_DELAY_NS)
+        self.loop.call_in(POLL_INTERVAL_NS, self._check_holders)
 
     # --- brokers and their lists ---
 
     def _broker_stall(self, entry: TroubleEntry, draw: Source) -> None:
-        for number in self._numbers(entry, draw):
+        for number in self._pick_brokers(entry, draw):
             broker, now = self.run.brokers[number], time.monotonic_ns()
             if broker.alive:
                 self.run.writer.write(Halt(now, number, now + entry.last, False))
@@ -292,33 +298,33 @@
                 self.loop.call_in(entry.last, lambda b=broker: b.signal(signal.SIGCONT))  # type: ignore[misc]
 
     def _broker_crash(self, entry: TroubleEntry, draw: Source) -> None:
-        for number in self._numbers(entry, draw):
-            self._crash(number, entry.last)
+        for number in self._pick_brokers(entry, draw):
+            self._kill_broker(number, entry.last)
 
-    def _crash(self, number: int, last: int) -> None:
+    def _kill_broker(self, number: int, last: int) -> None:
         broker = self.run.brokers[number]
         if broker.alive:
             broker.kill()
             broker.halted = (time.monotonic_ns(), last)
-            self.loop.call_in(last, lambda: self._boot(number))
+            self.loop.call_in(last, lambda: self._relaunch_broker(number))
 
-    def _boot(self, number: int) -> None:
+    def _relaunch_broker(self, number: int) -> None:
         self.run.brokers[number].launch()
-        self._look_for(number)
+        self._await_broker(number)
 
-    def _look_for(self, number: int) -> None:
+    def _await_broker(self, number: int) -> None:
         broker = self.run.brokers[number]
         if not broker.ready():
-            self.loop.call_in(LOOK, lambda: self._look_for(number))
+            self.loop.call_in(POLL_INTERVAL_NS, lambda: self._await_broker(number))
             return
         broker.wait()
-        self.excuse(number)
+        self.record_downtime(number)
         self.run.clients[number].move(broker.url)
         # What its list missed comes with the list's next news, as in virtual time.
-        lag = int(self.run.lists.lag() * self.run.lists.views[number].lag)
-        self.loop.call_in(lag, lambda: self.run.lists.catch_up(number))
+        lag = int(self.run.roster_files.lag() * self.run.roster_files.rosters[number].lag_factor)
+        self.loop.call_in(lag, lambda: self.run.roster_files.catch_up(number))
 
-    def excuse(self, number: int) -> None:
+    def record_downtime(self, number: int) -> None:
         """Note for the audit from when to when a broker was dead: now, at the latest."""
         broker = self.run.brokers[number]
         if broker.halted is not None:
@@ -327,63 +333,63 @@
             self.run.writer.write(Halt(since, number, time.monotonic_ns(), True))
 
     def _list_late(self, entry: TroubleEntry, draw: Source) -> None:
-        for number in self._numbers(entry, draw):
-            view = self.run.lists.views[number]
-            view.lag *= entry.times
-            self.loop.call_in(entry.last, self._in_time(view, entry.times))
+        for number in self._pick_brokers(entry, draw):
+            roster = self.run.roster_files.rosters[number]
+            roster.lag_factor *= entry.times
+            self.loop.call_in(entry.last, self._restore_lag(roster, entry.times))
 
     @staticmethod
-    def _in_time(view: Any, times: float) -> Callable[[], None]:
-        def again() -> None:
-            view.lag /= times
+    def _restore_lag(roster: Any, times: float) -> Callable[[], None]:
+        def restore() -> None:
+            roster.lag_factor /= times
 
-        return again
+        return restore
 
     def _list_frozen(self, entry: TroubleEntry, draw: Source) -> None:
-        for number in self._numbers(entry, draw):
-            self.run.lists.freeze(number)
-            self.loop.call_in(entry.last, lambda n=number: self.run.lists.thaw(n))  # type: ignore[misc]
+        for number in self._pick_brokers(entry, draw):
+            self.run.roster_files.freeze(number)
+            self.loop.call_in(entry.last, lambda n=number: self.run.roster_files.unfreeze(n))  # type: ignore[misc]
 
     # --- clients ---
 
     def _burst(self, entry: TroubleEntry, draw: Source) -> None:
-        self.run.factor *= entry.times
+        self.run.rate_factor *= entry.times
 
-        def over() -> None:
-            self.run.factor /= entry.times
+        def end() -> None:
+            self.run.rate_factor /= entry.times
 
-        self.loop.call_in(entry.last, over)
+        self.loop.call_in(entry.last, end)
 
     def _impatience(self, entry: TroubleEntry, draw: Source) -> None:
-        self.run.hurry = entry.times
+        self.run.patience_divisor = entry.times
 
-        def calm() -> None:
-            self.run.hurry = 1.0
+        def end() -> None:
+            self.run.patience_divisor = 1.0
 
-        self.loop.call_in(entry.last, calm)
+        self.loop.call_in(entry.last, end)
 
     def _retry_storm(self, entry: TroubleEntry, draw: Source) -> None:
-        self.run.storm = True
+        self.run.immediate_retries = True
 
-        def calm() -> None:
-            self.run.storm = False
+        def end() -> None:
+            self.run.immediate_retries = False
 
-        self.loop.call_in(entry.last, calm)
+        self.loop.call_in(entry.last, end)
 
     def _heavy_tail(self, entry: TroubleEntry, draw: Source) -> None:
-        kind, heavy = self._class(entry), self.run.heavy
+        kind, heavy = self._class_index(entry), self.run.heavy_factors
         heavy[kind] = (entry.share, entry.times)
 
-        def over() -> None:
+        def end() -> None:
             heavy.pop(kind, None)
 
-        self.loop.call_in(entry.last, over)
+        self.loop.call_in(entry.last, end)
 
     def _poison(self, entry: TroubleEntry, draw: Source) -> None:
-        kind, poison = self._class(entry), self.run.poison
+        kind, poison = self._class_index(entry), self.run.poison_shares
         poison[kind] = entry.share
 
-        def over() -> None:
+        def end() -> None:
             poison.pop(kind, None)
 
-        self.loop.call_in(entry.last, over)
+        self.loop.call_in(entry.last, end)
--- a/quincepath/lab/emulator/processes.py
+++ b/quincepath/lab/emulator/processes.py
@@ -49,19 +49,19 @@
 
 
 @dataclass(slots=True)
-class _View:
+class _RosterFile:
     """What one broker's list says, and how news get into it."""
 
     path: Path
     entries: dict[str, dict[str, Any]]
     version: int = 0
-    lag: float = 1.0  # times the usual
-    free_at: int = 0  # news keep their order
-    frozen: bool = False
-    missed: dict[str, None] = field(default_factory=dict)
+    lag_factor: float = 1.0  # times the usual
+    next_update_at: int = 0  # news keep their order
+    updates_frozen: bool = False
+    missed_updates: dict[str, None] = field(default_factory=dict)
 
 
-class Lists:
+class RosterFiles:
     """A roster file for each broker, each behind the truth by a lag of its own.
 
     ``truth`` gives a holder's entry as it is now, or None where it is gone. ``lag`` draws a time (ns).
@@ -71,61 +71,63 @@
         self,
         loop: Loop,
         brokers: list[BrokerProcess],
-        truth: Callable[[str], dict[str, Any] | None],
+        actual_entry: Callable[[str], dict[str, Any] | None],
         names: list[str],
         lag: Callable[[], float],
         writer: Writer,
     ) -> None:
-        self.loop, self.brokers, self.truth, self.names = loop, brokers, truth, names
+        self.loop, self.brokers, self.actual_entry, self.names = loop, brokers, actual_entry, names
         self.lag, self.writer = lag, writer
-        entries = {name: entry for name in names if (entry := truth(name)) is not None}
-        self.views = [_View(b.folder / f"roster{b.number}.yaml", dict(entries)) for b in brokers]
-        for view in self.views:
-            self._write(view)
+        entries = {name: entry for name in names if (entry := actual_entry(name)) is not None}
+        self.rosters = [_RosterFile(b.folder / f"roster{b.number}.yaml", dict(entries)) for b in brokers]
+        for roster in self.rosters:
+            self._write(roster)
 
     def publish(self, name: str) -> None:
         """The truth about a holder has changed; each broker's list says so in its own time."""
-        for broker, view in zip(self.brokers, self.views, strict=True):
-            view.free_at = max(view.free_at, self.loop.clock() + int(self.lag() * view.lag))
-            self.loop.call_at(view.free_at, lambda b=broker: self._hear(b, name))  # type: ignore[misc]
+        for broker, roster in zip(self.brokers, self.rosters, strict=True):
+            roster.next_update_at = max(
+                roster.next_update_at, self.loop.clock() + int(self.lag() * roster.lag_factor)
+            )
+            self.loop.call_at(roster.next_update_at, lambda b=broker: self._apply_update(b, name))  # type: ignore[misc]
 
     def freeze(self, number: int) -> None:
         """Nothing new gets into this broker's list."""
-        self.views[number].frozen = True
+        self.rosters[number].updates_frozen = True
 
-    def thaw(self, number: int) -> None:
+    def unfreeze(self, number: int) -> None:
         """What was missed comes as it is now."""
-        self.views[number].frozen = False
+        self.rosters[number].updates_frozen = False
         self.catch_up(number)
 
     def catch_up(self, number: int) -> None:
         """Write down what this broker's list missed while it was frozen or its broker dead."""
-        view = self.views[number]
-        if view.frozen:
+        roster = self.rosters[number]
+        if roster.updates_frozen:
             return
-        missed, view.missed = view.missed, {}
+        missed, roster.missed_updates = roster.missed_updates, {}
         for name in missed:
-            self._hear(self.brokers[number], name)
+            self._apply_update(self.brokers[number], name)
 
-    def _hear(self, broker: BrokerProcess, name: str) -> None:
-        view = self.views[broker.number]
-        if view.frozen or not broker.alive:
-            view.missed[name] = None
+    def _apply_update(self, broker: BrokerProcess, name: str) -> None:
+        roster = self.rosters[broker.number]
+        if roster.updates_frozen or not broker.alive:
+            roster.missed_updates[name] = None
             return
-        entry = self.truth(name)
+        entry = self.actual_entry(name)
         if entry is None:
-            view.entries.pop(name, None)
+            roster.entries.pop(name, None)
         else:
-            view.entries[name] = entry
-        self._write(view)
+            roster.entries[name] = entry
+        self._write(roster)
         phase = "gone" if entry is None else entry["phase"]
         self.writer.write(Told(time.monotonic_ns(), name, phase, broker.number))
 
     @staticmethod
-    def _write(view: _View) -> None:
+    def _write(roster: _RosterFile) -> None:
         """Replace the file at once."""
-        view.version += 1
-        beside = view.path.with_suffix(".new")
-        with beside.open("w") as file:
-            YAML(typ="safe").dump({"version": view.version, "holders": list(view.entries.values())}, file)
-        beside.replace(view.path)
+        roster.version += 1
+        temporary = roster.path.with_suffix(".new")
+        with temporary.open("w") as file:
+            YAML(typ="safe").dump({"version": roster.version, "holders": list(roster.entries.values())}, file)
+        temporary.replace(roster.path)
--- a/quincepath/lab/emulator/story.py
+++ b/quincepath/lab/emulator/query_trace.py
@@ -22,78 +22,82 @@
 )
 from quincepath.lab.emulator.rehearsal import rehearse
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.world import BEGIN
+from quincepath.lab.emulator.world import RUN_START_NS
 from quincepath.policy import Aggregator
 from quincepath.standins.record import Ask, End, Got, Line, Said
 
 MS = 1_000_000
 
 
-class StoryError(ValueError):
+class QueryTraceError(ValueError):
     """The query is not in the recording, or the recording is of another program."""
 
 
-class _Listener:
+class _TracingModule:
     """An ``Aggregator`` that notes what concerns one query; the driver's ids tell which it is."""
 
-    def __init__(self, inner: Aggregator, tale: "_Tale") -> None:
-        self.inner, self.tale = inner, tale
-        self.ours: dict[int, int] = {}  # part id to shard
+    def __init__(self, inner: Aggregator, trace: "_Trace") -> None:
+        self.inner, self.trace = inner, trace
+        self.shard_of: dict[int, int] = {}  # part id to shard
         self.query = 0
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         batch = list(events)
-        if self.tale.due(now):
-            self._find(now, batch)
+        if self.trace.may_arrive(now):
+            self._find_query(now, batch)
         for event in batch:
             if isinstance(event, Part) and event.number == self.query:
-                self.ours[event.id] = event.shard
-            elif isinstance(event, Outcome) and event.part in self.ours:
-                what = f"shard {self.ours[event.part]} attempt {event.attempt}: {event.result.name}"
-                self.tale.add(now, f"learns: {what} after {event.elapsed / MS:.1f} ms")
+                self.shard_of[event.id] = event.shard
+            elif isinstance(event, Outcome) and event.part in self.shard_of:
+                what = f"shard {self.shard_of[event.part]} attempt {event.attempt}: {event.result.name}"
+                self.trace.add(now, f"learns: {what} after {event.elapsed / MS:.1f} ms")
         actions = self.inner.handle(now, batch)
         for action in actions:
-            self._note(now, action)
+            self._trace_action(now, action)
         return actions
 
-    def _find(self, now: int, batch: list[Event]) -> None:
+    def _find_query(self, now: int, batch: list[Event]) -> None:
         """The query among those that arrive now: the one whose parts are at the shards it touches."""
         for event in batch:
             if not isinstance(event, Query) or self.query:
                 continue
             shards = sorted(p.shard for p in batch if isinstance(p, Part) and p.number == event.number)
-            if shards == sorted(self.tale.ask.shards) and event.time_left == self.tale.ask.patience:
+            if shards == sorted(self.trace.ask.shards) and event.time_left == self.trace.ask.patience:
                 self.query = event.id
-                crowd = len(self.inner.queries)
-                self.tale.add(now, f"broker {self.tale.ask.broker} takes it, with {crowd} others open")
+                open_queries = len(self.inner.queries)
+                self.trace.add(
+                    now, f"broker {self.trace.ask.broker} takes it, with {open_queries} others open"
+                )
 
-    def _note(self, now: int, action: Action) -> None:
+    def _trace_action(self, now: int, action: Action) -> None:
         match action:
-            case Send(part, node, timeout) if part in self.ours:
+            case Send(part, node, timeout) if part in self.shard_of:
                 known = self.inner.nodes[node]
                 kind = self.inner.parts[part].query.kind
                 others = ", ".join(
                     f"{n.name} {n.load(now, kind)} out, {n.slowdown(now):.1f} times the usual"
-                    for n in self.inner._replicas(self.ours[part]) if n is not known
+                    for n in self.inner._replicas(self.shard_of[part]) if n is not known
                 )  # fmt: skip
-                said = f"sends shard {self.ours[part]} to {known.name} (with it {known.load(now, kind)} out"
-                self.tale.add(now, f"{said}; instead: {others or 'none'}), time-out {timeout / MS:.0f} ms")
-            case Cancel(part, attempt) if part in self.ours:
-                self.tale.add(now, f"cancels shard {self.ours[part]} attempt {attempt}")
+                sent = (
+                    f"sends shard {self.shard_of[part]} to {known.name} (with it {known.load(now, kind)} out"
+                )
+                self.trace.add(now, f"{sent}; instead: {others or 'none'}), time-out {timeout / MS:.0f} ms")
+            case Cancel(part, attempt) if part in self.shard_of:
+                self.trace.add(now, f"cancels shard {self.shard_of[part]} attempt {attempt}")
             case Answer(qid, full) if qid == self.query:
-                self.tale.add(now, f"answers, {'whole' if full else 'partial'}")
+                self.trace.add(now, f"answers, {'whole' if full else 'partial'}")
             case Refuse(qid, retry_in) if qid == self.query:
-                self.tale.add(now, f"refuses, come back in {retry_in / MS:.0f} ms")
+                self.trace.add(now, f"refuses, come back in {retry_in / MS:.0f} ms")
             case Fail(qid) if qid == self.query:
-                self.tale.add(now, "fails it")
+                self.trace.add(now, "fails it")
 
 
-class _Tale:
+class _Trace:
     def __init__(self, ask: Ask) -> None:
         self.ask = ask
         self.lines: list[tuple[int, str]] = []
 
-    def due(self, now: int) -> bool:
+    def may_arrive(self, now: int) -> bool:
         """Whether the query may arrive at its broker about now."""
         return self.ask.at <= now <= self.ask.at + self.ask.patience
 
@@ -101,39 +105,43 @@
         self.lines.append((now, text))
 
 
-def tell(script: Script, seed: int, recorded: list[Line], query: str, until: int | None = None) -> list[str]:
+def trace_query(
+    script: Script, seed: int, recorded: list[Line], query: str, until: int | None = None
+) -> list[str]:
     """Lines of the story up to ``until`` (ns of the record's clock). Raises ``StoryError``."""
     ask = next((line for line in recorded if isinstance(line, Ask) and line.query == query), None)
     if ask is None:
-        raise StoryError(f"no query {query!r} in the recording")
-    tale = _Tale(ask)
-    again: list[Line] = []
+        raise QueryTraceError(f"no query {query!r} in the recording")
+    trace = _Trace(ask)
+    replayed: list[Line] = []
 
-    def make(settings: Settings, chance: int) -> Any:
+    def make_module(settings: Settings, chance: int) -> Any:
         inner = Aggregator(settings, chance)
-        return _Listener(inner, tale) if settings.me == ask.broker else inner
+        return _TracingModule(inner, trace) if settings.me == ask.broker else inner
 
     end = until if until is not None else ask.at + ask.patience + 1000 * MS
-    rehearse(script, seed, again.append, make, until=end - BEGIN)
-    for number, (then, now) in enumerate(zip(recorded, again, strict=False), 1):
-        if then != now:
-            raise StoryError(f"line {number} differs when run again: {then} / {now}: another program made it")
-    for line in again:
+    rehearse(script, seed, replayed.append, make_module, until=end - RUN_START_NS)
+    for number, (expected, now) in enumerate(zip(recorded, replayed, strict=False), 1):
+        if expected != now:
+            raise QueryTraceError(
+                f"line {number} differs when run again: {expected} / {now}: another program made it"
+            )
+    for line in replayed:
         match line:
             case Got() if line.query == query:
-                tale.add(line.at, f"{line.holder} has shard {line.shard} attempt {line.attempt}")
+                trace.add(line.at, f"{line.holder} has shard {line.shard} attempt {line.attempt}")
             case Said() if line.query == query:
                 good = "good" if line.good else "no use"
-                tale.add(line.at, f"{line.holder} says {line.status} for shard {line.shard}, {good}")
+                trace.add(line.at, f"{line.holder} says {line.status} for shard {line.shard}, {good}")
             case End() if line.query == query:
-                tale.add(
+                trace.add(
                     line.at, f"client hears {line.status} {line.mark} {line.parts_in}/{line.parts_asked}"
                 )
             case Ask() if line.query == query:
-                tale.add(
+                trace.add(
                     line.at, f"client asks for shards {line.shards}, patience {line.patience / MS:.0f} ms"
                 )
             case _:
                 pass
-    tale.lines.sort(key=lambda item: item[0])
-    return [f"{at / 1e9:9.4f} s  {text}" for at, text in tale.lines if at <= end]
+    trace.lines.sort(key=lambda item: item[0])
+    return [f"{at / 1e9:9.4f} s  {text}" for at, text in trace.lines if at <= end]
--- a/quincepath/lab/emulator/recording.py
+++ b/quincepath/lab/emulator/recording.py
@@ -18,8 +18,8 @@
 
 MAGIC = b"QPREC\x01\r\n"
 VERSION = 1
-FRAME = struct.Struct(">II")
-LONGEST = 1 << 24  # bytes of one frame: a length beyond it is damage, not data
+FRAME_HEADER = struct.Struct(">II")
+MAX_FRAME_BYTES = 1 << 24  # bytes of one frame: a length beyond it is damage, not data
 
 
 class RecordingHead(msgspec.Struct, frozen=True):
@@ -42,14 +42,14 @@
         self._file: IO[bytes] = path.open("wb")
         self._encoder = msgspec.msgpack.Encoder()
         self._file.write(MAGIC)
-        self._frame(self._encoder.encode(RecordingHead(VERSION, script, seed, program)))
+        self._write_frame(self._encoder.encode(RecordingHead(VERSION, script, seed, program)))
 
     def write(self, line: Line) -> None:
         """Append one line."""
-        self._frame(self._encoder.encode(line))
+        self._write_frame(self._encoder.encode(line))
 
-    def _frame(self, payload: bytes) -> None:
-        self._file.write(FRAME.pack(len(payload), zlib.crc32(payload)))
+    def _write_frame(self, payload: bytes) -> None:
+        self._file.write(FRAME_HEADER.pack(len(payload), zlib.crc32(payload)))
         self._file.write(payload)
 
     def close(self) -> None:
@@ -70,19 +70,19 @@
     at = len(MAGIC)
     number = 0
     while at < len(data):
-        if at + FRAME.size > len(data):
+        if at + FRAME_HEADER.size > len(data):
             yield f"{name}: cut inside the length of frame {number}, at byte {at}"
             return
-        size, checksum = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size : at + FRAME.size + size]
-        if size > LONGEST or len(payload) < size:
+        size, checksum = FRAME_HEADER.unpack_from(data, at)
+        payload = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + size]
+        if size > MAX_FRAME_BYTES or len(payload) < size:
             yield f"{name}: cut inside frame {number}, at byte {at}"
             return
         if zlib.crc32(payload) != checksum:
             yield f"{name}: frame {number} at byte {at} does not match its checksum"
             return
         yield payload
-        at += FRAME.size + size
+        at += FRAME_HEADER.size + size
         number += 1
 
 
--- a/quincepath/lab/emulator/rehearsal.py
+++ b/quincepath/lab/emulator/rehearsal.py
@@ -8,12 +8,12 @@
 
 from quincepath.lab.audit import Report, collect, judge
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.troubles import Director
+from quincepath.lab.emulator.troubles import TroubleInjector
 from quincepath.lab.emulator.world import Emulation, MakeModule
 from quincepath.policy import Aggregator
 from quincepath.standins.record import Line, Said
 
-WINDOW = 10  # seconds of the worst stretch
+WINDOW_S = 10  # seconds of the worst stretch
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,36 +70,38 @@
     """Run a script; ``sink`` gets each line as well. ``until``: stop after so many ns of the day."""
     lines: list[Line] = []
 
-    def keep(line: Line) -> None:
+    def record_line(line: Line) -> None:
         lines.append(line)
         if sink is not None:
             sink(line)
 
-    world = Emulation(script, seed, keep, make_module)
-    Director(world)
-    tally = world.run(until)
+    world = Emulation(script, seed, record_line, make_module)
+    TroubleInjector(world)
+    statistics = world.run(until)
     report = judge(collect((f"line {number}", line) for number, line in enumerate(lines, 1)))
-    asked = sum(tally.asked.values())
-    seconds = sorted(tally.by_second) or [0]
+    asked = sum(statistics.asked.values())
+    seconds = sorted(statistics.by_second) or [0]
     worst = 1.0
     for first in seconds:
-        inside = [tally.by_second[s] for s in range(first, first + WINDOW) if s in tally.by_second]
-        if first + WINDOW - 1 <= seconds[-1] or first == seconds[0]:
+        inside = [
+            statistics.by_second[s] for s in range(first, first + WINDOW_S) if s in statistics.by_second
+        ]
+        if first + WINDOW_S - 1 <= seconds[-1] or first == seconds[0]:
             worst = min(worst, sum(g for _, g in inside) / max(sum(a for a, _ in inside), 1))
-    took = np.array(tally.took or [0.0])
+    latencies_s = np.array(statistics.latencies_s or [0.0])
     return Outcome(
         report=report,
-        good=sum(tally.good.values()) / max(asked, 1),
-        by_class={name: tally.good[name] / count for name, count in sorted(tally.asked.items())},
+        good=sum(statistics.good.values()) / max(asked, 1),
+        by_class={name: statistics.good[name] / count for name, count in sorted(statistics.asked.items())},
         worst_window=worst,
-        answers=dict(sorted(tally.outcomes.items())),
+        answers=dict(sorted(statistics.outcomes.items())),
         attempts_a_part=report.attempts_a_part(),
-        tries_a_query=tally.tries / max(asked, 1),
-        median_s=float(np.percentile(took, 50)),
-        p99_s=float(np.percentile(took, 99)),
-        fell=tally.fell,
+        tries_a_query=statistics.tries / max(asked, 1),
+        median_s=float(np.percentile(latencies_s, 50)),
+        p99_s=float(np.percentile(latencies_s, 99)),
+        fell=statistics.fell,
         fullest={name: s.margin for name, s in world.fleet.servers.items() if s.margin},
-        down_most=tally.down_most,
+        down_most=statistics.down_most,
         bad_answers=sum(isinstance(line, Said) and not line.good for line in lines),
-        events=tally.events,
+        events=statistics.events,
     )
--- a/quincepath/lab/emulator/script.py
+++ b/quincepath/lab/emulator/script.py
@@ -7,13 +7,13 @@
 from quincepath.config.schema import MS, SECOND, AsksEntry, LimitsEntry, Model, Name, RulesEntry
 from quincepath.config.values import Duration, Share
 
-KINDS = Literal[
+TroubleKind = Literal[
     "hang", "silence", "slow", "pauses", "lost_answers", "errors", "class_errors", "ageing", "restart",
     "kill", "zone_loss", "list_late", "list_frozen", "deploy", "preemption", "flapping", "broker_stall",
     "broker_crash", "burst", "heavy_tail", "poison", "slow_handshakes", "one_sided", "impatience",
     "retry_storm", "slowdown", "drain",
 ]  # fmt: skip
-Some = Annotated[list[Name], Field(min_length=1)] | Share
+Selection = Annotated[list[Name], Field(min_length=1)] | Share
 
 
 class MachineKind(Model):
@@ -96,11 +96,11 @@
     """One trouble. ``holders`` and ``brokers``: names, or a share drawn by the seed. What else counts depends
     on the kind: ``share`` of jobs, answers or queries, ``times`` as long or as much, ``every`` how often."""
 
-    kind: KINDS
+    kind: TroubleKind
     at: Duration
     last: Duration = 5 * SECOND
-    holders: Some = 0.2
-    brokers: Some = 1.0
+    holders: Selection = 0.2
+    brokers: Selection = 1.0
     share: Share = 1.0
     times: float = Field(4.0, gt=0)
     every: Duration = 3 * SECOND
@@ -128,15 +128,17 @@
     troubles: list[TroubleEntry] = []
 
     @model_validator(mode="after")
-    def _sound(self) -> "Script":
+    def _check_consistency(self) -> "Script":
         names = {entry.name for entry in self.classes}
         holders, brokers = set(self.holder_names()), {f"broker{n}" for n in range(self.brokers)}
-        most = self.fleet.sets * self.fleet.shards
+        max_shards = self.fleet.sets * self.fleet.shards
         for entry in self.classes:
-            if not 1 <= entry.parts[0] <= entry.parts[1] <= most:
-                raise ValueError(f"class {entry.name!r}: expected 1 <= least <= most parts <= {most} shards")
-        for place, trouble in enumerate(self.troubles):
-            where = f"troubles[{place}] ({trouble.kind})"
+            if not 1 <= entry.parts[0] <= entry.parts[1] <= max_shards:
+                raise ValueError(
+                    f"class {entry.name!r}: expected 1 <= least <= most parts <= {max_shards} shards"
+                )
+        for index, trouble in enumerate(self.troubles):
+            where = f"troubles[{index}] ({trouble.kind})"
             for known, given in ((holders, trouble.holders), (brokers, trouble.brokers)):
                 if isinstance(given, list) and not set(given) <= known:
                     unknown = ", ".join(sorted(set(given) - known))
--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -16,10 +16,10 @@
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest
 from quincepath.lab.audit import Report, audit
 from quincepath.lab.cluster import Cluster, HolderProcess
-from quincepath.lab.emulator.chance import Source, draw_query, machines
-from quincepath.lab.emulator.processes import BrokerProcess, Lists
+from quincepath.lab.emulator.process_troubles import ProcessTroubleInjector
+from quincepath.lab.emulator.processes import BrokerProcess, RosterFiles
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.staging import Staging
+from quincepath.lab.emulator.workload import Source, draw_machines, draw_query
 from quincepath.lab.load import Client, QueryPlan, Seen
 from quincepath.net.loop import Loop
 from quincepath.standins.data import END_MS, STEP_MS
@@ -28,9 +28,9 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-SLACK = 300 * MS
-LATE = SECOND  # behind its schedule by more, a run says nothing of the brokers
-ONE_STEP, TWO_STEPS, RECENT = 20, 60, 30  # minutes of time range
+AUDIT_SLACK_NS = 300 * MS
+MAX_LATENESS_NS = SECOND  # behind its schedule by more, a run says nothing of the brokers
+ONE_STEP_MINUTES, TWO_STEPS_MINUTES, RECENT_MINUTES = 20, 60, 30  # minutes of time range
 
 
 class SocketRun:
@@ -39,29 +39,29 @@
     def __init__(self, script: Script, seed: int, folder: Path) -> None:
         self.script, self.seed, self.folder = script, seed, folder
         self.loop = Loop()
-        self.staging: Staging | None = None
+        self.troubles: ProcessTroubleInjector | None = None
         self.writer = Writer(folder / "clients.jsonl", "clients")
         self.shards = script.fleet.sets * script.fleet.shards
         self.cluster = Cluster(self._holders())
         self.by_name = {holder.name: holder for holder in self.cluster.holders}
         zones = script.fleet.zones
         self.brokers = [BrokerProcess(n, zones[n % len(zones)], folder) for n in range(script.brokers)]
-        self.lists: Lists
+        self.roster_files: RosterFiles
         self.clients: list[Client] = []
-        self.queries = Source(seed, "queries")
-        self.chance = Source(seed, "clients")
-        self.more = Source(seed, "burst")
-        self.tell = Source(seed, "tell")
-        self.heavy: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
-        self.poison: dict[int, float] = {}  # class: share of queries
-        self.heavily, self.poisonous = Source(seed, "heavy"), Source(seed, "poison")
-        self.unreachable = 0
-        self.ended = False  # whether all queries had their ends when the run did
-        self.late_most = 0  # ns by which this process fell behind its schedule
-        self.factor = self.hurry = 1.0
-        self.storm = False
-        self.asked = self.good = self.tries = self.open = 0
-        self.fresh: set[str] = set()
+        self.query_draws = Source(seed, "queries")
+        self.client_draws = Source(seed, "clients")
+        self.burst_draws = Source(seed, "burst")
+        self.tell_draws = Source(seed, "tell")
+        self.heavy_factors: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
+        self.poison_shares: dict[int, float] = {}  # class: share of queries
+        self.heavy_draws, self.poison_draws = Source(seed, "heavy"), Source(seed, "poison")
+        self.unreachable_tries = 0
+        self.all_ended = False  # whether all queries had their ends when the run did
+        self.max_lateness = 0  # ns by which this process fell behind its schedule
+        self.rate_factor = self.patience_divisor = 1.0
+        self.immediate_retries = False
+        self.asked = self.good = self.tries = self.open_queries = 0
+        self.restarted: set[str] = set()
 
     def district(self, shard: int) -> str:
         """The label value of a shard."""
@@ -70,7 +70,7 @@
     def _holders(self) -> list[HolderProcess]:
         fleet = self.script.fleet
         works = ",".join(f"class_{n}={entry.work / MS}" for n, entry in enumerate(self.script.classes))
-        kinds = machines(fleet, Source(self.seed, "kinds"))
+        kinds = draw_machines(fleet, Source(self.seed, "kinds"))
         options = [
             "--works",
             works,
@@ -128,12 +128,12 @@
                     "floor": entry.need if entry.floor is None else entry.floor,
                     "late_worth": entry.late_worth,
                     "worth": entry.worth,
-                    "recent": f"{RECENT}m" if entry.second_step else 0,
+                    "recent": f"{RECENT_MINUTES}m" if entry.second_step else 0,
                     "when": [{"label": "__name__", "value": f"class_{n}"}],
                 }
                 for n, entry in enumerate(self.script.classes)
             ],
-            "asks": _plain(self.script.asks),
+            "asks": _asks_settings(self.script.asks),
             "limits": {
                 "attempts": limits.attempts,
                 "second_copies": limits.second_copies,
@@ -152,32 +152,41 @@
             },
         }
 
-    def play(self) -> dict[str, Any]:
+    def run(self) -> dict[str, Any]:
         """The figures of the day; ``report`` is the audit's."""
         try:
             self.cluster.start()
             names, lag = list(self.by_name), Source(self.seed, "list")
             low, high = self.script.discovery.lag
-            self.lists = Lists(
-                self.loop, self.brokers, self._truth, names, lambda: lag.between(low, high), self.writer
+            self.roster_files = RosterFiles(
+                self.loop,
+                self.brokers,
+                self._actual_entry,
+                names,
+                lambda: lag.between(low, high),
+                self.writer,
             )
-            self._bounds()
+            self._write_bounds()
             self._start_brokers()
             self._schedule()
-            longest = self.script.length / SECOND + max(e.deadline for e in self.script.classes) / SECOND + 5
-            self.ended = self.loop.run_until(lambda: self._all_asked and not self.open, longest)
+            timeout_s = (
+                self.script.length / SECOND + max(e.deadline for e in self.script.classes) / SECOND + 5
+            )
+            self.all_ended = self.loop.run_until(
+                lambda: self._all_arrived and not self.open_queries, timeout_s
+            )
         finally:
             self._stop()
         records = sorted(self.folder.glob("*.jsonl"))
         marks = Counter(line.what for path in records for _, line in read(path) if isinstance(line, Mark))
         return self._figures(audit(records), sorted(mark for mark in marks if "fell over" in mark))
 
-    def _truth(self, name: str) -> dict[str, Any] | None:
+    def _actual_entry(self, name: str) -> dict[str, Any] | None:
         """A holder's entry as the list should have it now; None where it is gone."""
-        staging = self.staging
-        if staging is not None and name in staging.down:
+        troubles = self.troubles
+        if troubles is not None and name in troubles.down:
             return None
-        entries = self.cluster.entries(self.fresh)
+        entries = self.cluster.entries(self.restarted)
         return next(entry for entry in entries if entry["name"] == name)
 
     def _figures(self, report: Report, fell: list[str]) -> dict[str, Any]:
@@ -186,15 +195,15 @@
             "tries_a_query": round(self.tries / max(self.asked, 1), 4),
             "attempts_a_part": round(report.attempts_a_part(), 4),
             "answers": report.ended,
-            "unreachable": self.unreachable,
-            "late_most_s": round(self.late_most / SECOND, 3),
+            "unreachable": self.unreachable_tries,
+            "late_most_s": round(self.max_lateness / SECOND, 3),
             # Rules are judged by what clients saw in time: a machine that cannot keep up proves nothing.
-            "void": not self.ended or self.late_most > LATE,
+            "void": not self.all_ended or self.max_lateness > MAX_LATENESS_NS,
             "fell": fell,
             "findings": [str(finding) for finding in report.findings],
         }
 
-    def _bounds(self) -> None:
+    def _write_bounds(self) -> None:
         rules, limits = self.script.rules, self.script.limits
         for entry in self.script.classes:
             self.writer.write(
@@ -212,7 +221,7 @@
                 0.0,
                 0.0,
                 self.script.brokers,
-                SLACK,
+                AUDIT_SLACK_NS,
                 self.script.asks.linger,
             )
         )
@@ -230,8 +239,8 @@
         for client in self.clients:
             client.close()
         for broker in self.brokers:
-            if self.staging is not None:
-                self.staging.excuse(broker.number)
+            if self.troubles is not None:
+                self.troubles.record_downtime(broker.number)
             broker.stop()
         self.cluster.stop()
         self.writer.close()
@@ -252,19 +261,19 @@
         self.arrived = 0
         for number, due in enumerate(times):
             self.loop.call_at(due, self._arrival(number, due))
-        self.staging = Staging(self)
+        self.troubles = ProcessTroubleInjector(self)
 
     @property
-    def _all_asked(self) -> bool:
+    def _all_arrived(self) -> bool:
         return self.arrived == self.planned
 
     def _arrival(self, number: int, due: int) -> Callable[[], None]:
         def arrive() -> None:
             self.arrived += 1
-            self.late_most = max(self.late_most, self.loop.clock() - due)
+            self.max_lateness = max(self.max_lateness, self.loop.clock() - due)
             self._new_client(number)
-            extra, copy = self.factor - 1, 0
-            while extra > 0 and (extra >= 1 or self.more() < extra):
+            extra, copy = self.rate_factor - 1, 0
+            while extra > 0 and (extra >= 1 or self.burst_draws() < extra):
                 copy += 1
                 self._new_client(number + copy * 10_000_000)
                 extra -= 1
@@ -272,52 +281,54 @@
         return arrive
 
     def _new_client(self, number: int) -> None:
-        drawn = draw_query(self.queries, self.script.classes, self.shards)
-        meant = ""
-        share, times = self.heavy.get(drawn.kind, (0.0, 1.0))
-        if share and self.heavily() < share:
-            meant = f"{HEAVY}{times}"
-        if self.poison.get(drawn.kind) and self.poisonous() < self.poison[drawn.kind]:
-            meant = POISON
+        drawn = draw_query(self.query_draws, self.script.classes, self.shards)
+        incident = ""
+        share, times = self.heavy_factors.get(drawn.kind, (0.0, 1.0))
+        if share and self.heavy_draws() < share:
+            incident = f"{HEAVY}{times}"
+        if self.poison_shares.get(drawn.kind) and self.poison_draws() < self.poison_shares[drawn.kind]:
+            incident = POISON
         self.asked += 1
-        self.open += 1
-        self._try(f"c{number}", drawn.kind, drawn.shards, meant, 0, self.loop.clock())
+        self.open_queries += 1
+        self._try(f"c{number}", drawn.kind, drawn.shards, incident, 0, self.loop.clock())
 
-    def _plan(self, kind: int, shards: list[int], meant: str, patience: int) -> QueryPlan:
+    def _plan(self, kind: int, shards: list[int], incident: str, patience: int) -> QueryPlan:
         entry = self.script.classes[kind]
         request = ReadRequest()
-        minutes = TWO_STEPS if entry.second_step else ONE_STEP
+        minutes = TWO_STEPS_MINUTES if entry.second_step else ONE_STEP_MINUTES
         query = request.queries.add(start_timestamp_ms=END_MS - minutes * STEP_MS, end_timestamp_ms=END_MS)
         query.matchers.add(type=LabelMatcher.EQ, name="__name__", value=f"class_{kind}")
         pattern = "|".join(self.district(n).replace(".", r"\.") for n in shards)
         query.matchers.add(type=LabelMatcher.RE, name="district", value=pattern)
-        if meant:  # all series pass it: none has this label
-            query.matchers.add(type=LabelMatcher.NEQ, name=INCIDENT, value=meant)
+        if incident:  # all series pass it: none has this label
+            query.matchers.add(type=LabelMatcher.NEQ, name=INCIDENT, value=incident)
         headers = {"X-Quincepath-Timeout": f"{patience}ns"}
         return QueryPlan(entry.name, shards, encode(request), request, patience, headers)
 
-    def _try(self, name: str, kind: int, shards: list[int], meant: str, tries: int, began: int) -> None:
+    def _try(
+        self, name: str, kind: int, shards: list[int], incident: str, tries: int, started_at: int
+    ) -> None:
         entry, traffic = self.script.classes[kind], self.script.traffic
-        left = began + entry.deadline - self.loop.clock()
+        left = started_at + entry.deadline - self.loop.clock()
         if left <= 10 * MS:
-            self.open -= 1
+            self.open_queries -= 1
             return
         alive = [client for client, broker in zip(self.clients, self.brokers, strict=True) if broker.alive]
         if not alive:  # nobody takes the connection: the client comes back by itself
-            self.unreachable += 1
+            self.unreachable_tries += 1
             if tries >= traffic.retries:
-                self.open -= 1
+                self.open_queries -= 1
                 return
             wait = traffic.wait * 2**tries
-            self.loop.call_in(wait, lambda: self._try(name, kind, shards, meant, tries + 1, began))
+            self.loop.call_in(wait, lambda: self._try(name, kind, shards, incident, tries + 1, started_at))
             return
         self.tries += 1
-        share = self.chance.between(*traffic.patience) / self.hurry
+        share = self.client_draws.between(*traffic.patience) / self.patience_divisor
         patience = max(min(int(entry.deadline * share), left), 1)
-        told = traffic.tell >= 1 or self.tell() < traffic.tell
-        client = alive[int(self.chance() * len(alive))]
-        plan = self._plan(kind, shards, meant, patience)
-        if not told:
+        sends_timeout = traffic.tell >= 1 or self.tell_draws() < traffic.tell
+        client = alive[int(self.client_draws() * len(alive))]
+        plan = self._plan(kind, shards, incident, patience)
+        if not sends_timeout:
             del plan.headers["X-Quincepath-Timeout"]
             plan = replace(plan, told=entry.deadline)
         if traffic.marks:
@@ -327,27 +338,29 @@
         if tries:
             plan.headers["Retry-Attempt"] = str(tries)
 
-        def ended(seen: Seen) -> None:
-            headers = seen.response.headers if seen.response else {}
-            if seen.status == 200:
+        def ended(result: Seen) -> None:
+            headers = result.response.headers if result.response else {}
+            if result.status == 200:
                 whole = headers.get("quincepath-answer") == "whole"
-                self.good += whole and self.loop.clock() <= began + entry.target
-                self.open -= 1
+                self.good += whole and self.loop.clock() <= started_at + entry.target
+                self.open_queries -= 1
                 return
             if tries >= traffic.retries:
-                self.open -= 1
+                self.open_queries -= 1
                 return
-            wait = traffic.wait * 2**tries * self.chance.between(0.5, 1.5)
-            if self.storm:
+            wait = traffic.wait * 2**tries * self.client_draws.between(0.5, 1.5)
+            if self.immediate_retries:
                 wait = float(MS)
-            elif self.chance() < traffic.honour:
+            elif self.client_draws() < traffic.honour:
                 wait = max(wait, int(headers.get("quincepath-retry-after-ms", "0")) * MS)
-            self.loop.call_in(int(wait), lambda: self._try(name, kind, shards, meant, tries + 1, began))
+            self.loop.call_in(
+                int(wait), lambda: self._try(name, kind, shards, incident, tries + 1, started_at)
+            )
 
         client.ask(f"{name}.{tries}", plan, ended)
 
 
-def _plain(asks: AsksEntry) -> dict[str, Any]:
+def _asks_settings(asks: AsksEntry) -> dict[str, Any]:
     """The entry as a file would hold it."""
     values = asks.model_dump()
     for name in ("remember", "linger", "unmarked_within"):
--- a/quincepath/lab/emulator/troubles.py
+++ b/quincepath/lab/emulator/troubles.py
@@ -9,38 +9,38 @@
 from quincepath.standins.model import Server, State, Troubles
 
 AGEING_STEPS = 10
-DEPLOY_PAUSE = 500_000_000  # ns that a deployed holder drains before its process ends
+DEPLOY_DRAIN_NS = 500_000_000  # ns that a deployed holder drains before its process ends
 
 
-class Director:
+class TroubleInjector:
     """Puts a script's troubles into an emulation."""
 
     def __init__(self, world: Emulation) -> None:
         self.world = world
         for place, entry in enumerate(world.script.troubles):
             draw = world.source(f"trouble {place}")
-            world.at(world.begin + entry.at, self._begin(entry, draw))
+            world.call_at(world.begin + entry.at, self._begin(entry, draw))
 
     def _begin(self, entry: TroubleEntry, draw: Source) -> Callable[[], None]:
-        def go() -> None:
+        def start() -> None:
             self.world.mark(f"begins: {entry.kind}")
             act: Callable[[TroubleEntry, Source], None] = getattr(self, f"_{entry.kind}")
             act(entry, draw)
-            self.world.after(entry.last, lambda: self.world.mark(f"ends: {entry.kind}"))
+            self.world.call_after(entry.last, lambda: self.world.mark(f"ends: {entry.kind}"))
 
-        return go
+        return start
 
     # --- helpers ---
 
-    def _servers(self, entry: TroubleEntry, draw: Source) -> list[Server]:
+    def _pick_servers(self, entry: TroubleEntry, draw: Source) -> list[Server]:
         fleet = self.world.fleet
         return [fleet.servers[name] for name in draw.pick(list(fleet.servers), entry.holders)]
 
-    def _brokers(self, entry: TroubleEntry, draw: Source) -> list[Broker]:
+    def _pick_brokers(self, entry: TroubleEntry, draw: Source) -> list[Broker]:
         names = [f"broker{broker.number}" for broker in self.world.brokers]
         return [self.world.brokers[int(name[6:])] for name in draw.pick(names, entry.brokers)]
 
-    def _for_a_while(
+    def _apply_for(
         self,
         servers: Iterable[Server],
         last: int,
@@ -51,19 +51,21 @@
         for server in servers:
             server.advance(self.world.now)
             begin(server.troubles)
-            self.world._schedule(server)
-            self.world.after(last, self._undo(server, server.incarnation, end))
+            self.world._schedule_check(server)
+            self.world.call_after(last, self._undo_later(server, server.incarnation, end))
 
-    def _undo(self, server: Server, incarnation: int, end: Callable[[Troubles], None]) -> Callable[[], None]:
+    def _undo_later(
+        self, server: Server, incarnation: int, end: Callable[[Troubles], None]
+    ) -> Callable[[], None]:
         def undo() -> None:
             if server.incarnation == incarnation:
-                self.world._wake(server)
+                self.world._advance(server)
                 end(server.troubles)
-                self.world._schedule(server)
+                self.world._schedule_check(server)
 
         return undo
 
-    def _class(self, entry: TroubleEntry) -> int:
+    def _class_index(self, entry: TroubleEntry) -> int:
         return next(k for k, known in enumerate(self.world.script.classes) if known.name == entry.of_class)
 
     # --- holders ---
@@ -75,7 +77,7 @@
         def end(troubles: Troubles) -> None:
             troubles.hang = False
 
-        self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
+        self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _slow(self, entry: TroubleEntry, draw: Source) -> None:
         def begin(troubles: Troubles) -> None:
@@ -84,7 +86,7 @@
         def end(troubles: Troubles) -> None:
             troubles.slow /= entry.times
 
-        self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
+        self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _slowdown(self, entry: TroubleEntry, draw: Source) -> None:
         """All holders at once: something that they share is slow."""
@@ -97,7 +99,7 @@
         def end(troubles: Troubles) -> None:
             troubles.lose = 0.0
 
-        self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
+        self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _errors(self, entry: TroubleEntry, draw: Source, kinds: frozenset[int] | None = None) -> None:
         def begin(troubles: Troubles) -> None:
@@ -106,10 +108,10 @@
         def end(troubles: Troubles) -> None:
             troubles.errors, troubles.error_kinds = 0.0, None
 
-        self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
+        self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _class_errors(self, entry: TroubleEntry, draw: Source) -> None:
-        self._errors(entry, draw, frozenset((self._class(entry),)))
+        self._errors(entry, draw, frozenset((self._class_index(entry),)))
 
     def _slow_handshakes(self, entry: TroubleEntry, draw: Source) -> None:
         def begin(troubles: Troubles) -> None:
@@ -118,7 +120,7 @@
         def end(troubles: Troubles) -> None:
             troubles.handshake = 0
 
-        self._for_a_while(self._servers(entry, draw), entry.last, begin, end)
+        self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _pauses(self, entry: TroubleEntry, draw: Source) -> None:
         """Each stands still for ``pause`` every ``every``, at times of its own."""
@@ -130,10 +132,10 @@
             troubles.paused = False
 
         until = self.world.now + entry.last
-        for server in self._servers(entry, draw):
+        for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every)
             while at < until:
-                self.world.at(at, lambda s=server: self._for_a_while([s], entry.pause, begin, end))  # type: ignore[misc]
+                self.world.call_at(at, lambda s=server: self._apply_for([s], entry.pause, begin, end))  # type: ignore[misc]
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _preemption(self, entry: TroubleEntry, draw: Source) -> None:
@@ -146,52 +148,52 @@
             troubles.steal = 0.0
 
         until = self.world.now + entry.last
-        for server in self._servers(entry, draw):
+        for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
             while at < until:
                 last = int(entry.every / 2)
-                self.world.at(at, lambda s=server, la=last: self._for_a_while([s], la, begin, end))  # type: ignore[misc]
+                self.world.call_at(at, lambda s=server, la=last: self._apply_for([s], la, begin, end))  # type: ignore[misc]
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _ageing(self, entry: TroubleEntry, draw: Source) -> None:
         """Slower step by step, up to ``times``, then its process dies and comes back cold."""
 
-        def nothing(troubles: Troubles) -> None:
+        def no_change(troubles: Troubles) -> None:
             pass
 
         def slower(troubles: Troubles) -> None:
             troubles.slow *= entry.times ** (1 / AGEING_STEPS)
 
-        for server in self._servers(entry, draw):
+        for server in self._pick_servers(entry, draw):
             for step in range(AGEING_STEPS):
                 at = self.world.now + entry.last * step // AGEING_STEPS
-                self.world.at(at, lambda s=server: self._for_a_while([s], 0, slower, nothing))  # type: ignore[misc]
-            self.world.after(entry.last, lambda s=server: self.world.kill(s))  # type: ignore[misc]
-            self.world.after(entry.last + entry.every, lambda s=server: self.world.restart(s))  # type: ignore[misc]
+                self.world.call_at(at, lambda s=server: self._apply_for([s], 0, slower, no_change))  # type: ignore[misc]
+            self.world.call_after(entry.last, lambda s=server: self.world.kill(s))  # type: ignore[misc]
+            self.world.call_after(entry.last + entry.every, lambda s=server: self.world.restart(s))  # type: ignore[misc]
 
     def _kill(self, entry: TroubleEntry, draw: Source) -> None:
-        for server in self._servers(entry, draw):
-            self._down(server, entry.last, silent=False)
+        for server in self._pick_servers(entry, draw):
+            self._stop_for(server, entry.last, silent=False)
 
     _restart = _kill
 
     def _silence(self, entry: TroubleEntry, draw: Source) -> None:
-        for server in self._servers(entry, draw):
-            self._down(server, entry.last, silent=True)
+        for server in self._pick_servers(entry, draw):
+            self._stop_for(server, entry.last, silent=True)
 
-    def _down(self, server: Server, last: int, silent: bool) -> None:
+    def _stop_for(self, server: Server, last: int, silent: bool) -> None:
         if server.state is State.UP:
             self.world.kill(server, silent)
-            self.world.after(last, lambda: self.world.restart(server))
+            self.world.call_after(last, lambda: self.world.restart(server))
 
     def _flapping(self, entry: TroubleEntry, draw: Source) -> None:
         """Up and down: dead for a third of ``every``, back cold, dead again."""
         until = self.world.now + entry.last
-        for server in self._servers(entry, draw):
+        for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
             while at < until:
                 last = entry.every // 3
-                self.world.at(at, lambda s=server, la=last: self._down(s, la, silent=False))  # type: ignore[misc]
+                self.world.call_at(at, lambda s=server, la=last: self._stop_for(s, la, silent=False))  # type: ignore[misc]
                 at += entry.every
 
     def _zone_loss(self, entry: TroubleEntry, draw: Source) -> None:
@@ -199,80 +201,80 @@
         zone = self.world.zones[entry.zone or ""]
         for name, server in fleet.servers.items():
             if fleet.zones[name] == zone:
-                self._down(server, entry.last, silent=True)
+                self._stop_for(server, entry.last, silent=True)
         if entry.share >= 1:  # with its brokers
             for broker in self.world.brokers:
                 if broker.zone == zone:
                     self.world.halt(broker, entry.last, kill=True)
 
     def _drain(self, entry: TroubleEntry, draw: Source) -> None:
-        for server in self._servers(entry, draw):
+        for server in self._pick_servers(entry, draw):
             self.world.publish(server.name, Phase.DRAINING)
-            self.world.after(entry.last, self._serve_again(server))
+            self.world.call_after(entry.last, self._end_drain(server))
 
-    def _serve_again(self, server: Server) -> Callable[[], None]:
-        def again() -> None:
+    def _end_drain(self, server: Server) -> Callable[[], None]:
+        def restore() -> None:
             if server.state is State.UP:
                 self.world.publish(server.name, Phase.READY)
 
-        return again
+        return restore
 
     def _deploy(self, entry: TroubleEntry, draw: Source) -> None:
         """In waves, replica by replica, ``every`` apart: drained, ended, back cold."""
-        chosen = self._servers(entry, draw)
+        chosen = self._pick_servers(entry, draw)
         for wave in range(self.world.script.fleet.replicas):
             for server in chosen:
                 if server.name.endswith(f"r{wave}"):
-                    self.world.after(wave * entry.every, self._wave(server, entry))
+                    self.world.call_after(wave * entry.every, self._drain_and_restart(server, entry))
 
-    def _wave(self, server: Server, entry: TroubleEntry) -> Callable[[], None]:
-        def go() -> None:
+    def _drain_and_restart(self, server: Server, entry: TroubleEntry) -> Callable[[], None]:
+        def start() -> None:
             if server.state is State.UP:
                 self.world.publish(server.name, Phase.DRAINING)
                 slowest = self.world.script.discovery.lag[1]
-                self.world.after(
-                    slowest + DEPLOY_PAUSE, lambda: self._down(server, entry.pause, silent=False)
+                self.world.call_after(
+                    slowest + DEPLOY_DRAIN_NS, lambda: self._stop_for(server, entry.pause, silent=False)
                 )
 
-        return go
+        return start
 
     def _one_sided(self, entry: TroubleEntry, draw: Source) -> None:
         """What these holders send to these brokers is lost; what the brokers send arrives."""
-        brokers = self._brokers(entry, draw)
-        pairs = {(b.number, s.name) for s in self._servers(entry, draw) for b in brokers}
-        self.world.cut |= pairs
+        brokers = self._pick_brokers(entry, draw)
+        pairs = {(b.number, s.name) for s in self._pick_servers(entry, draw) for b in brokers}
+        self.world.blocked_links |= pairs
 
-        def mend() -> None:
-            self.world.cut -= pairs
+        def restore_links() -> None:
+            self.world.blocked_links -= pairs
 
-        self.world.after(entry.last, mend)
+        self.world.call_after(entry.last, restore_links)
 
     # --- brokers and the list ---
 
     def _broker_stall(self, entry: TroubleEntry, draw: Source) -> None:
-        for broker in self._brokers(entry, draw):
+        for broker in self._pick_brokers(entry, draw):
             self.world.halt(broker, entry.last, kill=False)
 
     def _broker_crash(self, entry: TroubleEntry, draw: Source) -> None:
-        for broker in self._brokers(entry, draw):
+        for broker in self._pick_brokers(entry, draw):
             self.world.halt(broker, entry.last, kill=True)
 
     def _list_late(self, entry: TroubleEntry, draw: Source) -> None:
-        for broker in self._brokers(entry, draw):
-            broker.lag *= entry.times
-            self.world.after(entry.last, self._in_time(broker, entry.times))
+        for broker in self._pick_brokers(entry, draw):
+            broker.lag_factor *= entry.times
+            self.world.call_after(entry.last, self._restore_lag(broker, entry.times))
 
     @staticmethod
-    def _in_time(broker: Broker, times: float) -> Callable[[], None]:
-        def again() -> None:
-            broker.lag /= times
+    def _restore_lag(broker: Broker, times: float) -> Callable[[], None]:
+        def restore() -> None:
+            broker.lag_factor /= times
 
-        return again
+        return restore
 
     def _list_frozen(self, entry: TroubleEntry, draw: Source) -> None:
-        for broker in self._brokers(entry, draw):
-            broker.frozen = True
-            self.world.after(entry.last, lambda b=broker: self.world.thaw(b))  # type: ignore[misc]
+        for broker in self._pick_brokers(entry, draw):
+            broker.updates_frozen = True
+            self.world.call_after(entry.last, lambda b=broker: self.world.unfreeze(b))  # type: ignore[misc]
 
     # --- clients ---
 
@@ -280,44 +282,44 @@
         world = self.world
         world.rate_factor *= entry.times
 
-        def over() -> None:
+        def end() -> None:
             world.rate_factor /= entry.times
 
-        world.after(entry.last, over)
+        world.call_after(entry.last, end)
 
     def _heavy_tail(self, entry: TroubleEntry, draw: Source) -> None:
-        kind, world = self._class(entry), self.world
-        world.heavy[kind] = (entry.share, entry.times)
+        kind, world = self._class_index(entry), self.world
+        world.heavy_factors[kind] = (entry.share, entry.times)
 
-        def over() -> None:
-            world.heavy.pop(kind, None)
+        def end() -> None:
+            world.heavy_factors.pop(kind, None)
 
-        world.after(entry.last, over)
+        world.call_after(entry.last, end)
 
     def _poison(self, entry: TroubleEntry, draw: Source) -> None:
-        kind, world = self._class(entry), self.world
-        world.poison[kind] = entry.share
+        kind, world = self._class_index(entry), self.world
+        world.poison_shares[kind] = entry.share
 
-        def over() -> None:
-            world.poison.pop(kind, None)
+        def end() -> None:
+            world.poison_shares.pop(kind, None)
 
-        world.after(entry.last, over)
+        world.call_after(entry.last, end)
 
     def _impatience(self, entry: TroubleEntry, draw: Source) -> None:
         world = self.world
         world.patience_factor = 1 / entry.times
 
-        def calm() -> None:
+        def end() -> None:
             world.patience_factor = 1.0
 
-        world.after(entry.last, calm)
+        world.call_after(entry.last, end)
 
     def _retry_storm(self, entry: TroubleEntry, draw: Source) -> None:
         """Clients come back at once, whatever they are told."""
         world = self.world
         world.impatient_retries = True
 
-        def calm() -> None:
+        def end() -> None:
             world.impatient_retries = False
 
-        world.after(entry.last, calm)
+        world.call_after(entry.last, end)
--- a/quincepath/lab/emulator/chance.py
+++ b/quincepath/lab/emulator/workload.py
@@ -7,10 +7,10 @@
 from quincepath.lab.emulator.script import FleetEntry, MachineKind, TrafficClass
 from quincepath.standins.chance import Source
 
-__all__ = ["Drawn", "Source", "draw_query", "machines", "part_work"]
+__all__ = ["DrawnQuery", "Source", "draw_query", "draw_machines", "part_work"]
 
 
-def machines(fleet: FleetEntry, draw: Source) -> dict[str, MachineKind]:
+def draw_machines(fleet: FleetEntry, draw: Source) -> dict[str, MachineKind]:
     """The kind of machine of each holder, by the kinds' shares."""
     total = sum(kind.share for kind in fleet.kinds)
     found = {}
@@ -28,14 +28,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Drawn:
+class DrawnQuery:
     """One client's query: the position of its class, the shards that it touches."""
 
     kind: int
     shards: list[int]
 
 
-def draw_query(draw: Source, classes: list[TrafficClass], shards: int) -> Drawn:
+def draw_query(draw: Source, classes: list[TrafficClass], shards: int) -> DrawnQuery:
     """A query by the classes' shares, at shards in a row."""
     left, kind = draw() * sum(entry.share for entry in classes), 0
     while left >= classes[kind].share and kind < len(classes) - 1:
@@ -44,7 +44,7 @@
     entry = classes[kind]
     count = entry.parts[0] + int(draw() * (entry.parts[1] - entry.parts[0] + 1))
     first = int(draw() * shards)
-    return Drawn(kind, sorted((first + i) % shards for i in range(count)))
+    return DrawnQuery(kind, sorted((first + i) % shards for i in range(count)))
 
 
 def part_work(generator: np.random.Generator, entry: TrafficClass, count: int) -> list[float]:
--- a/quincepath/lab/emulator/world/__init__.py
+++ b/quincepath/lab/emulator/world/__init__.py
@@ -6,9 +6,17 @@
 ``emulation`` on all. ``ContractBroken`` is raised where driver and module disagree: a defect of the program.
 """
 
-from quincepath.lab.emulator.world.actors import Broker
-from quincepath.lab.emulator.world.day import BEGIN, Tally
-from quincepath.lab.emulator.world.emulation import ContractBroken, Emulation, MakeModule
-from quincepath.lab.emulator.world.holders import RESTART_AFTER
+from quincepath.lab.emulator.world.emulation import ContractViolation, Emulation, MakeModule
+from quincepath.lab.emulator.world.entities import Broker
+from quincepath.lab.emulator.world.holders import RESTART_DELAY_NS
+from quincepath.lab.emulator.world.state import RUN_START_NS, RunStatistics
 
-__all__ = ["BEGIN", "RESTART_AFTER", "Broker", "ContractBroken", "Emulation", "MakeModule", "Tally"]
+__all__ = [
+    "RUN_START_NS",
+    "RESTART_DELAY_NS",
+    "Broker",
+    "ContractViolation",
+    "Emulation",
+    "MakeModule",
+    "RunStatistics",
+]
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -4,24 +4,24 @@
 from typing import Any
 
 from quincepath.asks.registry import Begin, Join, MatchKind, ReplayAnswer
-from quincepath.asks.registry import ClientKey as KeyMark
-from quincepath.asks.registry import Try as BookTry
+from quincepath.asks.registry import ClientKey as RegistryKey
+from quincepath.asks.registry import Try as RegistryTry
 from quincepath.broker.dispatcher import Rendered, TryAnswer
-from quincepath.lab.emulator.chance import draw_query, part_work
-from quincepath.lab.emulator.world.actors import Broker, Client, Ending, Try
-from quincepath.lab.emulator.world.day import MS, SECOND
-from quincepath.lab.emulator.world.turns import Turns
+from quincepath.lab.emulator.workload import draw_query, part_work
+from quincepath.lab.emulator.world.broker_scheduling import BrokerScheduling
+from quincepath.lab.emulator.world.entities import Broker, Client, ClientReply, Try
+from quincepath.lab.emulator.world.state import MS, SECOND
 from quincepath.limits.gate import Rejection
 from quincepath.orders import Ask, Finish, PartRequest, Verdict
 from quincepath.standins.record import Ask as AskLine
 from quincepath.standins.record import End
 
-GIVE_UP_AFTER = 50 * MS  # past its time a client stops listening
-SECOND_STEP_WORK = 0.5  # of a first step's part
-STATUS = {Verdict.ANSWERED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 502}
+GIVE_UP_GRACE_NS = 50 * MS  # past its time a client stops listening
+SECOND_STEP_WORK_SHARE = 0.5  # of a first step's part
+HTTP_STATUS = {Verdict.ANSWERED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 502}
 
 
-class Clients(Turns):
+class Clients(BrokerScheduling):
     """Each query of the day, from its first try to its last word."""
 
     def _arrivals(self) -> None:
@@ -33,7 +33,7 @@
             at += float(draw.exponential(SECOND / self.script.traffic.rate))
             if at >= self.end:
                 return
-            self.at(int(at), self._arrival(number, int(at)))
+            self.call_at(int(at), self._arrival(number, int(at)))
             number += 1
 
     def _arrival(self, number: int, at: int) -> Callable[[], None]:
@@ -53,67 +53,73 @@
         kind, shards = drawn.kind, drawn.shards
         entry = self.script.classes[kind]
         work = part_work(self.source("work").generator, entry, len(shards))
-        share, times = self.heavy.get(kind, (0.0, 1.0))
+        share, times = self.heavy_factors.get(kind, (0.0, 1.0))
         if share and self.source("heavy")() < share:
             work = [one * times for one in work]
-        poison = bool(self.poison.get(kind)) and self.source("poison")() < self.poison[kind]
+        poison = bool(self.poison_shares.get(kind)) and self.source("poison")() < self.poison_shares[kind]
         client = Client(number, kind, shards, work, self.now, poison)
-        self.tally.asked[entry.name] += 1
-        self.tally.by_second[(self.now - self.begin) // SECOND][0] += 1
+        self.statistics.asked[entry.name] += 1
+        self.statistics.by_second[(self.now - self.begin) // SECOND][0] += 1
         self._try(client)
 
     def _try(self, client: Client) -> None:
         entry = self.script.classes[client.kind]
-        left = client.began + entry.deadline - self.now
+        left = client.started_at + entry.deadline - self.now
         alive = [broker for broker in self.brokers if broker.alive]
         if left <= 10 * MS:
             return
         if not alive:  # nobody takes the connection: the client comes back by itself
-            self.tally.outcomes["unreachable"] += 1
+            self.statistics.outcomes["unreachable"] += 1
             client.tries += 1
             if client.tries <= self.script.traffic.retries:
-                self.after(self.script.traffic.wait * 2 ** (client.tries - 1), lambda: self._try(client))
+                self.call_after(self.script.traffic.wait * 2 ** (client.tries - 1), lambda: self._try(client))
             return
         traffic, draw = self.script.traffic, self.source("clients")
         share = draw.between(*traffic.patience) * self.patience_factor
         patience = max(min(int(entry.deadline * share), left), 1)
-        told = patience if traffic.tell >= 1 or self.source("tell")() < traffic.tell else entry.deadline
+        sent_timeout = (
+            patience if traffic.tell >= 1 or self.source("tell")() < traffic.tell else entry.deadline
+        )
         broker = alive[int(draw() * len(alive))]
-        attempt = Try(client, client.name(), self.now, told)
-        self.tally.tries += 1
+        attempt = Try(client, client.name(), self.now, sent_timeout)
+        self.statistics.tries += 1
         key = f"c{client.number}" if traffic.marks else ""
-        self.sink(AskLine(self.now, attempt.name, entry.name, client.shards, told, broker.number, key))
-        life = broker.life
-        self.at(self.now + patience + GIVE_UP_AFTER, lambda: self._client_leaves(attempt, broker, life))
-        self.after(
-            self.way(broker.zone, broker.zone),
-            lambda: self._io(broker, life, lambda: self._take(broker, attempt)),
+        self.sink(
+            AskLine(self.now, attempt.name, entry.name, client.shards, sent_timeout, broker.number, key)
+        )
+        generation = broker.generation
+        self.call_at(
+            self.now + patience + GIVE_UP_GRACE_NS, lambda: self._time_out_try(attempt, broker, generation)
+        )
+        self.call_after(
+            self.one_way_delay(broker.zone, broker.zone),
+            lambda: self._deliver(broker, generation, lambda: self._receive_try(broker, attempt)),
         )
 
-    def _take(self, broker: Broker, attempt: Try) -> None:
-        if attempt.over:
+    def _receive_try(self, broker: Broker, attempt: Try) -> None:
+        if attempt.ended:
             return
         client = attempt.client
-        self._handles += 1
-        handle, key = self._handles, f"c{client.number}"
-        book_try = BookTry(
+        self._last_handle += 1
+        handle, key = self._last_handle, f"c{client.number}"
+        book_try = RegistryTry(
             handle, "", key.encode(), self.now + attempt.patience,
-            KeyMark("", key, True) if self.script.traffic.marks else None,
+            RegistryKey("", key, True) if self.script.traffic.marks else None,
             client=f"desk{client.number % self.script.traffic.desks}",
         )  # fmt: skip
-        said = broker.dispatcher.arrive(
+        result = broker.dispatcher.arrive(
             self.now, book_try, self._ask(attempt), client, self.script.classes[client.kind].worth
         )
-        match said:
+        match result:
             case Rejection(retry_in=retry_in):
-                self._answer_client(broker, attempt, Ending(503, retry_in=retry_in))
+                self._answer_client(broker, attempt, ClientReply(503, retry_in=retry_in))
             case ReplayAnswer(reply=reply):
                 self._answer_client(broker, attempt, reply, MatchKind.REPLAYED)
             case Join() | Begin():
                 broker.tries[handle] = attempt
-                self._poke(broker)
+                self._schedule_step(broker)
             case _:
-                raise AssertionError(f"{said}: keys of clients here are their own")
+                raise AssertionError(f"{result}: keys of clients here are their own")
 
     def _ask(self, attempt: Try) -> Ask:
         client = attempt.client
@@ -127,7 +133,9 @@
 
         def follow(bodies: Mapping[int, Any]) -> tuple[PartRequest, ...]:
             return tuple(
-                PartRequest(shard, 1 / len(bodies), (by_shard[shard] * SECOND_STEP_WORK, False, client.kind))
+                PartRequest(
+                    shard, 1 / len(bodies), (by_shard[shard] * SECOND_STEP_WORK_SHARE, False, client.kind)
+                )
                 for shard in sorted(bodies)
             )
 
@@ -136,26 +144,26 @@
             follow=follow if second else None, name=attempt.name,
         )  # fmt: skip
 
-    def _client_leaves(self, attempt: Try, broker: Broker, life: int) -> None:
+    def _time_out_try(self, attempt: Try, broker: Broker, generation: int) -> None:
         """Its time is up and it has heard nothing: the connection is closed."""
-        if attempt.over:
+        if attempt.ended:
             return
         self._end_try(attempt, End(self.now, attempt.name, -1))
-        self._io(broker, life, lambda: self._left(broker, attempt))
+        self._deliver(broker, generation, lambda: self._on_client_left(broker, attempt))
 
-    def _left(self, broker: Broker, attempt: Try) -> None:
+    def _on_client_left(self, broker: Broker, attempt: Try) -> None:
         for handle, known in broker.tries.items():
             if known is attempt:
                 del broker.tries[handle]
                 broker.dispatcher.client_left(self.now, handle)
-                self._poke(broker)
+                self._schedule_step(broker)
                 return
 
     def _answer_client(
-        self, broker: Broker, attempt: Try, reply: Ending, how: MatchKind = MatchKind.BEGAN
+        self, broker: Broker, attempt: Try, reply: ClientReply, how: MatchKind = MatchKind.BEGAN
     ) -> None:
-        def heard() -> None:
-            if not attempt.over:
+        def receive() -> None:
+            if not attempt.ended:
                 ms = -(-reply.retry_in // MS)
                 joined = "" if how is MatchKind.BEGAN else how.value
                 self._end_try(
@@ -164,21 +172,21 @@
                         ms, joined),
                 )  # fmt: skip
 
-        self.after(self.way(broker.zone, broker.zone), heard)
+        self.call_after(self.one_way_delay(broker.zone, broker.zone), receive)
 
     def _end_try(self, attempt: Try, end: End) -> None:
-        attempt.over = True
+        attempt.ended = True
         self.sink(end)
         client = attempt.client
         entry = self.script.classes[client.kind]
-        self.tally.outcomes[
+        self.statistics.outcomes[
             end.mark or {503: "refused", 502: "failed", 504: "failed", 0: "lost", -1: "none"}[end.status]
         ] += 1
         if end.status == 200:
-            self.tally.took.append((self.now - client.began) / SECOND)
-            if end.mark == "whole" and self.now <= client.began + entry.target:
-                self.tally.good[entry.name] += 1
-                self.tally.by_second[(client.began - self.begin) // SECOND][1] += 1
+            self.statistics.latencies_s.append((self.now - client.started_at) / SECOND)
+            if end.mark == "whole" and self.now <= client.started_at + entry.target:
+                self.statistics.good[entry.name] += 1
+                self.statistics.by_second[(client.started_at - self.begin) // SECOND][1] += 1
             return
         client.tries += 1
         if client.tries > self.script.traffic.retries:
@@ -189,16 +197,18 @@
             wait = MS
         elif draw() < self.script.traffic.honour:
             wait = max(wait, end.retry_ms * MS)
-        self.after(wait, lambda: self._try(client))
+        self.call_after(wait, lambda: self._try(client))
 
     @staticmethod
-    def _render(order: Finish, _client: Client) -> Rendered[Ending]:
+    def _render(order: Finish, _client: Client) -> Rendered[ClientReply]:
         answered = order.verdict is Verdict.ANSWERED
         mark = ("whole" if order.whole else "partial") if answered else ""
-        ending = Ending(STATUS[order.verdict], mark, order.parts_in, order.parts_asked, order.retry_in)
+        ending = ClientReply(
+            HTTP_STATUS[order.verdict], mark, order.parts_in, order.parts_asked, order.retry_in
+        )
         return Rendered(ending, 1, order.verdict)
 
-    def _owed(self, broker: Broker, owed: TryAnswer[Ending]) -> None:
-        attempt = broker.tries.pop(owed.handle, None)
+    def _deliver_answer(self, broker: Broker, answer: TryAnswer[ClientReply]) -> None:
+        attempt = broker.tries.pop(answer.handle, None)
         if attempt is not None:
-            self._answer_client(broker, attempt, owed.reply or Ending(504), owed.kind)
+            self._answer_client(broker, attempt, answer.reply or ClientReply(504), answer.kind)
--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -10,10 +10,10 @@
 from quincepath.config.schema import admission_bounds, registry_limits
 from quincepath.interface import Members, Scope, Settings
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.world.actors import Broker, Ending
 from quincepath.lab.emulator.world.clients import Clients
-from quincepath.lab.emulator.world.day import SECOND, TICK, Tally
+from quincepath.lab.emulator.world.entities import Broker, ClientReply
 from quincepath.lab.emulator.world.sending import Sending
+from quincepath.lab.emulator.world.state import SECOND, TICK_NS, RunStatistics
 from quincepath.orders import Breach, LogLine, MembershipUpdate, StartCall, StopAttempt
 from quincepath.policy import Aggregator
 from quincepath.standins.record import End, Halt, Line
@@ -21,7 +21,7 @@
 MakeModule = Callable[[Settings, int], DecisionModule]
 
 
-class ContractBroken(AssertionError):
+class ContractViolation(AssertionError):
     """Driver and module disagreed: a defect of the program, whatever the day; the text says where."""
 
 
@@ -38,45 +38,47 @@
         super().__init__(script, seed, sink)
         self.make_module = make_module
         for broker in self.brokers:
-            self._boot(broker)
+            self._start_broker(broker)
 
-    def run(self, until: int | None = None) -> Tally:
+    def run(self, until: int | None = None) -> RunStatistics:
         """Play to the end, or to a moment (ns since the begin) in it."""
         self._arrivals()
-        stop = self.end + self.longest() + 2 * SECOND
+        stop = self.end + self.max_deadline() + 2 * SECOND
         if until is not None:
             stop = min(stop, self.begin + until)
-        heap = self._heap
+        heap = self._events
         while heap and heap[0][0] <= stop:
             self.now, _, call = heapq.heappop(heap)
-            self.tally.events += 1
+            self.statistics.events += 1
             call()
-        return self.tally
+        return self.statistics
 
-    def _boot(self, broker: Broker) -> None:
+    def _start_broker(self, broker: Broker) -> None:
         """Start a broker with nothing but its last list."""
-        broker.life += 1
-        seed = zlib.crc32(f"{self.seed} {broker.number} {broker.life}".encode())
+        broker.generation += 1
+        seed = zlib.crc32(f"{self.seed} {broker.number} {broker.generation}".encode())
         settings = self.settings[broker.number]
         broker.driver = Driver(self.make_module(settings, seed), settings, self.script.rules.drain_grace)
         bounds = admission_bounds(self.script.limits)
-        desk: AskIntake[Ending] = AskIntake(registry_limits(self.script.asks, TICK), bounds, seed)
-        broker.dispatcher = Dispatcher(broker.driver, desk, self._render)
-        broker.alive, broker.stalled_until, broker.step_at = True, 0, None
-        broker.held_io, broker.held_timers = [], []
+        intake: AskIntake[ClientReply] = AskIntake(registry_limits(self.script.asks, TICK_NS), bounds, seed)
+        broker.dispatcher = Dispatcher(broker.driver, intake, self._render)
+        broker.alive, broker.stalled_until, broker.step_scheduled_at = True, 0, None
+        broker.deferred_io, broker.deferred_timers = [], []
         broker.pools, broker.calls, broker.tries = {}, {}, {}
-        known = broker.known or {entry.node: entry for entry in self.truth.values()}
-        broker.known = dict(known)
+        known = broker.known_members or {entry.node: entry for entry in self.actual_entries.values()}
+        broker.known_members = dict(known)
         # What changed while it was dead, or was on its way when it died, comes with the list's next news.
-        broker.missed = [name for name, entry in self.truth.items() if known.get(entry.node) != entry]
+        broker.missed_updates = [
+            name for name, entry in self.actual_entries.items() if known.get(entry.node) != entry
+        ]
         broker.dispatcher.enqueue(MembershipUpdate(Members(Scope.CACHED, 1, tuple(known.values()))))
-        self._poke(broker)
-        if broker.missed:
-            lag = self.source("list").between(*self.script.discovery.lag) * broker.lag
-            self.after(lag, lambda: self._catch_up(broker))
+        self._schedule_step(broker)
+        if broker.missed_updates:
+            lag = self.source("list").between(*self.script.discovery.lag) * broker.lag_factor
+            self.call_after(lag, lambda: self._catch_up(broker))
 
     def _step(self, broker: Broker) -> None:
-        broker.step_at = None
+        broker.step_scheduled_at = None
         for order in broker.dispatcher.step(self.now):
             match order:
                 case StartCall():
@@ -84,21 +86,21 @@
                 case StopAttempt(part, attempt):
                     self._stop_attempt(broker, part, attempt)
                 case TryAnswer():
-                    self._owed(broker, order)
+                    self._deliver_answer(broker, order)
                 case Breach(name, detail):
-                    raise ContractBroken(f"broker {broker.number}: contract broken: {name}: {detail}")
+                    raise ContractViolation(f"broker {broker.number}: contract broken: {name}: {detail}")
                 case LogLine(text):
                     self.mark(f"broker{broker.number}: {text}")
         due = broker.dispatcher.next_due()
         if due is not None and due <= self.now:
-            self._poke(broker)
+            self._schedule_step(broker)
         elif due is not None:
-            life = broker.life
-            self.at(due, lambda: self._timer(broker, life, lambda: self._due(broker)))
+            generation = broker.generation
+            self.call_at(due, lambda: self._run_timer(broker, generation, lambda: self._step_if_due(broker)))
 
-    def _due(self, broker: Broker) -> None:
+    def _step_if_due(self, broker: Broker) -> None:
         if broker.dispatcher.due(self.now):
-            self._poke(broker)
+            self._schedule_step(broker)
 
     def halt(self, broker: Broker, last: int, kill: bool) -> None:
         """Stop a broker for a time, or kill it and start it anew after that time."""
@@ -108,14 +110,14 @@
         self.sink(Halt(self.now, broker.number, until, kill))
         if not kill:
             broker.stalled_until = max(broker.stalled_until, until)
-            self.at(until, lambda: self.resume(broker))
+            self.call_at(until, lambda: self.resume(broker))
             return
         broker.alive = False
         for call in {id(c): c for c in broker.calls.values()}.values():
-            call.waiting.clear()
-            self._abandon(broker, call)
+            call.pending.clear()
+            self._cancel_if_unused(broker, call)
         for attempt in broker.tries.values():
-            if not attempt.over:
+            if not attempt.ended:
                 self._end_try(attempt, End(self.now, attempt.name, 0))
         broker.tries = {}
-        self.at(until, lambda: self._boot(broker))
+        self.call_at(until, lambda: self._start_broker(broker))
--- a/quincepath/lab/emulator/world/actors.py
+++ b/quincepath/lab/emulator/world/entities.py
@@ -28,7 +28,7 @@
 
     node: NodeId
     orders: tuple[AttemptOrder, ...]
-    waiting: set[tuple[int, int]]
+    pending: set[tuple[int, int]]
     connection: Connection
     dialling: bool = False
     job: Job | None = None
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
+class ClientReply:
     """A final answer as a client sees it. ``retry_in`` in ns."""
 
     status: int
@@ -61,7 +61,7 @@
     kind: int
     shards: list[int]
     work: list[float]
-    began: int
+    started_at: int
     poison: bool
     tries: int = 0
     served: bool = False
@@ -79,7 +79,7 @@
     name: str
     sent: int
     patience: int
-    over: bool = False
+    ended: bool = False
 
 
 class Broker:
@@ -88,18 +88,18 @@
     def __init__(self, number: int, zone: int) -> None:
         self.number, self.zone = number, zone
         self.driver: Driver
-        self.dispatcher: Dispatcher[Client, Ending]
-        self.life = 0
+        self.dispatcher: Dispatcher[Client, ClientReply]
+        self.generation = 0
         self.alive = True
         self.stalled_until = 0
-        self.held_io: list[Callable[[], None]] = []
-        self.held_timers: list[Callable[[], None]] = []
-        self.step_at: int | None = None
+        self.deferred_io: list[Callable[[], None]] = []
+        self.deferred_timers: list[Callable[[], None]] = []
+        self.step_scheduled_at: int | None = None
         self.pools: dict[NodeId, Pool] = {}
         self.calls: dict[tuple[int, int], Call] = {}
         self.tries: dict[int, Try] = {}
-        self.known: dict[NodeId, Entry] = {}
-        self.list_free_at = 0
-        self.lag = 1.0
-        self.frozen = False
-        self.missed: list[str] = []
+        self.known_members: dict[NodeId, Entry] = {}
+        self.next_update_at = 0
+        self.lag_factor = 1.0
+        self.updates_frozen = False
+        self.missed_updates: list[str] = []
--- a/quincepath/lab/emulator/world/day.py
+++ b/quincepath/lab/emulator/world/state.py
@@ -8,35 +8,35 @@
 import numpy as np
 
 from quincepath.interface import Effect, Entry, Limits, Phase, QueryClass, Rules, Settings
-from quincepath.lab.emulator.chance import Source, machines
 from quincepath.lab.emulator.script import Script, TrafficClass
 from quincepath.lab.emulator.server import Fleet, Kind, Server
-from quincepath.lab.emulator.world.actors import Broker
+from quincepath.lab.emulator.workload import Source, draw_machines
+from quincepath.lab.emulator.world.entities import Broker
 from quincepath.standins.record import Bounds, ClassRules, Head, Line, Mark
 
 MS = 1_000_000
 SECOND = 1000 * MS
-BEGIN = SECOND  # the clock when a day begins
-SLACK = 20 * MS  # for the audit: the longest way from a broker to a client or holder, and more
-TICK = 5 * MS
+RUN_START_NS = SECOND  # the clock when a day begins
+AUDIT_SLACK_NS = 20 * MS  # for the audit: the longest way from a broker to a client or holder, and more
+TICK_NS = 5 * MS
 
 
 @dataclass(slots=True)
-class Tally:
+class RunStatistics:
     """What a run came to."""
 
     asked: Counter[str] = field(default_factory=Counter)
     good: Counter[str] = field(default_factory=Counter)
     by_second: dict[int, list[int]] = field(default_factory=lambda: defaultdict(lambda: [0, 0]))
     outcomes: Counter[str] = field(default_factory=Counter)
-    took: list[float] = field(default_factory=list)
+    latencies_s: list[float] = field(default_factory=list)
     tries: int = 0
     fell: list[str] = field(default_factory=list)
     down_most: int = 0
     events: int = 0
 
 
-class Day:
+class EmulationState:
     """What stands before anything moves. Events of equal times come in the order of their making."""
 
     def __init__(
@@ -48,25 +48,27 @@
         self.script = script
         self.seed = script.seed if seed is None else seed
         self.sink = sink
-        self.now = self.begin = BEGIN
+        self.now = self.begin = RUN_START_NS
         self.end = self.begin + script.length
-        self.tally = Tally()
-        self._heap: list[tuple[int, int, Callable[[], None]]] = []
+        self.statistics = RunStatistics()
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
         self._sources: dict[str, Source] = {}
-        self._handles = 0
-        self._wakes: dict[str, int] = {}
+        self._last_handle = 0
+        self._scheduled_checks: dict[str, int] = {}
         self._down: set[str] = set()
-        self.cut: set[tuple[int, str]] = set()  # (broker, holder): what the holder sends there is lost
+        self.blocked_links: set[tuple[int, str]] = (
+            set()
+        )  # (broker, holder): what the holder sends there is lost
         self.rate_factor = 1.0
-        self.heavy: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
-        self.poison: dict[int, float] = {}  # class: share of queries
+        self.heavy_factors: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
+        self.poison_shares: dict[int, float] = {}  # class: share of queries
         self.patience_factor = 1.0
         self.impatient_retries = False
         self.zones = {name: number for number, name in enumerate(script.fleet.zones)}
         self.fleet = self._make_fleet()
-        self.truth: dict[str, Entry] = {
-            name: self._entry(name, Phase.READY, 0) for name in self.fleet.servers
+        self.actual_entries: dict[str, Entry] = {
+            name: self._member_entry(name, Phase.READY, 0) for name in self.fleet.servers
         }
         self.shards = script.fleet.sets * script.fleet.shards
         self.settings = [self._settings(n) for n in range(script.brokers)]
@@ -79,26 +81,26 @@
             self._sources[name] = Source(self.seed, name)
         return self._sources[name]
 
-    def at(self, when: int, call: Callable[[], None]) -> None:
+    def call_at(self, when: int, call: Callable[[], None]) -> None:
         """Run ``call`` at a time; equal times in the order of their making."""
         self._count += 1
-        heapq.heappush(self._heap, (max(when, self.now), self._count, call))
+        heapq.heappush(self._events, (max(when, self.now), self._count, call))
 
-    def after(self, wait: float, call: Callable[[], None]) -> None:
+    def call_after(self, wait: float, call: Callable[[], None]) -> None:
         """Run ``call`` after so many ns."""
-        self.at(self.now + int(wait), call)
+        self.call_at(self.now + int(wait), call)
 
     def mark(self, what: str) -> None:
         """Note something of the script."""
         self.sink(Mark(self.now, what))
 
-    def way(self, a: int, b: int) -> int:
+    def one_way_delay(self, from_zone: int, to_zone: int) -> int:
         """One way between zones, with jitter."""
         network = self.script.network
-        base = network.same_zone if a == b else network.cross_zone
-        return int(base * (1 + network.jitter * -np.log1p(-self.source("network")())))
+        delay = network.same_zone if from_zone == to_zone else network.cross_zone
+        return int(delay * (1 + network.jitter * -np.log1p(-self.source("network")())))
 
-    def longest(self) -> int:
+    def max_deadline(self) -> int:
         """The longest that any client waits in all its tries."""
         return max(entry.deadline for entry in self.script.classes)
 
@@ -106,7 +108,7 @@
 
     def _make_fleet(self) -> Fleet:
         entry, fleet = self.script.fleet, Fleet()
-        kinds = machines(entry, self.source("kinds"))
+        kinds = draw_machines(entry, self.source("kinds"))
         for s in range(entry.sets):
             for r in range(entry.replicas):
                 name = f"s{s}r{r}"
@@ -121,7 +123,7 @@
                 )
         return fleet
 
-    def _entry(self, name: str, phase: Phase, since: int) -> Entry:
+    def _member_entry(self, name: str, phase: Phase, since: int) -> Entry:
         return Entry(
             self.fleet.nodes[name], 0, self.fleet.zones[name], self.fleet.cells[name], since, phase, 1.0
         )
@@ -129,9 +131,9 @@
     def _settings(self, number: int) -> Settings:
         script, rules, limits = self.script, self.script.rules, self.script.limits
         return Settings(
-            me=number, instances=script.brokers, zone=number % len(self.zones), tick=TICK,
+            me=number, instances=script.brokers, zone=number % len(self.zones), tick=TICK_NS,
             cells=script.fleet.sets, reach=1, must_ask=False, cross_zone_charge=0.0, call_work=0,
-            classes=tuple(self._class(entry) for entry in script.classes),
+            classes=tuple(self._query_class(entry) for entry in script.classes),
             limits=Limits(limits.attempts, True, limits.second_copies, True, limits.max_retry_after,
                           limits.connect_timeout, limits.idle_close, limits.batch),
             rules=Rules(script.fleet.cold, script.fleet.ramp, rules.fall_multiple, rules.overload_for, 0,
@@ -139,7 +141,7 @@
         )  # fmt: skip
 
     @staticmethod
-    def _class(entry: TrafficClass) -> QueryClass:
+    def _query_class(entry: TrafficClass) -> QueryClass:
         floor = entry.need if entry.floor is None else entry.floor
         return QueryClass(
             entry.name, entry.target, entry.deadline, Effect.SAFE, 0, entry.late_worth, entry.need, floor,
@@ -155,6 +157,6 @@
             Bounds(
                 limits.attempts, rules.drain_grace, 0, rules.fall_multiple, rules.overload_for,
                 self.script.fleet.ramp, rules.budget_window, rules.budget_free, rules.budget_ratio,
-                self.script.brokers, SLACK, self.script.asks.linger,
+                self.script.brokers, AUDIT_SLACK_NS, self.script.asks.linger,
             )
         )  # fmt: skip
--- a/quincepath/lab/report.py
+++ b/quincepath/lab/report.py
@@ -12,7 +12,7 @@
 
 from quincepath.lab.emulator.rehearsal import Outcome
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.world import BEGIN
+from quincepath.lab.emulator.world import RUN_START_NS
 from quincepath.standins.record import Ask, Bounds, End, Got, Line, Mark, Up
 
 SECOND = 1_000_000_000
@@ -54,7 +54,7 @@
 
     @staticmethod
     def second(at: int) -> int:
-        return int((at - BEGIN) // SECOND)
+        return int((at - RUN_START_NS) // SECOND)
 
     def service(self) -> dict[str, tuple[list[float], list[float], list[float]]]:
         """By class and second of the first try: share good, 50th and 99th percentile of the time (s)."""
@@ -88,7 +88,7 @@
         found = []
         for mark in self.marks:
             what, _, kind = mark.what.partition(": ")
-            at = (mark.at - BEGIN) / SECOND
+            at = (mark.at - RUN_START_NS) / SECOND
             if what == "begins":
                 open_[kind].append(at)
             elif what == "ends" and open_[kind]:
@@ -115,8 +115,9 @@
     shown.add_heatmap(x=x, y=holders, z=[day.work[name].tolist() for name in holders], colorscale="Viridis",
                       colorbar={"len": 0.42, "y": 0.2}, row=3, col=1)  # fmt: skip
     shown.add_scatter(
-        x=[(up.at - BEGIN) / SECOND for up in day.ups], y=[up.holder for up in day.ups], mode="markers",
-        name="started cold", marker={"symbol": "star", "size": 11, "color": "#ff5050"}, row=3, col=1,
+        x=[(up.at - RUN_START_NS) / SECOND for up in day.ups], y=[up.holder for up in day.ups],
+        mode="markers", name="started cold", marker={"symbol": "star", "size": 11, "color": "#ff5050"},
+        row=3, col=1,
     )  # fmt: skip
     kinds = {kind: BANDS[n % len(BANDS)] for n, kind in enumerate(dict.fromkeys(b[0] for b in day.bands()))}
     for kind, begin, end in day.bands():
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,10 +18,10 @@
 
 from quincepath.config.load import ConfigError, load, parse
 from quincepath.interface import Settings
+from quincepath.lab.emulator.query_trace import QueryTraceError, trace_query
 from quincepath.lab.emulator.recording import RecordingError, RecordingWriter, read_recording
 from quincepath.lab.emulator.rehearsal import Outcome, rehearse
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.story import StoryError, tell
 from quincepath.policy import Aggregator
 from quincepath.standins.chance import Source
 from quincepath.standins.model import SECOND, Job, Kind, Server, State
@@ -427,16 +427,16 @@
     ends = [line for line in lines if isinstance(line, End) and line.at > 2.2 * SECOND]
     failed = {line.query for line in lines if isinstance(line, Said) and line.status == 500}
     end = next(line for line in ends if line.query in failed)
-    story = tell(script, 5, lines, end.query)
+    story = trace_query(script, 5, lines, end.query)
     text = "\n".join(story)
     for piece in ("client asks", "takes it, with", "sends shard", "ERROR", "answers, whole", "client hears"):
         assert piece in text, text
-    early = tell(script, 5, lines, end.query, until=end.at - 1)
+    early = trace_query(script, 5, lines, end.query, until=end.at - 1)
     assert len(early) < len(story) and "client hears" not in "\n".join(early)
-    with pytest.raises(StoryError, match="no query"):
-        tell(script, 5, lines, "nobody")
-    with pytest.raises(StoryError, match="differs when run again"):
-        tell(script, 6, lines, end.query)
+    with pytest.raises(QueryTraceError, match="no query"):
+        trace_query(script, 5, lines, "nobody")
+    with pytest.raises(QueryTraceError, match="differs when run again"):
+        trace_query(script, 6, lines, end.query)
 
 
 def test_a_dead_broker_hears_nothing_and_is_told_what_it_missed_when_it_is_back() -> None:
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -15,13 +15,20 @@
 from quincepath.fronts.remote_read.codec import encode
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher
 from quincepath.lab.audit import audit
+from quincepath.lab.emulator.fault_search import (
+    TROUBLE_KINDS,
+    SearchResult,
+    draw_script,
+    minimize,
+    run_script,
+    search_faults,
+)
 from quincepath.lab.emulator.from_day import from_day
-from quincepath.lab.emulator.hunt import ALL_KINDS, Find, cut_down, draw, play, search
+from quincepath.lab.emulator.process_troubles import combine_faults
 from quincepath.lab.emulator.rehearsal import Outcome, rehearse
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.sockets import SocketRun
-from quincepath.lab.emulator.staging import together
-from quincepath.lab.emulator.world import ContractBroken
+from quincepath.lab.emulator.world import ContractViolation
 from quincepath.lab.openloop import Mix, OpenLoop, by_tenant
 from quincepath.lab.report import figure, page
 from quincepath.net.http1 import Request
@@ -139,8 +146,8 @@
 
 
 def test_drawn_days_are_the_same_by_number_and_differ_between() -> None:
-    assert draw(3) == draw(3) != draw(4)
-    sizes = [draw(n, large=True) for n in range(5)]
+    assert draw_script(3) == draw_script(3) != draw_script(4)
+    sizes = [draw_script(n, large=True) for n in range(5)]
     assert all(80 <= one.fleet.holders <= 110 and 23 <= one.brokers <= 32 for one in sizes)
 
 
@@ -151,9 +158,9 @@
     fatal = {**values[0], "kind": "kill", "holders": ["s0r0", "s0r1"], "last": 3 * SECOND}
     entries = [type(script.troubles[0]).model_construct(**one) for one in (harmless[0], fatal, harmless[1])]
     whole = script.model_copy(update={"troubles": entries})
-    find = Find(0, whole, rehearse(whole))
+    find = SearchResult(0, whole, rehearse(whole))
     assert find.badness() > 0.1
-    assert [one.kind for one in cut_down(find).script.troubles] == ["kill"]
+    assert [one.kind for one in minimize(find).script.troubles] == ["kill"]
 
 
 def test_a_broken_contract_is_a_find_and_does_not_end_the_search() -> None:
@@ -161,16 +168,16 @@
 
     def run_only_hangs(one: Script) -> Outcome:
         if any(entry.kind == "hang" for entry in one.troubles):
-            raise ContractBroken("broker 0: contract broken")
+            raise ContractViolation("broker 0: contract broken")
         return rehearse(one)
 
-    find = play(7, script, run_only_hangs)
+    find = run_script(7, script, run_only_hangs)
     assert find.broken and find.good == 0 and "broker 0" in find.contract
-    assert [entry.kind for entry in cut_down(find, run_only_hangs).script.troubles] == ["hang"]
+    assert [entry.kind for entry in minimize(find, run_only_hangs).script.troubles] == ["hang"]
 
 
 def test_a_few_drawn_days_break_no_rule() -> None:
-    for find in search(range(6)):
+    for find in search_faults(range(6)):
         assert not find.broken, (
             find.number,
             find.contract,
@@ -196,12 +203,12 @@
     script: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def behind(self: SocketRun) -> dict[str, Any]:
-        self.ended, self.late_most = True, 3 * SECOND
+        self.all_ended, self.max_lateness = True, 3 * SECOND
         self.clients = []
         self.cluster.stop()
         return self._figures(audit([]), [])
 
-    monkeypatch.setattr(SocketRun, "play", behind)
+    monkeypatch.setattr(SocketRun, "run", behind)
     code, _, err = run("rehearse", str(script), "--sockets", "--json")
     assert code == 2 and "could not keep up (behind by 3.0 s" in err
 
@@ -219,15 +226,15 @@
         f"  - {{kind: {kind}, at: {500 + 400 * place}ms, last: 700ms, every: 600ms, pause: 150ms, times: 2"
         + (f", {special[kind]}" if kind in special else "")
         + "}\n"
-        for place, kind in enumerate(ALL_KINDS)
+        for place, kind in enumerate(TROUBLE_KINDS)
     ]
     script = parse(ALL_ON_SOCKETS + "".join(entries), Script, "s")
     run_ = SocketRun(script, 3, tmp_path)
-    figures = run_.play()
+    figures = run_.run()
     assert figures["findings"] == [] and figures["fell"] == []
     kept = [line for _, line in read(tmp_path / "clients.jsonl")]
     marks = [line.what for line in kept if isinstance(line, Mark)]
-    assert [one for one in marks if one.startswith("begins")] == [f"begins: {kind}" for kind in ALL_KINDS]
+    assert [one for one in marks if one.startswith("begins")] == [f"begins: {kind}" for kind in TROUBLE_KINDS]
     assert any("ended by itself" in one for one in marks)  # the poisoned query
     killed = [line for line in kept if isinstance(line, Halt) and line.killed]
     assert killed and all(line.until > line.at for line in killed)
@@ -237,14 +244,14 @@
 
 
 def test_faults_of_one_holder_add_up_while_they_overlap() -> None:
-    whole = together(
+    whole = combine_faults(
         [Faults(slow=2.0, deaf_to=[1]), Faults(fault="errors", share=0.5, metric="m"),
          Faults(slow=3.0, deaf_to=[0], handshake_ms=5), Faults(steal=0.3), Faults(steal=0.2, lose=0.1)]
     )  # fmt: skip
     assert whole == Faults(
         "errors", 0.5, 6.0, steal=0.3, lose=0.1, metric="m", handshake_ms=5, deaf_to=[0, 1]
     )
-    assert together([]) == Faults()
+    assert combine_faults([]) == Faults()
 
 
 def incident(world: World, value: str) -> Any:
@@ -433,7 +440,7 @@
 
 def test_the_same_script_runs_over_sockets_and_asks_the_same_queries(tmp_path: Path) -> None:
     script = parse(SCRIPT + ON_SOCKETS, Script, "s")
-    figures = SocketRun(script, script.seed, tmp_path).play()
+    figures = SocketRun(script, script.seed, tmp_path).run()
     assert figures["findings"] == [] and not figures["void"] and figures["late_most_s"] < 1
     lines: list[Line] = []
     rehearse(script, None, lines.append)
