--- a/benchmarks/capacity/scale/real.py
+++ b/benchmarks/capacity/scale/real.py
@@ -22,8 +22,8 @@
 from benchmarks.capacity.scale.waiting import poll_until
 from quincepath.lab.cluster import Cluster, HolderProcess
 from quincepath.lab.demo import DISTRICTS, ZONES
-from quincepath.lab.load import Client, QuerySource, Seen
-from quincepath.lab.process import Child, StartError
+from quincepath.lab.load import Client, QueryResult, QuerySource
+from quincepath.lab.process import ChildProcess, StartError
 from quincepath.net.loop import Loop
 
 GUARDED = ["-m", "benchmarks.capacity.scale.guarded"]
@@ -52,7 +52,7 @@
     return found
 
 
-class RealBroker(Child):
+class RealBroker(ChildProcess):
     """One broker process, its client, and what it was last seen to know."""
 
     def __init__(self, member: MemberPlan, folder: Path) -> None:
@@ -126,7 +126,7 @@
 
     def _meet(self, broker: RealBroker) -> None:
         try:
-            where = broker.said()
+            where = broker.startup_info()
         except StartError as error:
             raise RealError(f"{error}: {broker.last_words}") from error
         parts = urlsplit(where["metrics"])
@@ -181,7 +181,7 @@
         after = due + int(SECOND / self.plan.queries)
         self.loop.call_at(after, lambda: self._ask(broker, after))
 
-    def _answered(self, seen: Seen) -> None:
+    def _answered(self, seen: QueryResult) -> None:
         self.answers["answered" if seen.status == 200 else "not answered"] += 1
 
     # --- what they know ---
--- a/benchmarks/fair_turns.py
+++ b/benchmarks/fair_turns.py
@@ -20,8 +20,8 @@
 import click
 
 from quincepath.lab.fair_plan import Plan, Tenant
-from quincepath.lab.fair_rivals import EvenShares, Fair, FirstCome, Giver
-from quincepath.lab.fair_world import World
+from quincepath.lab.fair_schedulers import EvenShares, FairQueueing, FirstCome, SlotScheduler
+from quincepath.lab.fair_simulation import Simulation
 from quincepath.limits.fair import FairSettings
 from quincepath.limits.fair.types import MS, SECOND
 
@@ -35,11 +35,11 @@
     return None if random.random() < loss else random.randrange(least, most)
 
 
-WAYS: dict[str, tuple[Callable[[FairSettings, int], Giver], Any]] = {
+WAYS: dict[str, tuple[Callable[[FairSettings, int], SlotScheduler], Any]] = {
     "first-come": (FirstCome, None),
     "even shares": (EvenShares, None),
-    "fair, no news": (Fair, None),
-    "fair, with news": (Fair, news),
+    "fair, no news": (FairQueueing, None),
+    "fair, with news": (FairQueueing, news),
 }
 
 
@@ -76,10 +76,10 @@
 def play(job: tuple[str, str, int, int, Any]) -> dict[str, Any]:
     """One run: scene, way, brokers, seed, and news where other than the way's."""
     scene, way, brokers, seed, other = job
-    giver, usual_news = WAYS[way]
-    plan = Plan(tenants(scene, brokers), giver, SETTINGS, brokers=brokers, holders=HOLDERS_A_BROKER * brokers,
-                news=other or usual_news)  # fmt: skip
-    found = World(plan, seed).run()
+    scheduler, usual_news = WAYS[way]
+    plan = Plan(tenants(scene, brokers), scheduler, SETTINGS, brokers=brokers,
+                holders=HOLDERS_A_BROKER * brokers, report_age=other or usual_news)  # fmt: skip
+    found = Simulation(plan, seed).run()
     weights = {tenant.name: tenant.weight for tenant in plan.tenants}
     return {
         "job": (scene, way, brokers, seed),
--- a/benchmarks/fair_ways.py
+++ b/benchmarks/fair_ways.py
@@ -15,9 +15,9 @@
 
 import click
 
-from quincepath.lab.fair_plan import Found, Plan, Tenant
-from quincepath.lab.fair_rivals import Fair, FirstCome, Giver
-from quincepath.lab.fair_world import World
+from quincepath.lab.fair_plan import Plan, Result, Tenant
+from quincepath.lab.fair_schedulers import FairQueueing, FirstCome, SlotScheduler
+from quincepath.lab.fair_simulation import Simulation
 from quincepath.limits.fair import Done, FairScheduler, FairSettings
 from quincepath.limits.fair.queues import Lane, Queue, Waiting
 from quincepath.limits.fair.tags import Tags
@@ -114,22 +114,22 @@
 
 def fair(
     turns: type[FairScheduler] = FairScheduler, tags: type[Tags] | None = None
-) -> Callable[[FairSettings, int], Giver]:
+) -> Callable[[FairSettings, int], SlotScheduler]:
     """Fair queues with another part in them."""
 
-    def make(settings: FairSettings, seed: int) -> Giver:
+    def make(settings: FairSettings, seed: int) -> SlotScheduler:
         class With(turns):  # type: ignore[misc, valid-type]
             def new_tags(self) -> Any:
                 return tags(self.settings, self.queues) if tags else super().new_tags()
 
-        giver = Fair(settings, seed)
-        giver.turns = With(settings, seed)
-        return giver
+        scheduler = FairQueueing(settings, seed)
+        scheduler.inner = With(settings, seed)
+        return scheduler
 
     return make
 
 
-WAYS: dict[str, tuple[Callable[[FairSettings, int], Giver], FairSettings]] = {
+WAYS: dict[str, tuple[Callable[[FairSettings, int], SlotScheduler], FairSettings]] = {
     "first-come": (FirstCome, CAPPED),
     "round robin by query": (fair(tags=RoundRobin), CAPPED),
     "deficit round robin by the guess": (fair(tags=Deficit), CAPPED),
@@ -151,9 +151,11 @@
 HUGE_ALL = (*(replace(TENANTS[8], name=f"huge {n}") for n in range(8)), TENANTS[-1])
 
 
-def play(way: str, seed: int, tenants: tuple[Tenant, ...] = TENANTS) -> Found:
-    giver, settings = WAYS[way]
-    return World(Plan(tenants, giver, settings, brokers=1, holders=6, until=90 * SECOND), seed).run()
+def play(way: str, seed: int, tenants: tuple[Tenant, ...] = TENANTS) -> Result:
+    scheduler, settings = WAYS[way]
+    return Simulation(
+        Plan(tenants, scheduler, settings, brokers=1, holders=6, length=90 * SECOND), seed
+    ).run()
 
 
 def percentile(values: list[int], share: float) -> float:
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -16,48 +16,46 @@
 import click
 
 from benchmarks.bad_day import RESULTS, machine
-from quincepath.lab.overload_world import Plan, Way, World, figures, scenes
-from quincepath.lab.overload_world.plan import SECOND
+from quincepath.lab.overload_simulation import Plan, Simulation, Strategy, figures, scenes
+from quincepath.lab.overload_simulation.plan import SECOND
 
 FILE = RESULTS / "fleet_overload.json"
 SETTLED = scenes.STEP_AT + 5 * SECOND  # goodput counts from 5 s after the step
-BACK_AT = scenes.LOST_AT + scenes.LOST_FOR
+BACK_AT = scenes.OUTAGE_AT + scenes.OUTAGE_DURATION
 SCENES: dict[str, Callable[[Plan], Plan]] = {
     "calm": scenes.calm,
     "twice": lambda plan: scenes.step(plan, 2.0),
     "three times": lambda plan: scenes.step(plan, 3.0),
     "five times": lambda plan: scenes.step(plan, 5.0),
     "trigger": scenes.trigger,
-    "no trigger": scenes.untriggered,
-    "late news": scenes.late_news,
-    "three times as late news": lambda plan: scenes.late_news(plan, 3),
-    "doubted": scenes.doubted,
-    "doubted, a tenth of the brokers": scenes.doubted,
+    "no trigger": scenes.without_trigger,
+    "late news": scenes.late_reports,
+    "three times as late news": lambda plan: scenes.late_reports(plan, 3),
+    "doubted": scenes.silent_holders,
+    "doubted, a tenth of the brokers": scenes.silent_holders,
 }
 FLOODED = ("twice", "three times", "five times", "late news", "three times as late news")
 
 
-def play(job: tuple[str, Way, int, int]) -> tuple[str, Way, dict[str, float]]:
+def play(job: tuple[str, Strategy, int, int]) -> tuple[str, Strategy, dict[str, float]]:
     """One run; its figures."""
     name, way, seed, size = job
     plan = SCENES[name](scenes.base(size // 10 if name == "doubted, a tenth of the brokers" else size, size))
     began = time.monotonic()
-    record = World(plan, way, seed).run()
+    record = Simulation(plan, way, seed).run()
     tries = sum(record.tries)
     found = {
         "goodput_5s_least": figures.worst_goodput(plan, record, SETTLED, plan.length),
         "goodput": figures.goodput(plan, record, SETTLED, plan.length),
         "shed_share": sum(record.shed) / tries,
-        "further_of_budget": figures.spent_of_budget(
-            record, scenes.BUDGET_RATIO, scenes.BUDGET_FREE, plan.length
-        ),
+        "further_of_budget": figures.budget_use(record, scenes.BUDGET_RATIO, scenes.BUDGET_FREE, plan.length),
         "out_of_order": figures.out_of_order(record, SETTLED, plan.length),
-        "line_swing": figures.swings(record, SETTLED, plan.length),
+        "line_swing": figures.threshold_swing(record, SETTLED, plan.length),
         "trials_a_second": trials(record, plan),
         "run_s": time.monotonic() - began,
     }
     if name in ("trigger", "no trigger"):
-        found["usual_after_s"] = figures.usual_again(record, BACK_AT, plan.length)
+        found["usual_after_s"] = figures.seconds_to_recovery(record, BACK_AT, plan.length)
         found["goodput_at_end"] = figures.goodput(plan, record, plan.length - 5 * SECOND, plan.length)
     return name, way, found
 
@@ -69,13 +67,13 @@
     for (second, holder), count in record.trials.items():
         if second >= since:
             counts[holder] = counts.get(holder, 0) + count
-    lost = plan.holders * sum(loss.share for loss in plan.losses if not loss.brokers)
+    lost = plan.holders * sum(outage.share for outage in plan.outages if not outage.brokers)
     span = plan.length // SECOND - since
     busiest = sorted(counts.values(), reverse=True)[: int(lost)]
     return sum(busiest) / len(busiest) / span if busiest else 0.0
 
 
-def row(name: str, way: Way, size: int, runs: list[dict[str, float]]) -> dict[str, object]:
+def row(name: str, way: Strategy, size: int, runs: list[dict[str, float]]) -> dict[str, object]:
     """Median and worst of the seeds; ``never``: seeds in which usual service did not come back."""
     made: dict[str, object] = {
         "scene": name,
@@ -109,8 +107,8 @@
 def main(seeds: int, first: int, size: int, workers: int, names: tuple[str, ...]) -> None:
     """Play scenes and keep their rows."""
     chosen = names or tuple(SCENES)
-    jobs = [(name, way, first + seed, size) for name in chosen for way in Way for seed in range(seeds)]
-    runs: dict[tuple[str, Way], list[dict[str, float]]] = {}
+    jobs = [(name, way, first + seed, size) for name in chosen for way in Strategy for seed in range(seeds)]
+    runs: dict[tuple[str, Strategy], list[dict[str, float]]] = {}
     with ProcessPoolExecutor(workers) as pool:
         for name, way, found in pool.map(play, jobs):
             runs.setdefault((name, way), []).append(found)
--- a/benchmarks/fleet_sharing.py
+++ b/benchmarks/fleet_sharing.py
@@ -19,13 +19,13 @@
 
 from benchmarks.fleet_view import hammer, used
 from quincepath.lab.demo import demo_config, make_cluster
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 
 RESULT = Path(__file__).parent / "results" / "fleet_sharing.json"
 ON: dict[str, Any] = {"ledger": {}, "overload": {}}
 
 
-def fleet(folder: Path, holders: list[dict[str, Any]], port: int, on: bool) -> list[Child]:
+def fleet(folder: Path, holders: list[dict[str, Any]], port: int, on: bool) -> list[ChildProcess]:
     """Three brokers on consecutive numbers."""
     peers = [{"name": f"q{n}", "address": f"127.0.0.1:{port + n}"} for n in range(3)]
     found = []
@@ -41,7 +41,7 @@
         path = folder / f"{on}-{number}.yaml"
         with path.open("w") as file:
             YAML(typ="safe").dump(values, file)
-        child = Child(f"{on}-{number}", folder / f"{on}-{number}.log")
+        child = ChildProcess(f"{on}-{number}", folder / f"{on}-{number}.log")
         child.start(["--log-level", "error", "serve", "-c", str(path)])
         found.append(child)
     return found
@@ -53,16 +53,16 @@
 def main(rounds: int, seconds: float) -> None:
     """Pairs of turns, off and on."""
     cluster = make_cluster(1, ["--work-ms", "0.1"], None)
-    fleets: dict[bool, list[Child]] = {}
+    fleets: dict[bool, list[ChildProcess]] = {}
     with tempfile.TemporaryDirectory() as name:
         try:
             cluster.start()
             for on, port in ((False, 21_000), (True, 21_010)):
                 fleets[on] = fleet(Path(name), cluster.entries(set()), port, on)
-            urls = {on: fleets[on][0].said()["remote_read"] for on in fleets}
+            urls = {on: fleets[on][0].startup_info()["remote_read"] for on in fleets}
             for on in fleets:
                 for child in fleets[on][1:]:
-                    child.said()
+                    child.startup_info()
             time.sleep(5)  # all have joined
             before = {on: used(fleets[on][0]) for on in fleets}
             time.sleep(10)
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -39,8 +39,8 @@
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.lab.fleet.verdict import SECOND
 from quincepath.lab.fleet.virtual import Virtual, play
-from quincepath.lab.load import Client, QuerySource, Seen
-from quincepath.lab.process import Child
+from quincepath.lab.load import Client, QueryResult, QuerySource
+from quincepath.lab.process import ChildProcess
 from quincepath.net.loop import Loop
 
 SIZES = (10, 50, 200, 500)
@@ -237,7 +237,7 @@
     emulate(port)
 
 
-def broker(folder: Path, holders: list[dict[str, Any]], port: int, on: bool) -> Child:
+def broker(folder: Path, holders: list[dict[str, Any]], port: int, on: bool) -> ChildProcess:
     """One broker, as b0 of the fleet or without."""
     values = demo_config(0, holders=holders)
     if on:
@@ -246,12 +246,12 @@
     path = folder / f"broker-{on}.yaml"
     with path.open("w") as file:
         YAML(typ="safe").dump(values, file)
-    child = Child(f"broker {on}", folder / f"broker-{on}.log")
+    child = ChildProcess(f"broker {on}", folder / f"broker-{on}.log")
     child.start(["--log-level", "error", "serve", "-c", str(path)])
     return child
 
 
-def used(child: Child) -> float:
+def used(child: ChildProcess) -> float:
     """Processor time so far, seconds."""
     times = psutil.Process(child.pid).cpu_times()
     return float(times.user + times.system)
@@ -265,7 +265,7 @@
     client = Client(loop, url)
     end = loop.clock() + int(seconds * SECOND)
 
-    def answered(seen: Seen) -> None:
+    def answered(seen: QueryResult) -> None:
         nonlocal count
         nonlocal asked
         assert seen.status == 200 or refusals, f"status {seen.status}"
@@ -299,7 +299,10 @@
             cluster.start()
             entries = cluster.entries(set())
             with_view, without = broker(folder, entries, port, True), broker(folder, entries, port, False)
-            urls = {True: with_view.said()["remote_read"], False: without.said()["remote_read"]}
+            urls = {
+                True: with_view.startup_info()["remote_read"],
+                False: without.startup_info()["remote_read"],
+            }
             time.sleep(10)  # all have joined
             before, began = used(with_view), time.monotonic()
             time.sleep(20)
--- a/benchmarks/map_forecast.py
+++ b/benchmarks/map_forecast.py
@@ -38,7 +38,7 @@
     forecast,
     verdict,
 )
-from quincepath.lab.map_world import SECOND, Pair, Run, draw, play
+from quincepath.lab.map_simulation import SECOND, Pair, Run, draw, simulate
 
 RESULTS = Path(__file__).parent / "results"
 NOON = 500_000 * 12 * 3600 * SECOND
@@ -50,7 +50,7 @@
 def sampled(run: Run, size: int = SIZE) -> Sample:
     """The brokers' samples of a run, merged."""
     brokers = [Sampler(f"b{n}", 1, size) for n in range(BROKERS)]
-    for number, one in enumerate(run.asked):
+    for number, one in enumerate(run.queries_run):
         broker, at = brokers[number % BROKERS], NOON + one.at
         broker.count(at)
         place = broker.hash_if_sampled(number)
@@ -64,9 +64,9 @@
     """The figures as they were."""
     seconds = run.span / SECOND
     found: dict[FigureKey, float] = {}
-    kinds = sorted({one.kind.name for one in run.asked})
+    kinds = sorted({one.kind.name for one in run.queries_run})
     for name in (*kinds, ""):
-        mine = [one for one in run.asked if name in ("", one.kind.name)]
+        mine = [one for one in run.queries_run if name in ("", one.kind.name)]
         if name:
             found[FigureKind.PARTS, name] = sum(len(one.parts) for one in mine) / len(mine)
         found[FigureKind.BYTES, name] = sum(part[4] for one in mine for part in one.parts) / seconds
@@ -85,7 +85,7 @@
     """
     seconds, grown = run.span / SECOND, len(pair.after.entries) / len(pair.before.entries)
     now = measured(run, pair)
-    parts = [part for one in run.asked for part in one.parts]
+    parts = [part for one in run.queries_run for part in one.parts]
     rate = len(parts) * grown / len(pair.after.entries) / seconds
     service = sum(part[2] for part in parts) / len(parts) / SECOND
     found = {place: value for place, value in now.items() if place[0] is FigureKind.MISS}
@@ -122,7 +122,7 @@
 def one(seed: int, queries: int, factors: dict[FigureKind, float]) -> dict[str, Any]:
     """A pair: forecast with and without the stored factors, then measured."""
     pair = draw(seed)
-    before = play(pair, pair.before, queries, seed * 2 + 1)
+    before = simulate(pair, pair.before, queries, seed * 2 + 1)
     sample = sampled(before)
     world = Environment(pair.holders, pair.slots, BROKERS, BROKERS)
     settings = ReplaySettings(measured_queries=queries)
@@ -133,7 +133,7 @@
         "limits": limits,
         "change": pair.change,
         "found": found,
-        "measured": measured(play(pair, pair.after, queries, seed * 2 + 2), pair),
+        "measured": measured(simulate(pair, pair.after, queries, seed * 2 + 2), pair),
         "baseline": baseline(before, pair),
         "verdicts": [verdict(each, limits, sample.until) for each in found],
     }
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -36,7 +36,7 @@
 from quincepath.fronts.remote_read.plan import Plan
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest
 from quincepath.interface import Result
-from quincepath.lab.load import Client, QueryPlan, Seen
+from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.membership.source import node_id
 from quincepath.net.http1 import Limits, Request, Response
 from quincepath.net.loop import Loop
@@ -273,7 +273,7 @@
     took: list[int] = []
     end = loop.clock() + int(seconds * 1e9)
 
-    def done(seen: Seen) -> None:
+    def done(seen: QueryResult) -> None:
         assert seen.status == 200, seen
         took.append(seen.took)
         if loop.clock() < end and len(took) + client.open < most:
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -28,7 +28,7 @@
 
 from quincepath.lab.cluster import Cluster
 from quincepath.lab.demo import demo_config, make_cluster
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 
 ROOT = Path(__file__).parent.parent
 MEMBERS = [f"m{number}" for number in range(8)]
@@ -139,7 +139,9 @@
         self.versions, self.folder = versions, folder
         self.cluster: Cluster = make_cluster(1, ["--work-ms", "1", "--tractors", "1"], folder)
         self.version_of = dict(VERSION_OF)
-        self.children = {name: Child(name, folder / f"{name}.log", versions.program) for name in MEMBERS}
+        self.children = {
+            name: ChildProcess(name, folder / f"{name}.log", versions.program) for name in MEMBERS
+        }
         self.metrics: dict[str, str] = {}
         self.urls: dict[str, str] = {}
         self.revision = 0
@@ -163,7 +165,7 @@
             environment = self.versions.environment(self.version_of[name])
             self.children[name].start(["serve", "-c", str(self.config_of(name))], environment)
         for name in names:
-            addresses = self.children[name].said()
+            addresses = self.children[name].startup_info()
             self.metrics[name] = addresses["metrics"].removesuffix("/metrics")
             self.urls[name] = addresses["remote_read"]
 
--- a/quincepath/cli/main.py
+++ b/quincepath/cli/main.py
@@ -25,7 +25,7 @@
 from quincepath.lab.audit import audit as run_audit
 from quincepath.lab.day import DayScript, run_day
 from quincepath.lab.demo import demo_config, make_cluster
-from quincepath.lab.openloop import Mix, OpenLoop, by_tenant
+from quincepath.lab.openloop import OpenLoop, QueryMix, by_tenant
 from quincepath.net.loop import READ, Loop
 from quincepath.observe.logs import setup
 from quincepath.standins.data import LABEL, METRICS, Store
@@ -353,7 +353,7 @@
         except ValueError:
             share, rest = 1.0, text
         matchers = tuple(parse_matcher(one) for one in (rest if sign else text).split(";"))
-        mixes.append(Mix(text, share, matchers, start, until, int(timeout * 1e9)))
+        mixes.append(QueryMix(text, share, matchers, start, until, int(timeout * 1e9)))
     try:
         weights = {name: float(weight or 1) for name, _, weight in (one.partition("=") for one in tenants)}
     except ValueError:
@@ -371,7 +371,7 @@
             "sent": result.sent,
             "unsent": result.unsent,
             "retried": result.retried,
-            "late_most_ms": result.late_most / 1e6,
+            "late_most_ms": result.max_lag / 1e6,
         }
         click.echo(json.dumps({**said, "queries": result.rows()}))
     else:
--- a/quincepath/lab/cluster.py
+++ b/quincepath/lab/cluster.py
@@ -9,11 +9,11 @@
 
 from ruamel.yaml import YAML
 
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 from quincepath.standins.record import Told, Writer
 
 
-class HolderProcess(Child):
+class HolderProcess(ChildProcess):
     """One holder: how to start it, and its process while it runs."""
 
     def __init__(
@@ -49,7 +49,7 @@
 
     def wait(self) -> None:
         """Until it serves. Raises ``StartError``."""
-        self.port = self.first_line("port")
+        self.port = self.startup_value("port")
         self.started = time.time()
 
     def control(self, fault: str) -> None:
--- a/quincepath/lab/day.py
+++ b/quincepath/lab/day.py
@@ -23,8 +23,8 @@
 from quincepath.lab.audit import Report, audit
 from quincepath.lab.cluster import Cluster, HolderProcess
 from quincepath.lab.demo import DISTRICTS, demo_config, make_cluster
-from quincepath.lab.load import Client, QuerySource, Seen
-from quincepath.lab.process import PROGRAM, Child
+from quincepath.lab.load import Client, QueryResult, QuerySource
+from quincepath.lab.process import PROGRAM, ChildProcess
 from quincepath.net.loop import Loop
 from quincepath.shards.shardmap import ShardMap
 from quincepath.standins.leaf import Faults
@@ -108,7 +108,7 @@
         self.cluster.record = self.writer
         self.by_name = {holder.name: holder for holder in self.cluster.holders}
         self.fresh: set[str] = set()  # holders whose start the roster knows
-        self.broker = Child("the broker", folder / "broker.log", broker)
+        self.broker = ChildProcess("the broker", folder / "broker.log", broker)
         self.outcomes: Counter[str] = Counter()
         self.good = 0
         self.starting: dict[str, HolderProcess] = {}
@@ -160,7 +160,7 @@
 
     def start_broker(self) -> str:
         self.broker.start([str(self.folder / "broker.yaml")])
-        return str(self.broker.first_line("remote_read"))
+        return str(self.broker.startup_value("remote_read"))
 
     def schedule(self, config: Config, client: Client) -> None:
         script = self.script
@@ -193,7 +193,7 @@
     def all_asked(self) -> bool:
         return self.asked == self.total
 
-    def ended(self, seen: Seen, targets: dict[str, int]) -> None:
+    def ended(self, seen: QueryResult, targets: dict[str, int]) -> None:
         mark = seen.response.headers.get("quincepath-answer", "") if seen.response else ""
         kind = mark or {503: "refused", 502: "failed", 504: "failed", 0: "lost", -1: "none"}.get(
             seen.status, f"status {seen.status}"
--- a/quincepath/lab/emulator/processes.py
+++ b/quincepath/lab/emulator/processes.py
@@ -8,12 +8,12 @@
 
 from ruamel.yaml import YAML
 
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 from quincepath.net.loop import Loop
 from quincepath.standins.record import Told, Writer
 
 
-class BrokerProcess(Child):
+class BrokerProcess(ChildProcess):
     """One broker: its configuration file, its process while it runs, and where it serves."""
 
     def __init__(self, number: int, zone: str, folder: Path) -> None:
@@ -34,7 +34,7 @@
 
     def wait(self) -> None:
         """Until it serves. Raises ``StartError``."""
-        self.url = self.first_line("remote_read")
+        self.url = self.startup_value("remote_read")
         self.alive = True
 
     def kill(self) -> None:
--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -20,7 +20,7 @@
 from quincepath.lab.emulator.processes import BrokerProcess, Lists
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.staging import Staging
-from quincepath.lab.load import Client, QueryPlan, Seen
+from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.net.loop import Loop
 from quincepath.standins.data import END_MS, STEP_MS
 from quincepath.standins.leaf import HEAVY, INCIDENT, POISON
@@ -319,7 +319,7 @@
         plan = self._plan(kind, shards, meant, patience)
         if not told:
             del plan.headers["X-Quincepath-Timeout"]
-            plan = replace(plan, told=entry.deadline)
+            plan = replace(plan, stated_timeout=entry.deadline)
         if traffic.marks:
             plan.headers["Idempotency-Key"] = name
         if traffic.desks > 1:
@@ -327,7 +327,7 @@
         if tries:
             plan.headers["Retry-Attempt"] = str(tries)
 
-        def ended(seen: Seen) -> None:
+        def ended(seen: QueryResult) -> None:
             headers = seen.response.headers if seen.response else {}
             if seen.status == 200:
                 whole = headers.get("quincepath-answer") == "whole"
--- a/quincepath/lab/fair_plan.py
+++ b/quincepath/lab/fair_plan.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from quincepath.lab.fair_rivals import Giver
+from quincepath.lab.fair_schedulers import SlotScheduler
 from quincepath.limits.fair import FairSettings
 from quincepath.limits.fair.types import MS, SECOND
 
 WINDOW = 10 * SECOND
 
-News = Callable[[Random], int | None]
+ReportAge = Callable[[Random], int | None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,15 +35,15 @@
     """One run: ``kill`` is (when, which broker); it is back at once, empty."""
 
     tenants: tuple[Tenant, ...]
-    giver: Callable[[FairSettings, int], Giver]
+    scheduler: Callable[[FairSettings, int], SlotScheduler]
     settings: FairSettings
     brokers: int = 20
     holders: int = 40
     holder_slots: int = 8
-    warm: int = 10 * SECOND  # what was asked or refused before is not counted
-    until: int = 30 * SECOND
-    news: News | None = None
-    news_every: int = 200 * MS
+    warmup: int = 10 * SECOND  # what was asked or refused before is not counted
+    length: int = 30 * SECOND
+    report_age: ReportAge | None = None
+    report_interval: int = 200 * MS
     kill: tuple[int, int] | None = None
 
 
@@ -61,14 +61,14 @@
 
 
 @dataclass(slots=True)
-class Found:
+class Result:
     """What came of a run; times in ns."""
 
     used: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))  # by window
-    wants: dict[str, Counter[int]] = field(
+    backlogged: dict[str, Counter[int]] = field(
         default_factory=lambda: defaultdict(Counter)
     )  # looks at which it did
-    looks: Counter[int] = field(default_factory=Counter)
+    samples: Counter[int] = field(default_factory=Counter)
     waits: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     refused: Counter[str] = field(default_factory=Counter)
     late: int = 0
@@ -80,8 +80,8 @@
         """Of weighted slot time among those that wanted more all the window; None below two of them."""
         got = [
             self.used[name][window] / weights[name]
-            for name, looks in self.wants.items()
-            if looks[window] == self.looks[window]
+            for name, samples in self.backlogged.items()
+            if samples[window] == self.samples[window]
         ]
         if len(got) < 2 or not sum(got):
             return None
--- a/quincepath/lab/fair_rivals.py
+++ b/quincepath/lab/fair_schedulers.py
@@ -29,7 +29,7 @@
 ADVICE = 500_000_000
 
 
-class Giver(Protocol):
+class SlotScheduler(Protocol):
     """One a broker. ``idle``: slots that are free of those that slow queries may have."""
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]: ...
@@ -43,26 +43,26 @@
     def waiting(self) -> Counter[str]: ...
 
 
-class Fair:
+class FairQueueing:
     """Fair queues; news of the ledger come as an input, or do not."""
 
     def __init__(self, settings: FairSettings, seed: int) -> None:
-        self.turns = FairScheduler(settings, seed)
+        self.inner = FairScheduler(settings, seed)
 
     def step(self, now: int, inputs: Iterable[Input]) -> list[Output]:
-        return self.turns.step(now, inputs)
+        return self.inner.step(now, inputs)
 
     def due(self) -> int | None:
-        return self.turns.due()
+        return self.inner.due()
 
     def served(self) -> dict[str, int]:
-        return self.turns.served()
+        return self.inner.served()
 
     def idle(self) -> int:
-        return max(0, self.turns.settings.slow_slots - self.turns.pool.slow)
+        return max(0, self.inner.settings.slow_slots - self.inner.pool.slow)
 
     def waiting(self) -> Counter[str]:
-        return Counter(one.tenant for one, _ in self.turns.queues.waiting.values())
+        return Counter(one.tenant for one, _ in self.inner.queues.waiting.values())
 
 
 class FirstCome:
--- a/quincepath/lab/fair_world.py
+++ b/quincepath/lab/fair_simulation.py
@@ -19,22 +19,22 @@
 from functools import partial
 from random import Random
 
-from quincepath.lab.fair_plan import WINDOW, Found, Plan, Query, Tenant
+from quincepath.lab.fair_plan import WINDOW, Plan, Query, Result, Tenant
 from quincepath.limits.fair import Done, Enter, Footprint, Freed, Input, Refuse, RemoteUsage, Run
 from quincepath.limits.fair.types import MS, SECOND
 
 LOOK_EVERY = 250 * MS
 
 
-class World:
+class Simulation:
     """One run of a plan; the same seed, the same run."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan, self.seed = plan, seed
         self.random = Random(seed)
         self.now = 0
-        self.found = Found()
-        self.givers = [plan.giver(plan.settings, seed * 1000 + n) for n in range(plan.brokers)]
+        self.result = Result()
+        self.schedulers = [plan.scheduler(plan.settings, seed * 1000 + n) for n in range(plan.brokers)]
         self.queries: dict[int, Query] = {}
         self.load = [0] * plan.holders
         self.holder_queue: list[deque[tuple[int, int]]] = [deque() for _ in range(plan.holders)]
@@ -46,7 +46,7 @@
         self._idle: list[tuple[int, bool, int]] = [(0, False, 0)] * plan.brokers  # idle, contended, since
         self._number = self._order = 0
 
-    def run(self) -> Found:
+    def run(self) -> Result:
         """To the end of the plan; what waits then counts as having waited until then."""
         for tenant in self.plan.tenants:
             for broker in tenant.brokers:
@@ -55,20 +55,20 @@
             if tenant.rate:
                 self._at(self._gap(tenant), partial(self._open, tenant))
         self._at(0, self._look)
-        if self.plan.news is not None:
+        if self.plan.report_age is not None:
             self._at(0, self._ledger)
         if self.plan.kill is not None:
             self._at(self.plan.kill[0], self._kill)
-        while self._events and self._events[0][0] <= self.plan.until:
+        while self._events and self._events[0][0] <= self.plan.length:
             self.now, _, what = heapq.heappop(self._events)
             what()
-        self.now = self.plan.until
+        self.now = self.plan.length
         for broker in range(self.plan.brokers):
             self._account(broker)
         for query in self.queries.values():
             if not query.started:
                 self._waited(query)
-        return self.found
+        return self.result
 
     def _at(self, when: int, what: Callable[[], None]) -> None:
         self._order += 1
@@ -107,8 +107,8 @@
     # --- brokers ---
 
     def _tell(self, broker: int, *inputs: Input) -> None:
-        giver = self.givers[broker]
-        for output in giver.step(self.now, inputs):
+        scheduler = self.schedulers[broker]
+        for output in scheduler.step(self.now, inputs):
             query = self.queries[output.number]
             if isinstance(output, Run):
                 query.started, query.left = True, query.tenant.parts
@@ -116,18 +116,18 @@
                 for _ in range(query.tenant.parts):
                     self._send(output.number)
             elif isinstance(output, Refuse):
-                self.found.refused[output.cause] += self.now >= self.plan.warm
+                self.result.refused[output.cause] += self.now >= self.plan.warmup
                 self.away[broker][query.tenant.name] += 1
                 self._at(self.now + output.retry_in, partial(self._back, output.number))
         self._account(broker)
-        due = giver.due()
+        due = scheduler.due()
         if due is not None and due != self._dues[broker]:
             self._at(due, partial(self._due, broker, due))
         self._dues[broker] = due
 
     def _waited(self, query: Query) -> None:
-        if query.asked >= self.plan.warm:
-            self.found.waits[query.tenant.name].append(self.now - query.asked)
+        if query.asked >= self.plan.warmup:
+            self.result.waits[query.tenant.name].append(self.now - query.asked)
 
     def _due(self, broker: int, when: int) -> None:
         if self._dues[broker] == when:
@@ -139,17 +139,17 @@
         idle, contended, since = self._idle[broker]
         slots = self.plan.settings.slow_slots
         if contended:
-            self.found.idle += idle * (self.now - since)
-            self.found.contended += slots * (self.now - since)
-        giver = self.givers[broker]
-        waits = bool(giver.waiting()) or any(self.away[broker].values())
-        self._idle[broker] = giver.idle(), waits, self.now
+            self.result.idle += idle * (self.now - since)
+            self.result.contended += slots * (self.now - since)
+        scheduler = self.schedulers[broker]
+        waits = bool(scheduler.waiting()) or any(self.away[broker].values())
+        self._idle[broker] = scheduler.idle(), waits, self.now
 
     def _kill(self) -> None:
         """Its queries are lost; their clients ask its neighbour, or it again. Parts run on at the holders."""
         assert self.plan.kill is not None
         broker = self.plan.kill[1]
-        self.givers[broker] = self.plan.giver(self.plan.settings, self.seed * 1000 + 999)
+        self.schedulers[broker] = self.plan.scheduler(self.plan.settings, self.seed * 1000 + 999)
         self._dues[broker] = None
         self.told[broker] = Counter()
         lost = [n for n, query in self.queries.items() if query.broker == broker]
@@ -177,7 +177,7 @@
             while at < end:
                 window = at // WINDOW
                 upto = min(end, (window + 1) * WINDOW)
-                self.found.used[query.tenant.name][window] += upto - at
+                self.result.used[query.tenant.name][window] += upto - at
                 at = upto
         self._at(self.now + took, partial(self._worked, holder, number, sent))
 
@@ -194,7 +194,7 @@
             self._tell(query.broker, Freed(number, 1))
             return
         del self.queries[number]
-        self.found.answered += 1
+        self.result.answered += 1
         self._tell(query.broker, Done(number, query.used))
         if query.tenant.clients:
             self._ask(query.tenant, query.broker)
@@ -203,26 +203,26 @@
 
     def _look(self) -> None:
         window = self.now // WINDOW
-        self.found.looks[window] += 1
-        wants: Counter[str] = Counter()
-        for giver, away in zip(self.givers, self.away, strict=True):
-            wants.update(giver.waiting())
-            wants.update(away)
+        self.result.samples[window] += 1
+        backlogged: Counter[str] = Counter()
+        for scheduler, away in zip(self.schedulers, self.away, strict=True):
+            backlogged.update(scheduler.waiting())
+            backlogged.update(away)
         for tenant in self.plan.tenants:
-            self.found.wants[tenant.name][window] += wants[tenant.name] > 0
+            self.result.backlogged[tenant.name][window] += backlogged[tenant.name] > 0
         self._at(self.now + LOOK_EVERY, self._look)
 
     def _ledger(self) -> None:
         """Each broker hears what all others had served some time ago."""
-        assert self.plan.news is not None
-        for giver, told in zip(self.givers, self.told, strict=True):
-            told.update(giver.served())
+        assert self.plan.report_age is not None
+        for scheduler, told in zip(self.schedulers, self.told, strict=True):
+            told.update(scheduler.served())
         self.past.append((self.now, [told.copy() for told in self.told]))
         while len(self.past) > 1 and self.past[0][0] < self.now - 10 * SECOND:
             self.past.popleft()
         totals: dict[int, Counter[str]] = {}
         for broker in range(self.plan.brokers):
-            ago = self.plan.news(self.random)
+            ago = self.plan.report_age(self.random)
             if ago is None:
                 continue
             then, all_told = next(
@@ -235,4 +235,4 @@
             own = all_told[broker]
             served = {name: total - own[name] for name, total in totals[then].items()}
             self._tell(broker, RemoteUsage(served, self.now - then))
-        self._at(self.now + self.plan.news_every, self._ledger)
+        self._at(self.now + self.plan.report_interval, self._ledger)
--- a/quincepath/lab/fleet/run/inside.py
+++ b/quincepath/lab/fleet/run/inside.py
@@ -51,7 +51,7 @@
     def ready(self) -> bool:
         return True
 
-    def said(self) -> dict[str, Any]:
+    def startup_info(self) -> dict[str, Any]:
         assert self.broker is not None and self.broker.fleet is not None
         return {
             "remote_read": self.broker.url, "metrics": self.broker.metrics_url,
--- a/quincepath/lab/fleet/run/processes.py
+++ b/quincepath/lab/fleet/run/processes.py
@@ -17,7 +17,7 @@
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.lab.fleet.verdict import SECOND, Verdict, Watcher
 from quincepath.lab.load import Client, QuerySource
-from quincepath.lab.process import PROGRAM, Child
+from quincepath.lab.process import PROGRAM, ChildProcess
 from quincepath.net.loop import Loop
 from quincepath.standins.record import Halt, Mark, Writer
 
@@ -25,7 +25,7 @@
 LOOK = 50 * MS  # between looks at processes that come up or end
 
 
-class Seat(Child):
+class Seat(ChildProcess):
     """One broker process and what is known of it from outside."""
 
     def __init__(self, place: str, name: str, number: int, folder: Path) -> None:
@@ -134,7 +134,7 @@
         self._comes_up(seat)
 
     def _comes_up(self, seat: Seat) -> None:
-        where = seat.said()
+        where = seat.startup_info()
         seat.url, seat.metrics = where["remote_read"], where["metrics"]
         host, _, port = where["fleet"].rpartition(":")
         seat.up = True
--- a/quincepath/lab/fleet/run/queries.py
+++ b/quincepath/lab/fleet/run/queries.py
@@ -6,7 +6,7 @@
 from quincepath.lab.fleet.run.processes import Processes, Seat
 from quincepath.lab.fleet.script import FaultEntry
 from quincepath.lab.fleet.verdict import SECOND
-from quincepath.lab.load import SCOPE, QueryPlan, QuerySource, Seen
+from quincepath.lab.load import SCOPE, QueryPlan, QueryResult, QuerySource
 
 MARK = "Idempotency-Key"
 REPEAT = "Retry-Attempt"
@@ -85,7 +85,7 @@
         wanted = not places or seat.name in places
         return wanted and seat.up and not seat.still and seat.client is not None
 
-    def _answered(self, seen: Seen, name: str, places: list[str], number: int) -> None:
+    def _answered(self, seen: QueryResult, name: str, places: list[str], number: int) -> None:
         self.open -= 1
         mark = seen.response.headers.get("quincepath-answer", "") if seen.response else ""
         self.answers[mark or {0: "lost", -1: "given up"}.get(seen.status, str(seen.status))] += 1
--- a/quincepath/lab/load.py
+++ b/quincepath/lab/load.py
@@ -28,11 +28,11 @@
     request: ReadRequest
     patience: int  # ns
     headers: dict[str, str] = field(default_factory=dict)
-    told: int = 0  # ns that the broker takes it to wait, where that is not its patience
+    stated_timeout: int = 0  # ns that the broker takes it to wait, where that is not its patience
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class QueryResult:
     """What came of one query. ``status`` 0: connection lost, -1: gave up."""
 
     plan: QueryPlan
@@ -93,13 +93,13 @@
         self.idle: list[_Line] = []
         self.open = 0
 
-    def ask(self, name: str, plan: QueryPlan, done: Callable[[Seen], None]) -> None:
+    def ask(self, name: str, plan: QueryPlan, done: Callable[[QueryResult], None]) -> None:
         """Send one query; ``done`` is called once."""
         self.open += 1
         began = self.loop.clock()
         if self.record:
             ask = plan.headers.get("Idempotency-Key", "")
-            told = plan.told or plan.patience
+            told = plan.stated_timeout or plan.patience
             tenant = plan.headers.get(SCOPE, "")
             self.record.write(Ask(began, name, plan.kind, plan.shards, told, self.broker, ask, tenant))
         over = False
@@ -116,7 +116,7 @@
             now = self.loop.clock()
             if self.record:
                 self.record.write(_end_line(now, name, status, response))
-            done(Seen(plan, status, now - began, response))
+            done(QueryResult(plan, status, now - began, response))
 
         def gave_up() -> None:
             line.done = None
--- a/quincepath/lab/map_world.py
+++ b/quincepath/lab/map_simulation.py
@@ -18,23 +18,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Class:
+class QueryClass:
     """Of ``share`` of the queries: ``least`` to ``most`` values (0: all), cost of a part in ns and bytes as
     (fixed, by value), the target in ns."""
 
     name: str
     share: float
-    least: int
-    most: int
+    min_values: int
+    max_values: int
     service: tuple[float, float]
     merged: tuple[float, float]
     target: int
 
 
 CLASSES = (
-    Class("point", 0.75, 1, 2, (3.0 * MS, 6.0 * MS), (300, 900), 60 * MS),
-    Class("page", 0.22, 3, 10, (4.0 * MS, 8.0 * MS), (500, 4000), 250 * MS),
-    Class("wide", 0.03, 0, 0, (6.0 * MS, 3.0 * MS), (600, 1500), 1500 * MS),
+    QueryClass("point", 0.75, 1, 2, (3.0 * MS, 6.0 * MS), (300, 900), 60 * MS),
+    QueryClass("page", 0.22, 3, 10, (4.0 * MS, 8.0 * MS), (500, 4000), 250 * MS),
+    QueryClass("wide", 0.03, 0, 0, (6.0 * MS, 3.0 * MS), (600, 1500), 1500 * MS),
 )
 
 
@@ -62,11 +62,11 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class SimulatedQuery:
     """One query as it was: parts are (values, calls, service, took, bytes)."""
 
     at: int
-    kind: Class
+    kind: QueryClass
     parts: list[tuple[tuple[str, ...], int, int, int, int]]
     took: int
 
@@ -75,23 +75,23 @@
 class Run:
     """What was: the queries, and by holder (set, index) its calls and its work in ns."""
 
-    asked: list[Asked] = field(default_factory=list)
+    queries_run: list[SimulatedQuery] = field(default_factory=list)
     calls: dict[tuple[str, int], int] = field(default_factory=dict)
     work: dict[tuple[str, int], int] = field(default_factory=dict)
     span: int = 1
 
 
-def _values(traffic: Traffic, kind: Class, random: Random) -> Iterable[str]:
-    if not kind.most:
+def _values(traffic: Traffic, kind: QueryClass, random: Random) -> Iterable[str]:
+    if not kind.max_values:
         return traffic.values
-    most = min(random.randint(kind.least, kind.most), len(traffic.values))
+    max_values = min(random.randint(kind.min_values, kind.max_values), len(traffic.values))
     found: dict[str, None] = {}
-    while len(found) < most:
+    while len(found) < max_values:
         found[traffic.values[bisect(traffic.popular, random.random() * traffic.popular[-1])]] = None
     return found
 
 
-def play(pair: Pair, version: MapVersion, queries: int, seed: int) -> Run:
+def simulate(pair: Pair, version: MapVersion, queries: int, seed: int) -> Run:
     """So many queries through a map."""
     random, run, places = Random(seed), Run(), version.places()
     traffic = pair.traffic
@@ -121,7 +121,9 @@
                 took = min(took or 1 << 62, begin + service - now + int(random.expovariate(1) * MS))
             parts.append((tuple(values), calls, service, took, merged))
             last = max(last, took)
-        run.asked.append(Asked(now, kind, parts, last + MS + sum(part[4] for part in parts) * 4))
+        run.queries_run.append(
+            SimulatedQuery(now, kind, parts, last + MS + sum(part[4] for part in parts) * 4)
+        )
     run.span = max(1, now)
     return run
 
@@ -156,7 +158,7 @@
 )
 
 
-def changed(
+def apply_change(
     entries: tuple[MapEntry, ...], change: str, hot: tuple[str, ...], random: Random
 ) -> tuple[MapEntry, ...]:
     """The map after a change."""
@@ -210,7 +212,7 @@
     popular = tuple(accumulate(weight[value] for value in values))
     before = MapVersion(1, "district", tuple(entries), False)
     change = random.choice(CHANGES)
-    after = MapVersion(2, "district", changed(before.entries, change, tuple(ranked), random), False)
+    after = MapVersion(2, "district", apply_change(before.entries, change, tuple(ranked), random), False)
     holders = {group: random.randint(2, 3) for group in {**before.sets(), **after.sets()}}
     traffic = Traffic(tuple(values), popular, costs, 1.0)
     work = _work(traffic, before, random)
--- a/quincepath/lab/openloop.py
+++ b/quincepath/lab/openloop.py
@@ -14,7 +14,7 @@
 
 from quincepath.fronts.remote_read.codec import encode
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest
-from quincepath.lab.load import Client, QueryPlan, Seen
+from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.net.loop import Loop
 
 US = 1_000  # ns; histograms count microseconds
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Mix:
+class QueryMix:
     """One kind of query in the load: its matchers, weight and time range (ms since the epoch)."""
 
     name: str
@@ -43,7 +43,7 @@
         return QueryPlan(self.name, [], encode(request), request, self.patience, dict(self.headers))
 
 
-def by_tenant(mixes: list[Mix], tenants: dict[str, float], header: str) -> list[Mix]:
+def by_tenant(mixes: list[QueryMix], tenants: dict[str, float], header: str) -> list[QueryMix]:
     """Each kind of query for each tenant, by the tenants' weights, named in ``header``."""
     return [
         replace(
@@ -65,7 +65,7 @@
     outcomes: dict[str, Counter[str]] = field(default_factory=dict)
     sent: int = 0
     unsent: int = 0  # due while ``most_open`` were open: counted, never silently dropped
-    late_most: int = 0
+    max_lag: int = 0
     retried: int = 0
 
     def rows(self) -> list[dict[str, Any]]:
@@ -87,7 +87,7 @@
         self,
         loop: Loop,
         url: str,
-        mixes: list[Mix],
+        mixes: list[QueryMix],
         rate: float,
         seconds: float,
         seed: int,
@@ -126,7 +126,7 @@
         while self.next < len(self.schedule) and self.schedule[self.next][0] <= now:
             due, kind = self.schedule[self.next]
             self.next += 1
-            self.result.late_most = max(self.result.late_most, now - due)
+            self.result.max_lag = max(self.result.max_lag, now - due)
             if self.client.open >= self.most_open:
                 self.result.unsent += 1
                 self.result.outcomes[self.mixes[kind].name]["unsent"] += 1
@@ -136,10 +136,10 @@
             self.client.ask(name, self.plans[kind], self._ended(due, kind, name))
         self._arm()
 
-    def _ended(self, due: int, kind: int, name: str, tries: int = 0) -> Callable[[Seen], None]:
+    def _ended(self, due: int, kind: int, name: str, tries: int = 0) -> Callable[[QueryResult], None]:
         mix = self.mixes[kind]
 
-        def ended(seen: Seen) -> None:
+        def ended(seen: QueryResult) -> None:
             headers = seen.response.headers if seen.response else {}
             if seen.status == 200:
                 self.result.outcomes[mix.name][headers.get("quincepath-answer", "unmarked")] += 1
--- a/quincepath/lab/overload_world/queries.py
+++ b/quincepath/lab/overload_simulation/queries.py
@@ -1,8 +1,8 @@
-"""Tries of queries and their parts."""
+"""Tries of queries and their parts; a cell is the number of a replica set."""
 
 
 class Query:
-    """One try of a user's query at one broker."""
+    """One try of a user's query at one broker. ``life``: the broker's process, to detect that it has died."""
 
     __slots__ = ("kind", "tenant", "client", "cells", "broker", "began", "tries", "open", "over", "life",
                  "parts")  # fmt: skip
@@ -14,7 +14,7 @@
 
 
 class Part:
-    """One part of a try; ``sends`` counts attempts."""
+    """One part of a try. ``sends`` counts attempts; ``out`` lists the holders of those in flight."""
 
     __slots__ = ("query", "cell", "done", "sends", "work", "out")
 
--- a/quincepath/lab/process.py
+++ b/quincepath/lab/process.py
@@ -19,7 +19,7 @@
     """A process did not come up; the text says which and what it said."""
 
 
-class Child:
+class ChildProcess:
     """One process by name, started again as often as wanted; ``log`` takes its standard error, appended."""
 
     def __init__(self, name: str, log: Path | None = None, program: list[str] = PROGRAM) -> None:
@@ -32,7 +32,7 @@
         return 0 if self.process is None else self.process.pid
 
     def start(self, words: list[str], environment: dict[str, str] | None = None) -> None:
-        """Start the program with these words; ``first_line`` or ``ready`` tell when it serves."""
+        """Start the program with these words; ``startup_value`` or ``ready`` tell when it serves."""
         log = None if self.log is None else self.log.open("a")
         try:
             # Children that serve for their parent only end with their standard input.
@@ -55,7 +55,7 @@
             selector.register(self.process.stdout, selectors.EVENT_READ)
             return bool(selector.select(0))
 
-    def said(self) -> dict[str, Any]:
+    def startup_info(self) -> dict[str, Any]:
         """Wait for the line that tells where it serves. Raises ``StartError``."""
         assert self.process is not None and self.process.stdout is not None
         line = self.process.stdout.readline()
@@ -66,9 +66,9 @@
             where = "" if self.log is None else f", see {self.log}"
             raise StartError(f"{self.name} said {line!r}, exit status {status}{where}") from None
 
-    def first_line(self, key: str) -> Any:
+    def startup_value(self, key: str) -> Any:
         """Of the line that tells where it serves, one value. Raises ``StartError``."""
-        said = self.said()
+        said = self.startup_info()
         if key not in said:
             raise StartError(f"{self.name} said {said}, without {key!r}")
         return said[key]
--- a/tests/exact/plays.py
+++ b/tests/exact/plays.py
@@ -13,17 +13,17 @@
 
 from quincepath.config.load import load
 from quincepath.fleet.load_reports.types import SECOND
-from quincepath.lab import map_world
+from quincepath.lab import map_simulation
 from quincepath.lab.emulator.rehearsal import rehearse
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.fair_plan import Plan, Tenant
-from quincepath.lab.fair_rivals import Fair
-from quincepath.lab.fair_world import World as FairWorld
+from quincepath.lab.fair_schedulers import FairQueueing
+from quincepath.lab.fair_simulation import Simulation as FairSimulation
 from quincepath.lab.fleet.ledger_world import LedgerWorld, Network
 from quincepath.lab.fleet.run import InsideRun
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.lab.fleet.virtual import Virtual
-from quincepath.lab.overload_world import Way, World, scenes
+from quincepath.lab.overload_simulation import Simulation, Strategy, scenes
 from quincepath.limits.fair import FairSettings
 from tests.fleet.test_inside import DAY
 
@@ -79,7 +79,7 @@
 def overload(folder: Path) -> bytes:
     """Twenty brokers under five times the load."""
     plan = replace(scenes.step(scenes.base(20, 20), 5.0), length=18 * SECOND)
-    return repr(World(plan, Way.ONE, 1).run()).encode()
+    return repr(Simulation(plan, Strategy.FLEET, 1).run()).encode()
 
 
 def fair(folder: Path) -> bytes:
@@ -88,16 +88,18 @@
     tenants = tuple(Tenant(f"tenant {n}", everywhere, clients=2 + 2 * n) for n in range(4))
     settings = FairSettings(slots=10, quick_slots=2)
     plan = Plan(
-        tenants, Fair, settings, brokers=5, holders=10, until=15 * SECOND,
-        news=lambda random: random.randrange(SECOND), kill=(12 * SECOND, 1),
+        tenants, FairQueueing, settings, brokers=5, holders=10, length=15 * SECOND,
+        report_age=lambda random: random.randrange(SECOND), kill=(12 * SECOND, 1),
     )  # fmt: skip
-    return repr(FairWorld(plan, 3).run()).encode()
+    return repr(FairSimulation(plan, 3).run()).encode()
 
 
 def maps(folder: Path) -> bytes:
     """Queries through a drawn shard map and the one after it."""
-    pair = map_world.draw(5)
-    return repr([map_world.play(pair, version, 500, 5) for version in (pair.before, pair.after)]).encode()
+    pair = map_simulation.draw(5)
+    return repr(
+        [map_simulation.simulate(pair, version, 500, 5) for version in (pair.before, pair.after)]
+    ).encode()
 
 
 WORLDS: dict[str, Play] = {
--- a/tests/fleet/distribution/processes.py
+++ b/tests/fleet/distribution/processes.py
@@ -14,7 +14,7 @@
 from quincepath.cli.main import fetch, main
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest
 from quincepath.lab.demo import demo_config, make_cluster
-from quincepath.lab.process import PROGRAM, Child
+from quincepath.lab.process import PROGRAM, ChildProcess
 from quincepath.standins.record import Got, read
 from tests.test_fleet_processes import free_ports, until
 
@@ -36,7 +36,7 @@
     def __init__(self, folder: Path, injected: Injected) -> None:
         self.folder = folder
         self.cluster = make_cluster(1, ["--work-ms", "1", "--tractors", "1"], folder)
-        self.children = {name: Child(name, folder / f"{name}.log") for name in MEMBERS}
+        self.children = {name: ChildProcess(name, folder / f"{name}.log") for name in MEMBERS}
         self.metrics: dict[str, str] = {}
         self.urls: dict[str, str] = {}
         self.answers: Counter[str] = Counter()
@@ -76,7 +76,7 @@
         self.children[name].start(["serve", "-c", str(self.folder / f"{name}.yaml")])
 
     def up(self, name: str) -> None:
-        said = self.children[name].said()
+        said = self.children[name].startup_info()
         self.metrics[name] = said["metrics"].removesuffix("/metrics")
         self.urls[name] = said["remote_read"]
 
--- a/tests/fleet/forecast/test_hard_cases.py
+++ b/tests/fleet/forecast/test_hard_cases.py
@@ -32,7 +32,7 @@
 from quincepath.fleet.forecast.accuracy import MAX_ADOPTIONS_KEPT, MAX_FACTOR
 from quincepath.fleet.forecast.footprints import HOUR_NS
 from quincepath.fleet.forecast.tail import Queues, erlang_c, fit
-from quincepath.lab.map_world import draw, play
+from quincepath.lab.map_simulation import draw, simulate
 from tests.fleet.forecast.builders import EPOCH, SECOND, sample, version
 
 QUERIES = [
@@ -164,11 +164,11 @@
     ours = theirs = 0.0
     for seed in (3, 8, 12):
         pair = draw(seed)
-        before = play(pair, pair.before, 3000, 1)
+        before = simulate(pair, pair.before, 3000, 1)
         world = Environment(pair.holders, pair.slots, BROKERS, BROKERS)
         settings = ReplaySettings(measured_queries=3000)
         figures = forecast(sampled(before), pair.before, pair.after, world, settings).figures
-        after, naive = measured(play(pair, pair.after, 3000, 2), pair), baseline(before, pair)
+        after, naive = measured(simulate(pair, pair.after, 3000, 2), pair), baseline(before, pair)
         loads = [key for key in after if key[0] is FigureKind.LOAD]
         ours += sum(abs(figures[key].value - after[key]) for key in loads)
         theirs += sum(abs(naive[key] - after[key]) for key in loads)
--- a/tests/fleet/overload/test_world.py
+++ b/tests/fleet/overload/test_simulation.py
@@ -5,16 +5,16 @@
 import pytest
 
 from quincepath.fleet.overload import Arrival, OverloadControl, core, ordering
-from quincepath.lab.overload_world import Plan, Way, World, figures, scenes
-from quincepath.lab.overload_world.figures import Record
-from quincepath.lab.overload_world.plan import SECOND
+from quincepath.lab.overload_simulation import Plan, Simulation, Strategy, figures, scenes
+from quincepath.lab.overload_simulation.figures import Record
+from quincepath.lab.overload_simulation.plan import SECOND
 
 SMALL = scenes.base(20, 20)
 SETTLED = scenes.STEP_AT + 5 * SECOND
 
 
-def play(plan: Plan, way: Way = Way.ONE, seed: int = 1) -> Record:
-    return World(plan, way, seed).run()
+def play(plan: Plan, way: Strategy = Strategy.FLEET, seed: int = 1) -> Record:
+    return Simulation(plan, way, seed).run()
 
 
 def short(plan: Plan) -> Plan:
@@ -42,12 +42,12 @@
 def test_one_full_replica_set_does_not_affect_the_others() -> None:
     plan = short(scenes.one_set(replace(SMALL, holders=40)))
     record = play(plan)
-    cells = record.shed_cells
+    cells = record.shed_by_set
     assert cells[0] > 1000
     alone = {
         cell: count for cell, count in cells.items() if cell > 0
     }  # shed for another set, or together with set 0
-    tries = {cell: record.let_cells[cell] for cell in range(1, 8)}
+    tries = {cell: record.admitted_by_set[cell] for cell in range(1, 8)}
     assert all(alone.get(cell, 0) < 0.3 * tries[cell] for cell in tries)
     assert cells.get(-1, 0) < 0.02 * sum(record.tries)
 
@@ -58,14 +58,14 @@
     assert sum(record.shed) == 0 and sum(record.good) > 0.95 * sum(record.asked)
 
 
-@pytest.mark.parametrize("scene", [scenes.few_brokers, scenes.halves, scenes.ignored])
+@pytest.mark.parametrize("scene", [scenes.few_brokers, scenes.partition, scenes.ignored_advice])
 def test_goodput_during_failures(scene: object) -> None:
     plan = short(scene(SMALL))  # type: ignore[operator]
-    assert goodput_of(plan, play(plan), scenes.LOST_AT + 5 * SECOND) > 0.9
+    assert goodput_of(plan, play(plan), scenes.OUTAGE_AT + 5 * SECOND) > 0.9
 
 
 def test_late_totals_cause_no_oscillation() -> None:
-    plan = short(scenes.late_news(SMALL))
+    plan = short(scenes.late_reports(SMALL))
     record = play(plan)
     assert goodput_of(plan, record) > 0.9
 
@@ -73,8 +73,8 @@
 def test_the_fleet_recovers_after_the_loss_of_a_third_of_the_nodes() -> None:
     plan = replace(scenes.trigger(scenes.base(20, 40)), length=50 * SECOND)
     record = play(plan)
-    recovered_at = scenes.LOST_AT + scenes.LOST_FOR
-    assert figures.usual_again(record, recovered_at, plan.length) <= 20
+    recovered_at = scenes.OUTAGE_AT + scenes.OUTAGE_DURATION
+    assert figures.seconds_to_recovery(record, recovered_at, plan.length) <= 20
 
 
 def test_further_sends_keep_to_the_fleets_budget() -> None:
--- a/tests/fleet/test_load_control.py
+++ b/tests/fleet/test_load_control.py
@@ -9,7 +9,7 @@
 
 from quincepath.broker.service import Broker
 from quincepath.config.schema import Config
-from quincepath.lab.load import Client, Seen
+from quincepath.lab.load import Client, QueryResult
 from quincepath.standins.data import BEGIN_MS
 from tests.world import World, config_values
 
@@ -44,7 +44,7 @@
             config["broker"] = {"seed": 5 + number, "number": number, "brokers": count}
             self.brokers.append(Broker(Config.model_validate(config), self.loop, folder))
             self.clients.append(Client(self.loop, self.brokers[-1].url))
-        self.results: list[Seen] = []
+        self.results: list[QueryResult] = []
         self.sent_queries = 0
 
     def metric(self, number: int, name: str, **labels: str) -> float:
--- a/tests/limits/fair/test_broker.py
+++ b/tests/limits/fair/test_broker.py
@@ -8,7 +8,7 @@
 
 from quincepath.broker.fair_pending import FairPendingQueue
 from quincepath.broker.pending import QUEUE_REFUSAL
-from quincepath.lab.load import Seen
+from quincepath.lab.load import QueryResult
 from quincepath.standins.leaf import Service
 from tests.world import MS, World
 
@@ -43,7 +43,7 @@
 def test_slow_queries_wait_for_slots_and_most_are_answered(world: SlowWorld) -> None:
     world.learn()
     most = 0
-    ends: list[Seen] = []
+    ends: list[QueryResult] = []
     for number in range(4):
         world.client.ask(f"slow{number}", world.plan(), ends.append)
 
@@ -62,7 +62,7 @@
 def test_a_query_that_cannot_start_in_time_is_refused_at_once_with_a_retry_delay(tmp_path: Path) -> None:
     world = SlowWorld(tmp_path, work=700 * MS)
     world.learn()
-    ends: list[Seen] = []
+    ends: list[QueryResult] = []
     began = world.loop.clock()
     for number in range(6):
         world.client.ask(f"slow{number}", world.plan(), ends.append)
@@ -77,7 +77,7 @@
 
 def test_a_query_whose_client_left_leaves_the_queue_and_frees_its_slots(world: SlowWorld) -> None:
     world.learn()
-    ends: list[Seen] = []
+    ends: list[QueryResult] = []
     for number in range(3):
         world.client.ask(f"slow{number}", world.plan(), ends.append)
     world.run(lambda: world.pending.waiting() >= 1)
@@ -95,7 +95,7 @@
 
 def test_a_broker_that_stops_with_a_full_queue_answers_every_query(world: SlowWorld) -> None:
     world.learn()
-    ends: list[Seen] = []
+    ends: list[QueryResult] = []
     for number in range(6):
         world.client.ask(f"slow{number}", world.plan(), ends.append)
     world.run(lambda: world.pending.waiting() >= 2)
@@ -109,7 +109,7 @@
 
 def test_quick_queries_never_wait(tmp_path: Path) -> None:
     world = SlowWorld(tmp_path, work=2 * MS, slots=64, quick_slots=16, slow_from="250ms")
-    ends: list[Seen] = []
+    ends: list[QueryResult] = []
     for number in range(12):
         world.client.ask(f"quick{number}", world.plan("fleet-glance"), ends.append)
 
--- a/tests/limits/fair/test_fleet.py
+++ b/tests/limits/fair/test_fleet.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from quincepath.lab.fair_plan import Found, Plan, Tenant
-from quincepath.lab.fair_rivals import EvenShares, Fair, FirstCome
-from quincepath.lab.fair_world import World
+from quincepath.lab.fair_plan import Plan, Result, Tenant
+from quincepath.lab.fair_schedulers import EvenShares, FairQueueing, FirstCome
+from quincepath.lab.fair_simulation import Simulation
 from quincepath.limits.fair import FairScheduler, FairSettings, Stop
 from quincepath.limits.fair.types import MS, SECOND
 from tests.limits.fair.simulator import PoolSimulator, Query
@@ -20,19 +20,19 @@
     return None if random.random() < 0.2 else random.randrange(200 * MS, 800 * MS)
 
 
-def play(tenants: tuple[Tenant, ...], giver: type = Fair, kill: tuple[int, int] | None = None,
-         heard: bool = True) -> Found:  # fmt: skip
-    plan = Plan(tenants, giver, SETTINGS, brokers=5, holders=10, until=20 * SECOND,
-                news=news if heard else None, kill=kill)  # fmt: skip
-    world = World(plan, 3)
-    found = world.run()
-    for one in world.givers:
-        if isinstance(one, Fair):
-            one.turns.check()
+def play(tenants: tuple[Tenant, ...], scheduler: type = FairQueueing, kill: tuple[int, int] | None = None,
+         heard: bool = True) -> Result:  # fmt: skip
+    plan = Plan(tenants, scheduler, SETTINGS, brokers=5, holders=10, length=20 * SECOND,
+                report_age=news if heard else None, kill=kill)  # fmt: skip
+    simulation = Simulation(plan, 3)
+    found = simulation.run()
+    for one in simulation.schedulers:
+        if isinstance(one, FairQueueing):
+            one.inner.check()
     return found
 
 
-def jain(found: Found, tenants: tuple[Tenant, ...]) -> float:
+def jain(found: Result, tenants: tuple[Tenant, ...]) -> float:
     index = found.jain(1, {tenant.name: tenant.weight for tenant in tenants})
     assert index is not None
     return index
@@ -61,8 +61,8 @@
 def test_weights_hold_over_all_brokers() -> None:
     settings = FairSettings(slots=10, quick_slots=2, weights={"heavy": 3.0})
     tenants = (*USUAL[:2], Tenant("heavy", ALL, clients=8, weight=3.0))
-    plan = Plan(tenants, Fair, settings, brokers=5, holders=10, until=20 * SECOND, news=news)
-    found = World(plan, 3).run()
+    plan = Plan(tenants, FairQueueing, settings, brokers=5, holders=10, length=20 * SECOND, report_age=news)
+    found = Simulation(plan, 3).run()
     assert jain(found, tenants) > 0.95
 
 
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -29,7 +29,7 @@
 from quincepath.broker.dispatcher import AskEnded, Dispatcher, Rendered, TryAnswer
 from quincepath.broker.driver import Driver
 from quincepath.interface import Members, Result, Scope
-from quincepath.lab.load import Client, QueryPlan, Seen
+from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.limits.admission import AdmissionBounds
 from quincepath.orders import (
     Ask,
@@ -452,7 +452,7 @@
     random_ = random.Random(7)
     world = World(tmp_path)
     other = Client(world.loop, world.broker.url)
-    ends: dict[str, list[Seen]] = {}
+    ends: dict[str, list[QueryResult]] = {}
     sent_tries = 0
 
     def keep(name: str) -> Any:
@@ -488,12 +488,12 @@
 
 
 def send_later(
-    client: Client, name: str, plan: QueryPlan, keep: Callable[[Seen], None]
+    client: Client, name: str, plan: QueryPlan, keep: Callable[[QueryResult], None]
 ) -> Callable[[], None]:
     return lambda: client.ask(name, plan, keep)
 
 
-def parts_received(ends: dict[str, list[Seen]], name: str) -> int:
+def parts_received(ends: dict[str, list[QueryResult]], name: str) -> int:
     response = ends[name][0].response
     assert response is not None
     inside, _, asked = response.headers["quincepath-parts"].partition("/")
@@ -545,7 +545,7 @@
     """The first request had little time and fails; the one coalesced with it is answered by a second run."""
     world = World(tmp_path, asks={"share_equal": True})
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
-    seen: dict[str, Seen] = {}
+    seen: dict[str, QueryResult] = {}
     plan = world.plan("hours-report")
     hasty = replace(plan, headers={"X-Quincepath-Timeout": "200ms"})
     world.client.ask("hasty", hasty, lambda end: seen.update(hasty=end))
--- a/tests/test_fleet_drains.py
+++ b/tests/test_fleet_drains.py
@@ -15,7 +15,7 @@
 from quincepath.fleet.drains import REPORT_LIFETIME_NS, DrainProgress
 from quincepath.fleet.permits import Permit
 from quincepath.lab.demo import demo_config, make_cluster
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 from quincepath.standins.record import Got, read
 from tests.test_config import SOUND
 from tests.test_fleet_processes import FLEET, ask, free_ports, phases, until
@@ -38,7 +38,7 @@
         ports = free_ports(brokers)
         names = [f"m{n}" for n in range(brokers)]
         peers = [{"name": n, "address": f"127.0.0.1:{p}"} for n, p in zip(names, ports, strict=True)]
-        self.children = {name: Child(name, folder / f"{name}.log") for name in names}
+        self.children = {name: ChildProcess(name, folder / f"{name}.log") for name in names}
         self.metrics: dict[str, str] = {}
         self.urls: dict[str, str] = {}
         for number, name in enumerate(names):
@@ -64,12 +64,12 @@
         self.children[name].start(["serve", "-c", str(self.folder / f"{name}.yaml")])
 
     def wait_started(self, name: str) -> None:
-        text = self.children[name].said()
+        text = self.children[name].startup_info()
         self.metrics[name] = text["metrics"].removesuffix("/metrics")
         self.urls[name] = text["remote_read"]
 
-    def load(self, name: str, seconds: int) -> Child:
-        child = Child("load", self.folder / "load.log")
+    def load(self, name: str, seconds: int) -> ChildProcess:
+        child = ChildProcess("load", self.folder / "load.log")
         child.start(
             ["load", self.urls[name], "--query", "__name__=fuel_use_liters;district=~.+", "--rate", "40",
              "--seconds", str(seconds), "--start", "0"]
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -27,7 +27,7 @@
 from quincepath.lab.fleet.run import FleetRun
 from quincepath.lab.fleet.script import FleetScript
 from quincepath.lab.fleet.verdict import EXCUSED_FOR, SECOND, Watcher
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 from quincepath.standins.record import Halt, Mark, read
 from tests.test_config import SOUND
 
@@ -139,7 +139,7 @@
     def __init__(self, folder: Path) -> None:
         ports = free_ports(3)
         peers = [{"name": f"b{n}", "address": f"127.0.0.1:{port}"} for n, port in enumerate(ports)]
-        self.brokers = [Child(f"b{n}", folder / f"b{n}.log") for n in range(3)]
+        self.brokers = [ChildProcess(f"b{n}", folder / f"b{n}.log") for n in range(3)]
         self.metrics: list[str] = []
         shards = [["s0", "s1"], ["s2", "s3"], ["s4", "s5"]]
         holders = [
@@ -155,7 +155,7 @@
                 YAML(typ="safe").dump(values, file)
             child.start(["serve", "-c", str(path)])
         for child in self.brokers:
-            self.metrics.append(child.said()["metrics"].removesuffix("/metrics"))
+            self.metrics.append(child.startup_info()["metrics"].removesuffix("/metrics"))
 
     def log(self, number: int) -> list[dict[str, Any]]:
         path = self.brokers[number].log
--- a/tests/test_fleet_topology.py
+++ b/tests/test_fleet_topology.py
@@ -9,7 +9,7 @@
 import pytest
 from ruamel.yaml import YAML
 
-from quincepath.lab.process import Child
+from quincepath.lab.process import ChildProcess
 from quincepath.standins.record import Got, read
 from tests.test_fleet_drains import BrokerCluster, ask_until_settled
 from tests.test_fleet_processes import ask, until
@@ -91,9 +91,9 @@
         self.shards = values["shards"]
         BrokerCluster.start(self, name)
 
-    def load(self, name: str, seconds: int) -> Child:
+    def load(self, name: str, seconds: int) -> ChildProcess:
         """Queries of a class that asks every shard."""
-        child = Child("load", self.folder / f"load-{name}.log")
+        child = ChildProcess("load", self.folder / f"load-{name}.log")
         child.start(
             ["load", self.urls[name], "--query", "__name__=engine_hours;district=~.+", "--rate", "40",
              "--seconds", str(seconds), "--start", "0"]
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -14,7 +14,7 @@
 from quincepath.fronts.remote_read.plan import PartFetch
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest, ReadResponse, TimeSeries
 from quincepath.interface import Entry, Members, Phase, Result, Scope
-from quincepath.lab.load import Seen
+from quincepath.lab.load import QueryResult
 from quincepath.net.http1 import Limits, ResponseReader, request_bytes
 from quincepath.net.stream import Stream
 from quincepath.orders import AttemptEnded, AttemptOrder, StartCall
@@ -149,7 +149,7 @@
     world = make()
     world.ask(world.plan())
     world.faults("a0 a1", fault="late", late_ms=300)
-    done: list[Seen] = []
+    done: list[QueryResult] = []
     world.client.ask("mid", world.plan(pattern="north.*"), done.append)
     world.until(lambda: world.leaves["a0"].requests + world.leaves["a1"].requests > 2)
     node = _node(world.leaves["a0"].port)
@@ -385,7 +385,7 @@
     world = make()
     world.ask(world.plan(pattern="north.*"))
     world.faults("a0 a1", fault="hang")
-    done: list[Seen] = []
+    done: list[QueryResult] = []
     world.client.ask("edge", world.plan("hours-report", "north.*", start=END_MS - 60_000), done.append)
     world.until(lambda: world.leaves["a0"].requests + world.leaves["a1"].requests >= 3)
     query = next(iter(world.broker.driver.queries.values()))
@@ -434,7 +434,7 @@
 def test_stop_answers_what_is_open_and_takes_no_more(make: Any) -> None:
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="late", late_ms=200)
-    done: list[Seen] = []
+    done: list[QueryResult] = []
     world.client.ask("last", world.plan(), done.append)
     world.until(lambda: bool(world.broker.clients.open))
     stopped: list[int] = []
@@ -448,7 +448,7 @@
 def test_too_much_open_is_refused_at_the_door(make: Any) -> None:
     world = make(limits={"max_open": 9})
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
-    done: list[Seen] = []
+    done: list[QueryResult] = []
     for number in range(3):
         world.client.ask(f"f{number}", world.plan(), done.append)
     world.until(lambda: bool(done))
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -22,7 +22,7 @@
 from quincepath.lab.emulator.sockets import SocketRun
 from quincepath.lab.emulator.staging import together
 from quincepath.lab.emulator.world import ContractBroken
-from quincepath.lab.openloop import Mix, OpenLoop, by_tenant
+from quincepath.lab.openloop import OpenLoop, QueryMix, by_tenant
 from quincepath.lab.report import figure, page
 from quincepath.net.http1 import Request
 from quincepath.standins.data import END_MS
@@ -290,9 +290,9 @@
     fresh.close()
 
 
-def mixes() -> list[Mix]:
+def mixes() -> list[QueryMix]:
     matchers = tuple(read_request("hours-report").queries[0].matchers)
-    return [Mix("reports", 1.0, matchers, END_MS - 60_000, END_MS, 2 * SECOND)]
+    return [QueryMix("reports", 1.0, matchers, END_MS - 60_000, END_MS, 2 * SECOND)]
 
 
 def test_load_is_sent_when_it_is_due_and_a_stall_is_not_left_out(tmp_path: Path) -> None:
@@ -305,7 +305,7 @@
     row = result.rows()[0]
     assert result.sent == len(load_run.schedule) > 100 and result.unsent == 0
     assert row["max_ms"] > 900 and row["p50_ms"] < 400
-    assert result.late_most > 900 * MS
+    assert result.max_lag > 900 * MS
     world.close()
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,7 +12,7 @@
 from quincepath.config.schema import Config
 from quincepath.fronts.remote_read.codec import decode_response, encode
 from quincepath.fronts.remote_read.remote_pb2 import LabelMatcher, ReadRequest, ReadResponse
-from quincepath.lab.load import Client, QueryPlan, Seen
+from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.lab.virtual_loop import VirtualLoop
 from quincepath.policy import Aggregator
 from quincepath.standins.data import BEGIN_MS, END_MS, Store
@@ -75,7 +75,7 @@
         self.config = Config.model_validate({"holders": holders, **config_values(**more)})
         self.broker = Broker(self.config, self.loop, folder or Path(), make_module)
         self.client = Client(self.loop, self.broker.url)
-        self.seen: list[Seen] = []
+        self.seen: list[QueryResult] = []
         self.loop.turn(0)
 
     def entry(self, name: str, **more: Any) -> dict[str, Any]:
@@ -94,9 +94,9 @@
         request = read_request(kind, pattern, **query)
         return QueryPlan(kind, [], encode(request), request, 2 * SECOND)
 
-    def ask(self, *plans: QueryPlan, longest: float = 20.0) -> list[Seen]:
+    def ask(self, *plans: QueryPlan, longest: float = 20.0) -> list[QueryResult]:
         """Send queries concurrently and wait until all end; results in the order of the queries."""
-        results: dict[int, Seen] = {}
+        results: dict[int, QueryResult] = {}
         for number, plan in enumerate(plans):
             self.client.ask(f"t{number}-{len(self.seen)}", plan, self._record(results, number))
         assert self.loop.run_until(lambda: len(results) == len(plans), longest), "a query never ended"
@@ -105,8 +105,8 @@
         return ends
 
     @staticmethod
-    def _record(results: dict[int, Seen], number: int) -> Callable[[Seen], None]:
-        def record(seen: Seen) -> None:
+    def _record(results: dict[int, QueryResult], number: int) -> Callable[[QueryResult], None]:
+        def record(seen: QueryResult) -> None:
             assert number not in results, "a second final answer"
             results[number] = seen
 
@@ -143,7 +143,7 @@
     return request
 
 
-def answer(seen: Seen) -> ReadResponse:
+def answer(seen: QueryResult) -> ReadResponse:
     """The decoded answer of a query that got one."""
     assert seen.response is not None and seen.status == 200, (
         seen.status,
@@ -152,7 +152,7 @@
     return decode_response(seen.response.body, 1 << 30)
 
 
-def completeness(seen: Seen) -> tuple[str, str]:
+def completeness(seen: QueryResult) -> tuple[str, str]:
     """The completeness headers: whole or partial, and received of requested parts."""
     assert seen.response is not None
     return seen.response.headers["quincepath-answer"], seen.response.headers["quincepath-parts"]
