--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -20,7 +20,7 @@
 from quincepath.lab.emulator.processes import BrokerProcess, RosterFiles
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.workload import draw_machines, draw_query
-from quincepath.lab.load import Client, QueryPlan, Seen
+from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.net.loop import Loop
 from quincepath.standins.data import END_MS, STEP_MS
 from quincepath.standins.leaf import HEAVY, INCIDENT, POISON
@@ -331,7 +331,7 @@
         plan = self._plan(kind, shards, incident, patience)
         if not sends_timeout:
             del plan.headers["X-Quincepath-Timeout"]
-            plan = replace(plan, told=entry.deadline)
+            plan = replace(plan, stated_timeout=entry.deadline)
         if traffic.marks:
             plan.headers["Idempotency-Key"] = name
         if traffic.desks > 1:
@@ -339,7 +339,7 @@
         if tries:
             plan.headers["Retry-Attempt"] = str(tries)
 
-        def ended(result: Seen) -> None:
+        def ended(result: QueryResult) -> None:
             headers = result.response.headers if result.response else {}
             if result.status == 200:
                 whole = headers.get("quincepath-answer") == "whole"
