--- a/quincepath/broker/service/__init__.py
+++ b/quincepath/broker/service/__init__.py
@@ -1,7 +1,8 @@
-"""The running broker: fronts and upstream on one loop, around the driver. It decides nothing.
+"""The running broker: client protocols and connections to holders on one event loop, around the driver.
 
-``Broker`` is one broker on a loop, ``MakeModule`` how it is given its decisions. A further subsystem comes
-as one ``Extension``: an object with the few verbs that it needs, handed to ``Broker.extensions``.
+This package takes no decisions. ``Broker`` is one broker on a loop; ``MakeModule`` builds its decision
+module. A further subsystem is one ``Extension``: an object that overrides the methods it needs, added to
+``Broker.extensions``.
 """
 
 from quincepath.broker.service.core import Broker, MakeModule
--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -1,4 +1,4 @@
-"""One broker, put together: its parts in their order, the metrics page, and its end."""
+"""Assembles one broker, serves its metrics page and shuts it down."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -31,12 +31,12 @@
     from quincepath.broker.fair_pending import FairPendingQueue
 
 MakeModule = Callable[[Settings, int], DecisionModule]
-ORDER_BODY = 192 * 1024  # bytes of a command that proposes a shard map, or a change of the configuration
-METRICS_TIMES = Timeouts(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
+MAX_PROPOSAL_BYTES = 192 * 1024  # of a command that proposes a shard map or a configuration change
+METRICS_TIMEOUTS = Timeouts(idle=30_000_000_000, request=5_000_000_000, write=5_000_000_000)
 
 
 def make_fair_queue(config: Config, seed: int) -> "FairPendingQueue | None":
-    """Where slow queries wait for their turn; None without ``limits.fair``, and nothing of it is loaded."""
+    """The fair queue of slow queries; None without ``limits.fair``: its modules are then not loaded."""
     fair = config.limits.fair
     if fair is None:
         return None
@@ -53,15 +53,15 @@
     return FairPendingQueue(FairScheduler(settings, seed))
 
 
-def _order_body(config: Config) -> int:
-    """Most bytes of a command to the metrics' address."""
+def _max_command_bytes(config: Config) -> int:
+    """Limit on the body of a command to the metrics listener, in bytes."""
     fleet = config.fleet
-    large = fleet is not None and (fleet.topology is not None or fleet.configuration is not None)
-    return ORDER_BODY if large else 1024
+    accepts_proposals = fleet is not None and (fleet.topology is not None or fleet.configuration is not None)
+    return MAX_PROPOSAL_BYTES if accepts_proposals else 1024
 
 
 class Broker:
-    """One broker on a loop. ``make_module`` exists for baselines in tests and benchmarks."""
+    """One broker on a loop. ``make_module`` lets tests and benchmarks run a baseline module."""
 
     def __init__(
         self, config: Config, loop: Loop, base: Path = Path(), make_module: MakeModule = Aggregator
@@ -129,7 +129,7 @@
         )
         self.fleet = None
         if config.fleet is not None:
-            from quincepath.broker.service.fleet import FleetExtension  # not loaded without a fleet
+            from quincepath.broker.service.fleet import FleetExtension  # loaded only with a fleet
 
             registry = self.metrics.registry
             extension = FleetExtension(
@@ -139,17 +139,15 @@
             self.fleet = extension.fleet
             self.extensions.add(extension)
             if extension.fleet.agreed is not None and extension.fleet.agreed.maps is not None:
-                from quincepath.broker.service.shard_maps import (
-                    ShardMapExtension,  # not loaded where the map stays
-                )
+                # loaded only with map adoption
+                from quincepath.broker.service.shard_maps import ShardMapExtension
 
                 self.extensions.add(
                     ShardMapExtension(extension.fleet.agreed.maps, front.planner, self.log, registry)
                 )
             if extension.fleet.shared is not None:
-                from quincepath.broker.service.load_control import (
-                    LoadControlExtension,  # not loaded without a ledger
-                )
+                # loaded only with a ledger
+                from quincepath.broker.service.load_control import LoadControlExtension
 
                 self.extensions.add(
                     LoadControlExtension(
@@ -169,12 +167,12 @@
             Limits(listen.max_headers, listen.max_body),
             Timeouts(listen.idle_timeout, listen.request_timeout, listen.write_timeout),
             listen.max_connections,
-            lambda why: self.log.warning("accepting paused", cause=why),
+            lambda cause: self.log.warning("accepting paused", cause=cause),
             max_per_address=listen.max_connections_per_address,
         )  # fmt: skip
         self.metrics_server = HttpServer(
             loop, config.metrics.host, config.metrics.port, self._metrics_request,
-            Limits(body=_order_body(config)), METRICS_TIMES, 64,
+            Limits(body=_max_command_bytes(config)), METRICS_TIMEOUTS, 64,
         )  # fmt: skip
         loop.turn_hooks.append(self.turn.run)
         self.holders.read(force=True)
@@ -183,22 +181,22 @@
 
     @property
     def url(self) -> str:
-        """Where remote read is served."""
+        """URL of the remote read endpoint."""
         return f"http://{self.config.listen.host}:{self.server.port}{self.config.listen.path}"
 
     @property
     def metrics_url(self) -> str:
-        """Where metrics are served."""
+        """URL of the metrics page."""
         return f"http://{self.config.metrics.host}:{self.metrics_server.port}/metrics"
 
     def read_list(self, force: bool = False) -> None:
-        """Look for news of the holders now; ``force`` reads the file even if it looks unchanged."""
+        """Check the list of holders now; ``force`` reads the file even if it looks unchanged."""
         self.holders.read(force)
 
-    def apply_membership(self, news: Members) -> None:
-        """News of the list: for the next batch, and connections to who is going are closed."""
-        self.dispatcher.enqueue(MembershipUpdate(news))
-        for entry in news.entries:
+    def apply_membership(self, update: Members) -> None:
+        """Pass a membership update to the next batch; close connections to holders that are not ready."""
+        self.dispatcher.enqueue(MembershipUpdate(update))
+        for entry in update.entries:
             if entry.phase.name != "READY":
                 self.upstream.close_node(entry.node)
 
@@ -223,10 +221,10 @@
             metrics.holders.labels(phase.lower()).set(count)
         exchange.respond(200, PAGE_TYPE, metrics.render())
 
-    # --- stopping ---
+    # --- shutdown ---
 
     def stop(self, on_stopped: Callable[[], None]) -> None:
-        """Take no more queries; each open one gets its answer in its time. ``on_stopped`` is called then."""
+        """Accept no more queries; answer the open ones by their deadlines, then call ``on_stopped``."""
         if self.stopping:
             return
         self.log.info("stopping", open=len(self.clients.open))
@@ -234,14 +232,14 @@
         self.extensions.drain()
         self.gate.stop()
         if self.fair_queue is not None:
-            longest = max(entry.deadline for entry in self.config.classes)
-            self.fair_queue.stop(self.loop.clock() + longest)
+            longest_deadline = max(entry.deadline for entry in self.config.classes)
+            self.fair_queue.stop(self.loop.clock() + longest_deadline)
         self.on_stopped = on_stopped
         self.server.drain()
         self.loop.call_at(self.loop.now, lambda: None)
 
     def close(self) -> None:
-        """Give back all sockets."""
+        """Close all sockets and extensions."""
         if self.turn.run in self.loop.turn_hooks:
             self.loop.turn_hooks.remove(self.turn.run)
         self.server.close()
@@ -252,5 +250,5 @@
     def _end_when_idle(self) -> None:
         idle = not self.clients.open and not self.dispatcher.running() and not self.server.connections
         if self.stopping and idle and self.on_stopped is not None:
-            done, self.on_stopped = self.on_stopped, None
-            done()
+            callback, self.on_stopped = self.on_stopped, None
+            callback()
--- a/quincepath/broker/service/fleet.py
+++ b/quincepath/broker/service/fleet.py
@@ -22,15 +22,15 @@
     from quincepath.broker.fair_pending import FairPendingQueue
 
 
-def open_voter_store(path: Path, fleet: str, member: str, first: StableState) -> Storage:
-    """A keeper's store on disk. Raises ``StoreError``."""
-    from quincepath.store.consensus import ConsensusStore  # with it LMDB, which only keepers need
+def open_voter_store(path: Path, fleet: str, member: str, initial_state: StableState) -> Storage:
+    """The on-disk store of a log voter. Raises ``StoreError``."""
+    from quincepath.store.consensus import ConsensusStore  # imports LMDB, which only voters need
 
-    return ConsensusStore(path, fleet, member, first)
+    return ConsensusStore(path, fleet, member, initial_state)
 
 
 class FleetExtension(Extension):
-    """Tells the fleet of the holders and of what is out at them; what it agrees on is laid over the list."""
+    """Reports holders and attempts in flight to the fleet; applies agreed drains to the list of holders."""
 
     def __init__(
         self,
@@ -53,17 +53,20 @@
             self.fleet.distribution.on_apply = lambda edits: apply_edits(edits, holders, fair_queue)
 
     def handle_request(self, exchange: Exchange) -> bool:
+        """Offer a request to the fleet's pages."""
         return self.fleet.request(exchange)
 
     def drain(self) -> None:
+        """Announce to the fleet that this broker is draining."""
         self.fleet.drain()
 
     def close(self) -> None:
+        """Close the fleet."""
         self.fleet.close()
 
 
 def apply_edits(edits: Sequence[Edit], holders: Holders, fair_queue: "FairPendingQueue | None") -> None:
-    """Nodes and tenants that edits of the distributed configuration name; all in this turn."""
+    """Apply edits of the distributed configuration to nodes and tenants, all within this turn."""
     nodes: dict[str, Holder | None] = {}
     whole: bool | None = None
     for edit in edits:
--- a/quincepath/broker/service/holders.py
+++ b/quincepath/broker/service/holders.py
@@ -1,4 +1,4 @@
-"""The list of holders: read now and then, handed on as news, and what is known of one by its id."""
+"""The list of holders: polls it, passes on its changes, and looks up a holder by id."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
@@ -13,63 +13,63 @@
 
 
 class Holders:
-    """``told`` gets what is new; ``every`` is the time between looks, in nanoseconds."""
+    """``on_membership`` receives updates; ``poll_interval`` is in nanoseconds."""
 
     def __init__(
         self,
         source: MembershipSource,
         loop: Loop,
-        every: int,
+        poll_interval: int,
         log: Any,
         metrics: Metrics,
         on_membership: Callable[[Members], None],
     ) -> None:
-        self.source, self.loop, self.every = source, loop, every
+        self.source, self.loop, self.poll_interval = source, loop, poll_interval
         self.log, self.metrics, self.on_membership = log, metrics, on_membership
 
     def name(self, node: NodeId) -> str:
-        """For people."""
-        fact = self.source.state.address(node)
-        return fact.name if fact else "unlisted"
+        """The name of a holder, for logs and metrics."""
+        info = self.source.state.address(node)
+        return info.name if info else "unlisted"
 
     def path(self, node: NodeId) -> str | None:
-        """Of its URL; None where it is not listed."""
-        fact = self.source.state.address(node)
-        return None if fact is None else fact.path
+        """The path of a holder's URL; None if it is not listed."""
+        info = self.source.state.address(node)
+        return None if info is None else info.path
 
     def read(self, force: bool = False) -> None:
-        """Look for news of the holders now; ``force`` reads the file even if it looks unchanged."""
-        self._tell(*self.source.poll(force))
+        """Check the list now; ``force`` reads the file even if it looks unchanged."""
+        self._apply(*self.source.poll(force))
 
     def distribute(self, changed: Mapping[str, Holder | None], whole: bool | None) -> None:
-        """Holders as the fleet distributes them; see ``MembershipSource.distribute``."""
-        self._tell(*self.source.distribute(changed, whole))
+        """Apply holders that the fleet distributes; see ``MembershipSource.distribute``."""
+        self._apply(*self.source.distribute(changed, whole))
 
-    def _tell(self, news: Members | None, changes: Sequence[Change], error: str) -> None:
+    def _apply(self, update: Members | None, changes: Sequence[Change], error: str) -> None:
         if error:
             self.metrics.list_errors.inc()
-            self.log.error("list unreadable, the one before stays in force", cause=error)
+            self.log.error("list of holders is unreadable; the previous list stays in use", cause=error)
         for change in changes:
             self.log.info("holder changed", node=change.name, change=change.description)
-        if news is not None:
-            self.on_membership(news)
+        if update is not None:
+            self.on_membership(update)
 
     def poll(self) -> None:
-        """Look now, and again and again."""
-        self.loop.call_in(self.every, self.poll)
+        """Check the list now and schedule the next check."""
+        self.loop.call_in(self.poll_interval, self.poll)
         self.read()
 
     def set_drained(self, names: frozenset[str]) -> None:
-        """The fleet agreed which holders are to be drained: laid over the list."""
+        """Apply the fleet's agreement on which holders to drain on top of the list."""
         self.source.drained = names
         self.read(force=True)
 
     def attempts_by_holder(self, driver: Driver) -> dict[str, int]:
-        """Attempts that have not ended, by holder."""
-        found: dict[str, int] = {}
+        """Number of attempts in flight, by holder name."""
+        counts: dict[str, int] = {}
         for part in driver.parts.values():
             for attempt in part.attempts:
-                fact = None if attempt.ended else self.source.state.address(attempt.node)
-                if fact is not None:
-                    found[fact.name] = found.get(fact.name, 0) + 1
-        return found
+                info = None if attempt.ended else self.source.state.address(attempt.node)
+                if info is not None:
+                    counts[info.name] = counts.get(info.name, 0) + 1
+        return counts
--- a/quincepath/broker/service/load_control.py
+++ b/quincepath/broker/service/load_control.py
@@ -1,4 +1,4 @@
-"""Overload as one, and the ledger, as a extension: what it counts, whom it sheds, what it may spend."""
+"""The fleet's load reports and overload control as an extension: counts, sheds, and sets send budgets."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from quincepath.fleet.load_control.failure_attribution import FailureAttribution
 from quincepath.fleet.load_reports.types import Count, SendKind, Totals
 from quincepath.fleet.load_service import LoadService
-from quincepath.fleet.overload import Arrival as Asked
+from quincepath.fleet.overload import Arrival as ControlledArrival
 from quincepath.fleet.overload.types import Decision
 from quincepath.fronts.remote_read.front import Reply
 from quincepath.fronts.remote_read.plan import Plan
@@ -23,82 +23,91 @@
 if TYPE_CHECKING:
     from quincepath.broker.fair_pending import FairPendingQueue
 
-TURNED = (Result.FULL, Result.CONNECT_FAILED, Result.TIMEOUT, Result.ERROR)  # a set could not take the part
+# Results that mean that a replica set could not serve the part.
+OVERLOAD_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.TIMEOUT, Result.ERROR)
 
 
 class LoadControlExtension(Extension):
-    """``note`` puts an input into the driver's next batch; ``dials`` counts connections begun to holders."""
+    """``enqueue`` adds an input to the driver's next batch; ``dials`` counts connections to holders."""
 
     def __init__(
-        self, shared: LoadService, driver: Driver, shard_map: ShardMap, note: Callable[[Input], None],
-        dials: Callable[[], int], fair_queue: "FairPendingQueue | None" = None,
+        self, load_service: LoadService, driver: Driver, shard_map: ShardMap,
+        enqueue: Callable[[Input], None], dials: Callable[[], int],
+        fair_queue: "FairPendingQueue | None" = None,
     ) -> None:  # fmt: skip
-        self.shared, self.driver, self.note, self.dials = shared, driver, note, dials
+        self.load_service, self.driver, self.enqueue, self.dials = load_service, driver, enqueue, dials
         self.fair_queue = fair_queue
         self._cell = shard_map.cell_of_shard
         self.attribution = FailureAttribution()
-        self._dials = 0
-        shared.on_decision = self._told
-        shared.on_totals = self._totals
+        self._counted_dials = 0
+        load_service.on_decision = self._on_decision
+        load_service.on_totals = self._on_totals
 
     def admit(self, now: int, arrival: Arrival) -> Rejection | None:
+        """Reject the query if the fleet sheds it."""
         ask, attempt = arrival.ask, arrival.attempt
         cells = tuple(sorted({self._cell(part.shard) for part in ask.parts}))
         worth, left = arrival.plan.entry.worth, ask.time_left
-        # What is asked is part of who asks: a gateway's queries, or a tenant's, must not all have one place.
+        # The client's identity includes the request's digest: otherwise all queries of one gateway or tenant
+        # would be shed or admitted together.
         client = f"{attempt.client} {attempt.digest.hex()}"
-        asked = Asked(ask.kind, worth, attempt.scope, client, cells, left, ask.repeat)
-        shed = self.shared.on_arrival(asked)
+        described = ControlledArrival(ask.kind, worth, attempt.scope, client, cells, left, ask.repeat)
+        shed = self.load_service.on_arrival(described)
         return None if shed is None else Rejection(shed.reason.value, shed.retry_in)
 
     def on_call_sent(self, now: int, order: StartCall) -> None:
-        tally = self.shared.control.counter
+        """Count first and further sends."""
+        counter = self.load_service.control.counter
         for one in order.attempts:
-            tally.count_sends(SendKind.FURTHER if one.attempt else SendKind.FIRST)
+            counter.count_sends(SendKind.FURTHER if one.attempt else SendKind.FIRST)
 
     def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
-        if item.result is Result.OK or item.result in TURNED:
+        """Record whether the replica set served the part."""
+        if item.result is Result.OK or item.result in OVERLOAD_RESULTS:
             self.attribution.record_attempt(self._cell(part.ask.shard), item.result is not Result.OK)
 
     def on_not_begun(self, now: int, arrival: Arrival) -> None:
-        self.shared.control.counter.count_outcome(arrival.ask.kind, Count.TURNED_AWAY)
+        """Count the query as turned away."""
+        self.load_service.control.counter.count_outcome(arrival.ask.kind, Count.TURNED_AWAY)
 
     def on_ask_ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
-        tally, finish = self.shared.control.counter, ended.finish
-        how = query_outcome(finish, ended.context.entry.target)
-        tally.count_outcome(ended.context.kind, how)
+        """Count the outcome of the query and the replica sets at fault."""
+        counter, finish = self.load_service.control.counter, ended.finish
+        outcome = query_outcome(finish, ended.context.entry.target)
+        counter.count_outcome(ended.context.kind, outcome)
         asked = [self._cell(part.shard) for part in ended.context.parts]
-        if how in (Count.IN_TIME, Count.REFUSED, Count.FAILED):
-            self.attribution.record_query(asked, how is not Count.IN_TIME)
-        if finish is not None and how in (Count.REFUSED, Count.FAILED):
-            came = Counter(self._cell(shard) for step, shard, _ in finish.bodies if step == 1)
-            for cell in self.attribution.sets_at_fault(asked, came):
-                tally.count_replica_set(cell, 0, 1)
-
-    def _told(self, out: Decision) -> None:
-        """Dials are counted here, once a news: the pool opens them by itself."""
+        if outcome in (Count.IN_TIME, Count.REFUSED, Count.FAILED):
+            self.attribution.record_query(asked, outcome is not Count.IN_TIME)
+        if finish is not None and outcome in (Count.REFUSED, Count.FAILED):
+            answered = Counter(self._cell(shard) for step, shard, _ in finish.bodies if step == 1)
+            for cell in self.attribution.sets_at_fault(asked, answered):
+                counter.count_replica_set(cell, 0, 1)
+
+    def _on_decision(self, decision: Decision) -> None:
+        """Pass on the send budget. Dials are counted here, once per decision: the pool opens them itself."""
         dials = self.dials()
-        self.shared.control.counter.count_sends(SendKind.DIAL, dials - self._dials)
-        self._dials = dials
-        spending = out.send_budget
-        self.note(AllowanceUpdate(Allowance(spending.extras, spending.trials, spending.until)))
+        self.load_service.control.counter.count_sends(SendKind.DIAL, dials - self._counted_dials)
+        self._counted_dials = dials
+        budget = decision.send_budget
+        self.enqueue(AllowanceUpdate(Allowance(budget.extras, budget.trials, budget.until)))
 
-    def _totals(self, totals: Totals) -> None:
-        """Turns go by what tenants got at all brokers; what they got here is told to the others."""
+    def _on_totals(self, totals: Totals) -> None:
+        """Schedule by the slot time of tenants at all brokers; report that used here to the others."""
         if self.fair_queue is not None:
-            sharing = self.shared.control
+            control = self.load_service.control
             for tenant, used in self.fair_queue.served().items():
-                sharing.counter.add_slot_time(tenant, used)
+                control.counter.add_slot_time(tenant, used)
             self.fair_queue.add_remote_usage(
-                sharing.remote_slot_time.by_tenant, max(self.shared.loop.now - totals.at, 0)
+                control.remote_slot_time.by_tenant, max(self.load_service.loop.now - totals.at, 0)
             )
 
     def close(self) -> None:
-        self.shared.close()
+        """Close the load service."""
+        self.load_service.close()
 
 
 def query_outcome(finish: Finish | None, target: int) -> Count:
-    """What became of a query, for the ledger. ``target`` in ns."""
+    """The outcome of a query for the load reports. ``target`` in ns."""
     if finish is None:
         return Count.LEFT
     if finish.cause.startswith(QUEUE_REFUSAL):
--- a/quincepath/broker/service/shard_maps.py
+++ b/quincepath/broker/service/shard_maps.py
@@ -1,4 +1,4 @@
-"""Versions of the shard map as a extension: a query holds the one it was cut by until its merge is done."""
+"""Versions of the shard map as an extension: a query holds its plan's version until its merge is done."""
 
 from collections.abc import Mapping
 from functools import partial
@@ -20,11 +20,11 @@
 from quincepath.shards.shardmap import ShardMap
 from quincepath.shards.versions import MapVersion
 
-UNREAD = 1_000_000_000  # ns until a query that came too early is advised to come again
+NOT_READY_RETRY_NS = 1_000_000_000  # retry advice to queries that arrive before the shard map is ready
 
 
 class ShardMapExtension(Extension):
-    """Stages maps for the planner, and takes no query before this broker has read what is in use."""
+    """Stages shard maps for the planner; rejects queries until this broker knows which version is in use."""
 
     def __init__(self, maps: MapAdoption, planner: Planner, log: Any, registry: CollectorRegistry) -> None:
         self.maps, self.planner, self.log = maps, planner, log
@@ -33,9 +33,10 @@
         self._held: dict[int, int] = {}
         self._tenant = ""
         self._tenants: dict[int, str] = {}
-        self._took: dict[int, dict[int, int]] = {}  # by ask and shard, ns of the first step's used attempt
+        # Duration of the used attempt of step 1, by ask and shard.
+        self._attempt_ns: dict[int, dict[int, int]] = {}
         maps.hooks.stage = self._stage
-        maps.hooks.on_use = self._use
+        maps.hooks.on_use = self._on_use
         version = Gauge(
             "quincepath_fleet_map_version", "Version of the shard map that queries begin by; 0: none yet",
             registry=registry,
@@ -47,58 +48,61 @@
         older.set_function(lambda: maps.follower.usage()[1])
         step = Gauge("quincepath_fleet_map_step", "1 at the step of the change", ["step"], registry=registry)
         for one in Step:
-            step.labels(one.value).set_function(partial(self._at, one))
+            step.labels(one.value).set_function(partial(self._is_at_step, one))
 
-    def _at(self, step: Step) -> int:
+    def _is_at_step(self, step: Step) -> int:
         return int(self.maps.topology.step is step)
 
     def _stage(self, version: MapVersion) -> bool:
-        """Built and numbered; false, with a line, where its sets are not those of this broker."""
+        """Build the map; False, with a log line, if its replica sets are not those of this broker."""
         try:
             built = version.to_shard_map(self.cells)
         except ValueError as error:
             self.log.warning("fleet: shard map cannot be staged", version=version.number, cause=str(error))
             return False
         known = self.maps.topology.maps
-        self._built = {number: one for number, one in self._built.items() if number in known}
+        self._built = {number: shard_map for number, shard_map in self._built.items() if number in known}
         self._built[version.number] = built
         return True
 
-    def _use(self, version: MapVersion) -> None:
+    def _on_use(self, version: MapVersion) -> None:
         found = self._built.get(version.number)
         self.planner.use(version.to_shard_map(self.cells) if found is None else found, version.number)
 
     def admit(self, now: int, arrival: Arrival) -> Rejection | None:
+        """Reject queries until the shard map in use is known and staged."""
         if not self.maps.follower.accepts_queries:
-            return Rejection("shard map not read or not staged", UNREAD)
+            return Rejection("shard map not read or not staged", NOT_READY_RETRY_NS)
         self._tenant = arrival.attempt.scope
         return None
 
     def on_ask_begun(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
-        """In the same turn as its plan was made: the version is the same."""
+        """Hold the version: this is the turn in which the plan was made, so that both have the same one."""
         version = self.maps.follower.hold(ask)
         if version is not None:
             self._held[ask] = version.number
             self._tenants[ask] = self._tenant
 
     def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
+        """Keep the duration of a successful attempt of the first step."""
         ask = part.query.ask.handle
         if item.result is Result.OK and part.step == 1 and ask in self._held:
-            self._took.setdefault(ask, {})[part.ask.shard] = now - part.attempts[item.attempt].sent
+            self._attempt_ns.setdefault(ask, {})[part.ask.shard] = now - part.attempts[item.attempt].sent
 
     def on_ask_ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
+        """Sample the footprint of an answered query and release its version."""
         held = self._held.pop(ended.ask, None)
-        tenant, took = self._tenants.pop(ended.ask, ""), self._took.pop(ended.ask, {})
+        tenant, durations = self._tenants.pop(ended.ask, ""), self._attempt_ns.pop(ended.ask, {})
         if held is None:
             return
         if held != ended.context.version:
             self.log.error(
-                "fleet: a query held another version than it was cut by", query=ended.name, held=held,
-                cut_by=ended.context.version,
+                "fleet: a query holds another shard map version than that of its plan", query=ended.name,
+                held=held, cut_by=ended.context.version,
             )  # fmt: skip
         finish, plan = ended.finish, ended.context
         if finish is not None and finish.verdict is Verdict.ANSWERED and held == self.maps.samples.version:
-            parts = _parts(finish, plan, took)
+            parts = _parts(finish, plan, durations)
             self.maps.samples.add(
                 ended.ask, self.maps.wall_ns(), plan.entry.name, tenant, plan.entry.target, finish.took,
                 parts, plan.accepts,
@@ -106,9 +110,9 @@
         self.maps.release(ended.ask)
 
 
-def _parts(finish: Finish, plan: Plan, took: Mapping[int, int]) -> tuple[Part, ...]:
-    """Every part that was asked: what it touched and cost. What the holder worked is not told: its time
-    stands for it, and for a part that nobody waited for the mean of the others.
+def _parts(finish: Finish, plan: Plan, durations: Mapping[int, int]) -> tuple[Part, ...]:
+    """What each part touched and cost. Holders do not report their work, so that the duration of the attempt
+    stands for it; for a part without one, the mean of the other parts does.
     """
     calls: dict[int, int] = {}
     merged: dict[int, int] = {}
@@ -116,8 +120,14 @@
         calls[shard] = calls.get(shard, 0) + 1
         size = sum(series.ByteSize() for _index, found in body for series in found)
         merged[shard] = merged.get(shard, 0) + size
-    mean = sum(took.values()) // max(1, len(took))
+    mean = sum(durations.values()) // max(1, len(durations))
     return tuple(
-        Part(values, calls.get(shard, 1), took.get(shard, mean), took.get(shard, mean), merged.get(shard, 0))
+        Part(
+            values,
+            calls.get(shard, 1),
+            durations.get(shard, mean),
+            durations.get(shard, mean),
+            merged.get(shard, 0),
+        )
         for shard, values in plan.touched
     )
--- a/quincepath/broker/service/telemetry.py
+++ b/quincepath/broker/service/telemetry.py
@@ -1,4 +1,4 @@
-"""What people see of the broker: counts and log lines of attempts and answers, and how full its memory is."""
+"""Metrics and log lines of attempts and answers, and the monitor of the process's memory."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,12 +14,12 @@
 from quincepath.observe.metrics import Metrics
 from quincepath.orders import AttemptEnded, Verdict
 
-MEMORY_POLL = 250_000_000  # ns
+MEMORY_POLL_NS = 250_000_000
 PAGE_TYPE = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8"}
 
 
 def answer_label(ended: AskEnded[Plan, Reply]) -> str:
-    """How an ask ended, in one word: left, whole, partial, refused or failed."""
+    """The metric label of how an ask ended: left, whole, partial, refused or failed."""
     finish, reply = ended.finish, ended.reply
     if finish is None or reply is None:
         return "left"
@@ -29,22 +29,22 @@
 
 
 class Telemetry:
-    """Counts and lines. ``trace_of`` gives the id of an ask's trace, empty where there is none."""
+    """Metrics and log lines. ``trace_of`` returns the trace id of an ask, empty if there is none."""
 
     def __init__(self, metrics: Metrics, log: Any, trace_of: Callable[[int], str]) -> None:
         self.metrics, self.log, self.trace_of = metrics, log, trace_of
 
     def record_attempt(self, part: OpenPart, item: AttemptEnded, name: str) -> None:
-        """An attempt at the holder of this name ended."""
+        """Record the end of an attempt at the named holder."""
         self.metrics.attempts.labels(name, item.result.name.lower()).inc()
         if item.cause and item.result.name not in ("CANCELLED",):
             self.log.debug(
-                "attempt ended badly", query=part.query.ask.name, part=part.ask.shard, attempt=item.attempt,
+                "attempt failed", query=part.query.ask.name, part=part.ask.shard, attempt=item.attempt,
                 node=name, outcome=item.result.name, cause=item.cause,
             )  # fmt: skip
 
     def record_ask(self, ended: AskEnded[Plan, Reply]) -> None:
-        """An ask is over."""
+        """Record the end of an ask."""
         kind, finish, reply = ended.context.entry.name, ended.finish, ended.reply
         answer = answer_label(ended)
         self.metrics.answers.labels(kind, answer).inc()
@@ -64,41 +64,41 @@
 
 
 def _resident_bytes() -> int:
-    """What this process holds."""
+    """Resident memory of this process, in bytes."""
     return int(psutil.Process().memory_info().rss)
 
 
 class MemoryWatch:
-    """Tells the monitor how much the process holds; the size comes from the system. ``press`` hears changes.
+    """Samples the resident memory of the process and reports changes of pressure to ``on_pressure``.
 
-    It looks again for as long as ``serving`` says so.
+    It keeps sampling for as long as ``serving`` returns True.
     """
 
     def __init__(
         self,
-        most: int,
+        limit_bytes: int,
         loop: Loop,
         metrics: Metrics,
         log: Any,
-        press: Callable[[Pressure], None],
+        on_pressure: Callable[[Pressure], None],
         serving: Callable[[], bool],
     ) -> None:
-        self.monitor = MemoryPressureMonitor(most)
+        self.monitor = MemoryPressureMonitor(limit_bytes)
         self.resident: Callable[[], int] = loop.system.resident_bytes or _resident_bytes
-        self.loop, self.metrics, self.log, self.press = loop, metrics, log, press
+        self.loop, self.metrics, self.log, self.on_pressure = loop, metrics, log, on_pressure
         self.serving = serving
 
     def sample(self) -> None:
-        """Now, and again and again."""
+        """Take a sample now and schedule the next one."""
         if self.serving():
-            self.loop.call_in(MEMORY_POLL, self.sample)
+            self.loop.call_in(MEMORY_POLL_NS, self.sample)
         try:
             resident = self.resident()
-        except (OSError, psutil.Error):  # out of descriptors: the size is read from a file
+        except (OSError, psutil.Error):  # out of file descriptors: the size is read from a file
             return
         self.metrics.resident_bytes.set(resident)
         before = self.monitor.pressure
-        found = self.monitor.sample(resident)
-        if found is not before:
-            self.log.warning("memory pressure", was=before.name, now=found.name, bytes=resident)
-            self.press(found)
+        pressure = self.monitor.sample(resident)
+        if pressure is not before:
+            self.log.warning("memory pressure changed", was=before.name, now=pressure.name, bytes=resident)
+            self.on_pressure(pressure)
--- a/quincepath/broker/service/turn.py
+++ b/quincepath/broker/service/turn.py
@@ -1,8 +1,8 @@
-"""The turn: one batch of what came in to the driver, its orders to the edge.
+"""One turn of the event loop: passes one batch of input to the driver and executes its orders.
 
-In each turn everything that came in is kept by the dispatcher; at the turn's end the driver gets it as one
-batch and its orders are carried out. What ends at once meanwhile (a dial that is refused on the spot) is the
-next batch, in the next turn.
+During a turn the dispatcher collects all input; at the end of the turn the driver gets it as one batch and
+its orders are executed. An attempt that ends while orders are executed (a connection that is refused at once)
+belongs to the next batch, in the next turn.
 """
 
 import time
@@ -21,7 +21,7 @@
 
 
 class Turn:
-    """The loop's turn hook is ``run``; ``after`` is called at the end of each."""
+    """``run`` is the loop's turn hook; it calls ``on_turn_end`` last."""
 
     def __init__(
         self,
@@ -31,17 +31,17 @@
         holders: Holders,
         extensions: Extensions,
         telemetry: Telemetry,
-        after: Callable[[], None],
+        on_turn_end: Callable[[], None],
     ) -> None:
         self.loop, self.driver, self.clients, self.holders = loop, driver, clients, holders
-        self.extensions, self.telemetry, self.after = extensions, telemetry, after
+        self.extensions, self.telemetry, self.on_turn_end = extensions, telemetry, on_turn_end
         self.dispatcher = clients.dispatcher
-        self.upstream: Upstream  # set by the broker: it reports to ``ended``
-        self._due: Timer | None = None
-        self._due_at = 0
+        self.upstream: Upstream  # set by the broker: it reports to ``on_attempt_ended``
+        self._wakeup: Timer | None = None
+        self._wakeup_at = 0
 
     def on_attempt_ended(self, ended: AttemptEnded) -> None:
-        """An attempt ended; it is in the next batch."""
+        """Record the end of an attempt and add it to the next batch."""
         part = self.driver.parts.get(ended.part)
         if part is not None:
             self.telemetry.record_attempt(part, ended, self.holders.name(part.attempts[ended.attempt].node))
@@ -49,21 +49,22 @@
         self.dispatcher.enqueue(ended)
 
     def run(self) -> None:
-        """One batch to the driver, its orders to the edge."""
+        """Pass one batch to the driver and execute its orders."""
         if self.dispatcher.due(self.loop.now):
             began = time.monotonic_ns()
             for order in self.dispatcher.step(self.loop.now):
-                self._carry_out(order)
+                self._execute(order)
             self.telemetry.metrics.turn_seconds.observe((time.monotonic_ns() - began) / 1e9)
         due = self.dispatcher.next_due()
-        if due is not None and (self._due is None or self._due.call is None or due < self._due_at):
-            if self._due is not None:
-                self._due.cancel()
-            self._due_at = max(due, self.loop.now)
-            self._due = self.loop.call_at(self._due_at, lambda: None)  # ends the wait; the hook does the rest
-        self.after()
+        if due is not None and (self._wakeup is None or self._wakeup.call is None or due < self._wakeup_at):
+            if self._wakeup is not None:
+                self._wakeup.cancel()
+            self._wakeup_at = max(due, self.loop.now)
+            # Only wakes the loop; the turn hook does the rest.
+            self._wakeup = self.loop.call_at(self._wakeup_at, lambda: None)
+        self.on_turn_end()
 
-    def _carry_out(self, order: Any) -> None:
+    def _execute(self, order: Any) -> None:
         match order:
             case StartCall():
                 self.extensions.on_call_sent(self.loop.now, order)
@@ -76,9 +77,11 @@
                 self.telemetry.record_ask(order)
                 self.extensions.on_ask_ended(self.loop.now, order)
             case LogLine(text):
-                self.telemetry.log.warning("module", text=text)
+                self.telemetry.log.warning("message from the decision module", text=text)
             case Breach(name, detail):
                 self.telemetry.metrics.contract_breaches.labels(name).inc()
-                self.telemetry.log.error("contract broken, made harmless", name=name, detail=detail)
+                self.telemetry.log.error(
+                    "decision module broke its contract; the effect was contained", name=name, detail=detail
+                )
             case RefreshMembership():
                 self.holders.read(force=True)
--- a/quincepath/fronts/__init__.py
+++ b/quincepath/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Client protocols; each turns its requests into the same Ask and its final answers back."""
+"""Client protocols: each converts its requests to an ``Ask`` and final answers to its responses."""
--- a/quincepath/fronts/remote_read/__init__.py
+++ b/quincepath/fronts/remote_read/__init__.py
@@ -1,1 +1,1 @@
-"""Prometheus remote read, SAMPLES: codec, matchers, plans."""
+"""Prometheus remote read with SAMPLES responses: codec, matchers, query planning."""
--- a/quincepath/fronts/remote_read/codec.py
+++ b/quincepath/fronts/remote_read/codec.py
@@ -1,4 +1,4 @@
-"""Snappy and protobuf of remote read, with every size known before memory is given to it. Pure."""
+"""Snappy and protobuf of remote read; every size is checked before memory is allocated for it. Pure."""
 
 import cramjam
 from google.protobuf.message import DecodeError, Message
@@ -13,17 +13,17 @@
 
 
 class CodecError(ValueError):
-    """The bytes are not what the protocol says; the text names which layer failed and how."""
+    """The bytes violate the protocol; the message names the layer that failed and why."""
 
 
 def decompress(body: bytes, limit: int) -> bytes:
-    """Snappy block format to at most ``limit`` bytes; the stated length is checked before any allocation."""
+    """Decompress the Snappy block format; the declared length is checked before any allocation."""
     try:
         size = cramjam.snappy.decompress_raw_len(body)
     except cramjam.DecompressionError as error:
         raise CodecError(f"not snappy (block format): {error}") from None
     if size > limit:
-        # Guards against a bomb: a few bytes may state gigabytes.
+        # Guards against a decompression bomb: a few bytes may declare gigabytes.
         raise CodecError(f"decompresses to {size} bytes where {limit} are allowed")
     try:
         return bytes(cramjam.snappy.decompress_raw(body))
@@ -32,12 +32,12 @@
 
 
 def compress(body: bytes) -> bytes:
-    """Snappy block format."""
+    """Compress to the Snappy block format."""
     return bytes(cramjam.snappy.compress_raw(body))
 
 
 def decode_request(body: bytes, limit: int) -> ReadRequest:
-    """A request's body; raises ``CodecError``."""
+    """Decode the body of a request. Raises ``CodecError``."""
     try:
         return ReadRequest.FromString(decompress(body, limit))
     except DecodeError as error:
@@ -45,7 +45,7 @@
 
 
 def decode_response(body: bytes, limit: int) -> ReadResponse:
-    """A response's body; raises ``CodecError``."""
+    """Decode the body of a response. Raises ``CodecError``."""
     try:
         return ReadResponse.FromString(decompress(body, limit))
     except DecodeError as error:
@@ -53,5 +53,5 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as it goes on the wire."""
+    """Encode a message for the wire."""
     return compress(message.SerializeToString())
--- a/quincepath/fronts/remote_read/front.py
+++ b/quincepath/fronts/remote_read/front.py
@@ -1,11 +1,11 @@
-"""The remote read front: HTTP requests to Asks, final answers to HTTP responses. Pure but for nothing kept.
+"""The remote read front: converts HTTP requests to asks and final answers to HTTP responses. Pure, stateless.
 
-What a client sees of an ending (headers are ours, the rest is the protocol's):
+What a client gets (the headers are specific to this broker, all else belongs to the protocol):
 
     answered   200  Quincepath-Answer: whole|partial, Quincepath-Parts: in/asked
     refused    503  Retry-After (seconds, rounded up), Quincepath-Retry-After-Ms
-    failed     504 where time was up, else 502
-    bad        400, 404, 405, 413, 415: plain text that names what is wrong
+    failed     504 if the time was up, otherwise 502
+    bad        400, 404, 405, 413, 415: plain text that names the error
 """
 
 import hashlib
@@ -26,15 +26,15 @@
 ANSWER_HEADER = "Quincepath-Answer"
 PARTS_HEADER = "Quincepath-Parts"
 QUERY_HEADER = "X-Request-Id"
-JOINED_HEADER = "Quincepath-Joined"  # retry, equal or replayed: this try did not run by itself
-RUN_HEADER = "Quincepath-Run"  # the id of the request whose run it shared
+JOINED_HEADER = "Quincepath-Joined"  # retry, equal or replayed: this try had no run of its own
+RUN_HEADER = "Quincepath-Run"  # id of the request whose run this try shared
 MAX_NAME_CHARS = 128
-MS = 1_000_000
+MS = 1_000_000  # ns
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """Status, headers, body, and what merging met."""
+    """Status, headers and body of a response, and the statistics of its merge."""
 
     status: int
     headers: dict[str, str]
@@ -43,22 +43,22 @@
     stats: MergeStats | None = None
 
 
-def text_reply(status: int, text: str, more: Mapping[str, str] | None = None) -> Reply:
-    """A plain text reply of one line."""
-    headers = {"Content-Type": "text/plain; charset=utf-8", **(more or {})}
+def text_reply(status: int, text: str, extra_headers: Mapping[str, str] | None = None) -> Reply:
+    """A reply of one line of plain text."""
+    headers = {"Content-Type": "text/plain; charset=utf-8", **(extra_headers or {})}
     return Reply(status, headers, text.encode() + b"\n")
 
 
 class RemoteReadFront:
-    """One a configuration."""
+    """One for each configuration."""
 
     def __init__(self, config: Config, shard_map: ShardMap) -> None:
         self.config = config
         self.planner = Planner(config, shard_map)
-        self._most_request = max(config.listen.max_body, 1 << 20) * 4  # decompressed
+        self._max_request_bytes = max(config.listen.max_body, 1 << 20) * 4  # decompressed
 
     def read(self, request: Request, handle: int, name: str) -> tuple[Ask, Plan] | Reply:
-        """An ask for the driver, or the reply to a request that cannot become one."""
+        """Return an ask for the driver with its plan, or the reply to a request that starts no ask."""
         if request.path != self.config.listen.path:
             return text_reply(404, f"not found; remote read is at {self.config.listen.path}")
         if request.method != "POST":
@@ -66,11 +66,11 @@
         encoding = request.headers.get("content-encoding", "")
         if encoding != "snappy":
             return text_reply(415, f"Content-Encoding {encoding!r}; expected snappy")
-        kind = request.headers.get("content-type", "").partition(";")[0].strip()
-        if kind != "application/x-protobuf":
-            return text_reply(415, f"Content-Type {kind!r}; expected application/x-protobuf")
+        media_type = request.headers.get("content-type", "").partition(";")[0].strip()
+        if media_type != "application/x-protobuf":
+            return text_reply(415, f"Content-Type {media_type!r}; expected application/x-protobuf")
         try:
-            message = decode_request(request.body, self._most_request)
+            message = decode_request(request.body, self._max_request_bytes)
             accepted = message.accepted_response_types
             if accepted and ReadRequest.SAMPLES not in accepted:
                 return text_reply(415, "only SAMPLES answers are served, and the request accepts none")
@@ -79,28 +79,29 @@
         except (CodecError, BadRequest) as error:
             return text_reply(400, str(error))
         if not plan.parts:
-            nothing, _ = merge(plan.queries, (), self.config.limits.max_merged)
-            return Reply(200, self._headers(True, 0, 0), encode(nothing), Verdict.ANSWERED)
+            empty, _ = merge(plan.queries, (), self.config.limits.max_merged)
+            return Reply(200, self._headers(True, 0, 0), encode(empty), Verdict.ANSWERED)
         repeat = request.headers.get(self.config.repeat_header.lower(), "0").strip() not in ("", "0")
         return Ask(
             handle, plan.kind, time_left, plan.parts, repeat=repeat, follow=plan.follow, name=name
         ), plan
 
     def identify(self, request: Request, handle: int, address: str) -> Try:
-        """What the request says of the ask that it is a try of; its deadline is not known yet."""
+        """Identify the ask that the request is a try of; its deadline is not known yet."""
         asks, headers = self.config.asks, request.headers
         scope = headers.get(asks.scope_header.lower(), "")
-        mark = None
-        for vouched, names in ((True, asks.key_headers), (False, asks.id_headers)):
+        client_key = None
+        for strict, names in ((True, asks.key_headers), (False, asks.id_headers)):
             for name in names:
                 key = headers.get(name.lower(), "").strip()
-                if key and mark is None:
-                    mark = ClientKey(scope, key[:MAX_NAME_CHARS], vouched and len(key) <= MAX_NAME_CHARS)
-        # An address is part of the digest only where it alone says whose tries they are.
-        owner = address if mark is None and asks.unmarked_within else ""
-        # With what makes a request valid: one to a wrong path or of a wrong type is no try of a sound one.
-        kind, packed = headers.get("content-type", ""), headers.get("content-encoding", "")
-        head = f"{request.method} {request.path}\n{kind}\n{packed}\n"
+                if key and client_key is None:
+                    client_key = ClientKey(scope, key[:MAX_NAME_CHARS], strict and len(key) <= MAX_NAME_CHARS)
+        # The address is part of the digest only if nothing else identifies the client.
+        owner = address if client_key is None and asks.unmarked_within else ""
+        # The digest includes all that makes a request valid: one to a wrong path or of a wrong type is not a try
+        # of a valid one.
+        media_type, encoding = headers.get("content-type", ""), headers.get("content-encoding", "")
+        head = f"{request.method} {request.path}\n{media_type}\n{encoding}\n"
         digest = hashlib.blake2b(
             head.encode() + request.body, digest_size=16, key=owner.encode()[:64]
         ).digest()
@@ -109,25 +110,25 @@
             scope,
             digest,
             0,
-            mark,
+            client_key,
             asks.share_equal and not owner,
             asks.unmarked_within,
             client=scope or address,
         )
 
     def time_left(self, request: Request, plan: Plan) -> int:
-        """How long the client waits (ns), by header or class. Raises ``BadRequest``."""
+        """How long the client waits (ns), from its header or its class. Raises ``BadRequest``."""
         deadline = plan.entry.deadline
-        asked = request.headers.get(self.config.timeout_header.lower())
-        if asked is None:
+        timeout = request.headers.get(self.config.timeout_header.lower())
+        if timeout is None:
             return deadline
         try:
-            return min(parse_duration(asked.strip()), deadline)
+            return min(parse_duration(timeout.strip()), deadline)
         except ValueError as error:
-            raise BadRequest(f"header {self.config.timeout_header} is {asked!r}: {error}") from None
+            raise BadRequest(f"header {self.config.timeout_header} is {timeout!r}: {error}") from None
 
     def write(self, finish: Finish, plan: Plan) -> Reply:
-        """The final answer as the client gets it."""
+        """Convert a final answer to the response that the client gets."""
         if finish.verdict is Verdict.ANSWERED:
             try:
                 response, stats = merge(plan.queries, finish.bodies, self.config.limits.max_merged)
@@ -142,7 +143,7 @@
 
     @staticmethod
     def refusal(text: str, retry_in: int) -> Reply:
-        """503 with advice; whole seconds for the standard header, never 0: that means at once."""
+        """503 with retry advice; the standard header takes whole seconds, never 0: that means at once."""
         headers = {"Retry-After": str(max(-(-retry_in // 1_000_000_000), 1))}
         if retry_in:
             headers["Quincepath-Retry-After-Ms"] = str(-(-retry_in // MS))
@@ -151,13 +152,13 @@
 
     @staticmethod
     def _headers(whole: bool, parts_in: int, asked: int) -> dict[str, str]:
-        mark = "whole" if whole else "partial"
-        return {**HEADERS, **VERSION_HEADER, ANSWER_HEADER: mark, PARTS_HEADER: f"{parts_in}/{asked}"}
+        completeness = "whole" if whole else "partial"
+        return {**HEADERS, **VERSION_HEADER, ANSWER_HEADER: completeness, PARTS_HEADER: f"{parts_in}/{asked}"}
 
 
 def query_name(request: Request, number: int) -> str:
-    """The client's own id where it sent a usable one, else ours: for logs, records and holders."""
-    given = request.headers.get(QUERY_HEADER.lower(), "")
-    usable = 0 < len(given) <= MAX_NAME_CHARS and given.isascii()
-    usable = usable and all(c.isalnum() or c in "-_.:" for c in given)
-    return given if usable else f"q{number}"
+    """The id that the client sent if it is usable, otherwise one made here: for logs, records and holders."""
+    client_id = request.headers.get(QUERY_HEADER.lower(), "")
+    usable = 0 < len(client_id) <= MAX_NAME_CHARS and client_id.isascii()
+    usable = usable and all(c.isalnum() or c in "-_.:" for c in client_id)
+    return client_id if usable else f"q{number}"
--- a/tests/test_documented.py
+++ b/tests/test_documented.py
@@ -10,7 +10,6 @@
 ROOT = Path(__file__).parent.parent
 EXCEPTED = {
     "benchmarks/*.py",
-    "quincepath/broker/service/*.py",
     "quincepath/lab/*.py",
     "quincepath/lab/fleet/*.py",
     "quincepath/lab/fleet/run/*.py",
