--- a/quincepath/cli/lab.py
+++ b/quincepath/cli/lab.py
@@ -1,4 +1,4 @@
-"""``quincepath rehearse``, ``replay`` and ``hunt``: the laboratory on the command line."""
+"""The commands ``rehearse``, ``replay`` and ``hunt``: the simulation laboratory on the command line."""
 
 import json
 import sys
@@ -25,19 +25,19 @@
 from quincepath.observe.logs import setup
 from quincepath.standins.record import Ask, End, Line, Mark
 
-BAD_INPUT = 2
-FINDINGS_SHOWN = 20
-SECOND = 1_000_000_000
+EXIT_BAD_INPUT = 2
+MAX_FINDINGS_SHOWN = 20
+SECOND = 1_000_000_000  # ns
 
 
 def fail(lines: list[str]) -> None:
-    """Say what is wrong with the input and end."""
+    """Print what is wrong with the input and exit."""
     for line in lines:
         click.echo(line, err=True)
-    sys.exit(BAD_INPUT)
+    sys.exit(EXIT_BAD_INPUT)
 
 
-def _script(path: Path, is_day: bool = False) -> Script:
+def _load_script(path: Path, is_day: bool = False) -> Script:
     try:
         if not is_day:
             return load(path, Script)
@@ -51,16 +51,16 @@
 
 
 def with_settings(script: Script, settings: tuple[str, ...]) -> Script:
-    """The script with ``path=value`` changes, checked as a whole. Raises ``ConfigError``."""
-    values = _plain(script)
+    """The script with ``path=value`` changes, validated as a whole. Raises ``ConfigError``."""
+    values = _as_file_values(script)
     for setting in settings:
-        path, sign, value = setting.partition("=")
+        path, separator, value = setting.partition("=")
         node: Any = values
-        *way, last = path.split(".")
+        *parents, last = path.split(".")
         try:
-            for step in way:
-                node = node[int(step)] if isinstance(node, list) else node[step]
-            if not sign or last not in (node if isinstance(node, dict) else range(len(node))):
+            for key in parents:
+                node = node[int(key)] if isinstance(node, list) else node[key]
+            if not separator or last not in (node if isinstance(node, dict) else range(len(node))):
                 raise KeyError(last)
         except (KeyError, IndexError, ValueError, TypeError):
             raise ConfigError(
@@ -70,10 +70,10 @@
     return parse(json.dumps(values), Script, "--setting")
 
 
-def _plain(script: Script) -> dict[str, Any]:
-    """The script as a file would hold it."""
+def _as_file_values(script: Script) -> dict[str, Any]:
+    """The script with values as a file has them."""
     values: dict[str, Any] = script.model_dump(mode="json")
-    _durations_back(values)
+    _restore_units(values)
     return values
 
 
@@ -85,7 +85,7 @@
     return True
 
 
-DURATIONS = {
+DURATION_KEYS = {
     "length",
     "ramp",
     "connect_work",
@@ -111,24 +111,24 @@
     "linger",
     "unmarked_within",
 }
-SIZES = {"max_answer", "max_merged", "most_bytes", "max_bytes", "max_memory"}
+SIZE_KEYS = {"max_answer", "max_merged", "most_bytes", "max_bytes", "max_memory"}
 
 
-def _durations_back(node: Any) -> None:
-    """Checked models hold times as ns and sizes as bytes: give them their units again."""
+def _restore_units(node: Any) -> None:
+    """Validated models hold times as ns and sizes as bytes; write them with units again."""
     items = node.items() if isinstance(node, dict) else enumerate(node) if isinstance(node, list) else ()
     for key, value in list(items):
-        if key in DURATIONS and isinstance(value, int):
+        if key in DURATION_KEYS and isinstance(value, int):
             node[key] = f"{value}ns"
-        elif key in SIZES and isinstance(value, int):
+        elif key in SIZE_KEYS and isinstance(value, int):
             node[key] = f"{value}B"
         elif key == "lag":
             node[key] = [f"{one}ns" for one in value]
         else:
-            _durations_back(value)
+            _restore_units(value)
 
 
-def _show(outcomes: dict[str, Outcome]) -> None:
+def _print_figures(outcomes: dict[str, Outcome]) -> None:
     table = Table(title="simulated")
     table.add_column("")
     for name in outcomes:
@@ -141,32 +141,34 @@
 
 
 def _on_sockets(plan: Script, seed: int | None, as_json: bool) -> None:
-    """Play over loopback, say what came of it and end."""
+    """Run over loopback, print the figures and exit."""
     with tempfile.TemporaryDirectory(prefix="quincepath-rehearse-") as folder:
         figures = SocketRun(plan, plan.seed if seed is None else seed, Path(folder)).play()
     click.echo(json.dumps(figures, indent=None if as_json else 1))
     if figures["void"]:
-        behind = f"this machine could not keep up (behind by {figures['late_most_s']} s"
-        rest = "or queries without an end when time was up): nothing is shown; take a smaller fleet or load"
-        fail([f"{behind}, {rest}"])
+        cause = f"this machine could not keep up (behind by {figures['late_most_s']} s"
+        advice = "or queries without an end when time was up): nothing is shown; take a smaller fleet or load"
+        fail([f"{cause}, {advice}"])
     sys.exit(1 if figures["findings"] or figures["fell"] else 0)
 
 
-def is_fleet(path: Path) -> bool:
-    """Whether a script is of a fleet's bad day: it names its ``members``."""
+def is_fleet_script(path: Path) -> bool:
+    """Whether a script simulates a fleet: such a script names its ``members``."""
     try:
         return any(line.startswith("members:") for line in path.read_text(encoding="utf-8").splitlines())
     except (OSError, UnicodeDecodeError):
-        return False  # told with its cause when it is loaded
+        return False  # loading the file reports the cause
 
 
-def _fleet(path: Path, seed: int | None, sockets: bool, as_json: bool, more: bool) -> None:
-    """Play a fleet's bad day, in virtual time or over processes, say what came of it and end."""
+def _run_fleet_script(
+    path: Path, seed: int | None, sockets: bool, as_json: bool, has_other_options: bool
+) -> None:
+    """Run a fleet script in virtual time or with processes, print the figures and exit."""
     from quincepath.lab.fleet.run import FleetRun, InsideRun
     from quincepath.lab.fleet.script import FleetScript
     from quincepath.lab.fleet.virtual import play
 
-    if more:
+    if has_other_options:
         fail([f"{path}: a fleet script takes --seed, --sockets and --json only"])
     try:
         plan = load(path, FleetScript)
@@ -175,7 +177,7 @@
     if sockets or plan.expect.of_load:
         player = FleetRun if sockets else InsideRun
         if not sockets:
-            setup(level="error")  # the brokers' lines would be this process's own
+            setup(level="error")  # log lines of the brokers would come from this process
         with tempfile.TemporaryDirectory(prefix="quincepath-fleet-") as folder:
             try:
                 figures = player(plan, seed, Path(folder)).play()
@@ -193,32 +195,32 @@
 
 
 class RehearsalMonitor:
-    """Hears a rehearsal's lines: moves the bar, keeps and records them where wanted, keeps to a pace.
+    """Receives the lines of a simulation: updates the progress bar, keeps and records lines, limits speed.
 
-    ``speed``: simulated seconds a second at most; 0 is as fast as it goes.
+    ``speed``: maximum simulated seconds per second; 0: unlimited.
     """
 
     def __init__(
         self, seconds: int, bar: Any, writer: RecordingWriter | None, keep: bool, speed: float = 0.0
     ) -> None:
         self.seconds, self.bar, self.writer, self.keep, self.speed = seconds, bar, writer, keep, speed
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.lines: list[Line] = []
-        self.seen = self.asked = self.answered = self.ended = 0
-        self.last = ""
+        self.shown_seconds = self.asked = self.answered = self.ended = 0
+        self.last_mark = ""
 
     @staticmethod
     def shown(monitor: "RehearsalMonitor | int | None") -> str:
-        """What the progress bar says beside itself."""
+        """Text next to the progress bar."""
         return monitor.summary() if isinstance(monitor, RehearsalMonitor) else ""
 
     def summary(self) -> str:
-        """How it goes, in a few words."""
+        """Progress in a few words."""
         share = self.answered / max(self.ended, 1)
-        return f"{self.asked} asked, {share:.1%} of ends answered{self.last and f'; {self.last}'}"
+        return f"{self.asked} asked, {share:.1%} of ends answered{self.last_mark and f'; {self.last_mark}'}"
 
     def on_line(self, line: Line) -> None:
-        """Take one line."""
+        """Process one line."""
         if self.keep:
             self.lines.append(line)
         if self.writer is not None:
@@ -230,29 +232,31 @@
                 self.ended += 1
                 self.answered += line.status == 200
             case Mark():
-                self.last = line.what
+                self.last_mark = line.what
         at = getattr(line, "at", BEGIN) - BEGIN
         if self.speed:
-            time.sleep(max(self.began + at / SECOND / self.speed - time.monotonic(), 0))
+            time.sleep(max(self.started_at + at / SECOND / self.speed - time.monotonic(), 0))
         second = min(at // SECOND, self.seconds)
-        if second > self.seen:
+        if second > self.shown_seconds:
             if self.bar is not None:
-                self.bar.update(second - self.seen, self)
-            self.seen = second
+                self.bar.update(second - self.shown_seconds, self)
+            self.shown_seconds = second
 
 
 @click.command(name="rehearse")
 @click.argument("script", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, help="Instead of the script's.")
-@click.option("--record", type=click.Path(path_type=Path), help="Keep a recording in this file.")
-@click.option("--report", type=click.Path(path_type=Path), help="Write a page with plots into this folder.")
+@click.option("--seed", type=int, help="Overrides the seed of the script.")
+@click.option("--record", type=click.Path(path_type=Path), help="Write a recording to this file.")
+@click.option("--report", type=click.Path(path_type=Path), help="Write a page with plots to this folder.")
 @click.option("--vs", type=click.Path(path_type=Path), help="Another script to compare with.")
-@click.option("--setting", multiple=True, help="path=value: compare with the script so changed.")
+@click.option("--setting", multiple=True, help="path=value: compare with the script changed in this way.")
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--from-day", "is_day", is_flag=True, help="SCRIPT is a drawn day of the operators' bench.")
-@click.option("--sockets", is_flag=True, help="Over loopback, in real time.")
+@click.option("--from-day", "is_day", is_flag=True, help="SCRIPT is a generated day of the operators' bench.")
+@click.option("--sockets", is_flag=True, help="Run over loopback, in real time.")
 @click.option(
-    "--speed", type=click.FloatRange(0, min_open=True), help="Times real time at most; else as it goes."
+    "--speed",
+    type=click.FloatRange(0, min_open=True),
+    help="Maximum multiple of real time; default: unlimited.",
 )
 def rehearse_command(
     script: Path,
@@ -266,54 +270,54 @@
     sockets: bool,
     speed: float | None,
 ) -> None:
-    """Play an incident in virtual time. Exit status 1 if a rule broke or a holder fell over.
+    """Simulate an incident in virtual time. Exit status 1 if a rule is broken or a holder crashed.
 
-    A script that names its members is a fleet's bad day: exit status 1 if views were not equal and true at
-    the end, or a broker was believed dead that ran.
+    A script that names its members simulates a fleet: exit status 1 if views were not equal and true at the
+    end, or if a running broker was believed dead.
     """
-    if not is_day and is_fleet(script):
-        _fleet(script, seed, sockets, as_json, bool(record or report or vs or setting or speed))
-    plan = _script(script, is_day)
+    if not is_day and is_fleet_script(script):
+        _run_fleet_script(script, seed, sockets, as_json, bool(record or report or vs or setting or speed))
+    plan = _load_script(script, is_day)
     if sockets and speed not in (None, 1.0):
         fail([f"--speed {speed}: --sockets plays in real time"])
     if sockets:
         _on_sockets(plan, seed, as_json)
-    jobs = {script.name: plan}
+    scripts = {script.name: plan}
     if vs is not None:
-        jobs[vs.name] = _script(vs)
+        scripts[vs.name] = _load_script(vs)
     if setting:
         try:
-            jobs[", ".join(setting)] = with_settings(plan, setting)
+            scripts[", ".join(setting)] = with_settings(plan, setting)
         except ConfigError as error:
             fail(error.lines)
     outcomes: dict[str, Outcome] = {}
-    kept: dict[str, list[Line]] = {}
-    for name, one in jobs.items():
+    lines_by_name: dict[str, list[Line]] = {}
+    for name, one in scripts.items():
         writer = None
         if record is not None and one is plan:
-            text = json.dumps(_plain(plan)) if is_day else script.read_text(encoding="utf-8")
-            chosen = plan.seed if seed is None else seed
-            writer = RecordingWriter(record, text, chosen, version("quincepath"))
+            text = json.dumps(_as_file_values(plan)) if is_day else script.read_text(encoding="utf-8")
+            used_seed = plan.seed if seed is None else seed
+            writer = RecordingWriter(record, text, used_seed, version("quincepath"))
         seconds = one.length // SECOND
         with click.progressbar(
             length=seconds, label=name, file=sys.stderr, item_show_func=RehearsalMonitor.shown
         ) as bar:
             monitor = RehearsalMonitor(seconds, bar, writer, report is not None, speed or 0.0)
             outcomes[name] = rehearse(one, seed, monitor.on_line)
-        kept[name] = monitor.lines
+        lines_by_name[name] = monitor.lines
         if writer is not None:
             writer.close()
     if report is not None:
-        from quincepath.lab.report import write  # the plotting library takes a second to load
+        from quincepath.lab.report import write  # loading the plotting library takes a second
 
-        write(report, plan, {name: (jobs[name], outcomes[name], kept[name]) for name in jobs})
+        write(report, plan, {name: (scripts[name], outcomes[name], lines_by_name[name]) for name in scripts})
         click.echo(f"report: {report / 'index.html'}", err=True)
     if as_json:
         click.echo(json.dumps({name: outcome.figures() for name, outcome in outcomes.items()}))
     else:
-        _show(outcomes)
+        _print_figures(outcomes)
     first = outcomes[script.name]
-    for finding in first.report.findings[:FINDINGS_SHOWN]:
+    for finding in first.report.findings[:MAX_FINDINGS_SHOWN]:
         click.echo(f"{finding} (at {(finding.at - BEGIN) / 1e9:.3f} s)")
     for name in first.fell:
         click.echo(f"{name} fell over")
@@ -322,12 +326,12 @@
 
 @click.command()
 @click.argument("record", type=click.Path(path_type=Path))
-@click.option("--query", help="Tell the story of this query, such as c12.0.")
-@click.option("--at", help="Up to this time of the day, such as 8.5s.")
+@click.option("--query", help="Trace this query, such as c12.0.")
+@click.option("--at", help="Stop at this time of the day, such as 8.5s.")
 def replay(record: Path, query: str | None, at: str | None) -> None:
-    """Look into a recording; with --query run it again and tell what its broker knew and did."""
+    """Summarize a recording; with --query, rerun it and print what the broker of that query knew and did."""
     try:
-        found = read_recording(record)
+        recording = read_recording(record)
         until = None if at is None else BEGIN + parse_duration(at)
     except RecordingError as error:
         fail([str(error)])
@@ -335,32 +339,32 @@
     except ValueError as error:
         fail([f"--at {at!r}: {error}"])
         return
-    if found.damage:
-        click.echo(f"{found.damage}; {len(found.lines)} lines before it", err=True)
+    if recording.damage:
+        click.echo(f"{recording.damage}; {len(recording.lines)} lines before it", err=True)
     if query is None:
         kinds: dict[str, int] = {}
-        for line in found.lines:
+        for line in recording.lines:
             if until is None or getattr(line, "at", 0) <= until:
                 name = type(line).__name__.lower()
                 kinds[name] = kinds.get(name, 0) + 1
-        said = ", ".join(f"{count} {name}" for name, count in sorted(kinds.items()))
-        click.echo(f"seed {found.head.seed}, made by {found.head.program}: {said}")
+        counts = ", ".join(f"{count} {name}" for name, count in sorted(kinds.items()))
+        click.echo(f"seed {recording.head.seed}, made by {recording.head.program}: {counts}")
         return
     try:
-        script = parse(found.head.script, Script, f"{record.name} (script)")
-        for told in tell(script, found.head.seed, found.lines, query, until):
-            click.echo(told)
+        script = parse(recording.head.script, Script, f"{record.name} (script)")
+        for text in tell(script, recording.head.seed, recording.lines, query, until):
+            click.echo(text)
     except (ConfigError, StoryError) as error:
         fail([str(error)])
 
 
 @click.command()
-@click.option("--seeds", default=50, help="How many days to draw.")
-@click.option("--first", default=0, help="Number of the first.")
+@click.option("--seeds", default=50, help="Number of days to generate.")
+@click.option("--first", default=0, help="Number of the first day.")
 @click.option("--large", is_flag=True, help="80 to 110 holders, 23 to 32 brokers.")
-@click.option("--worst", default=3, help="How many to cut down and show.")
+@click.option("--worst", default=3, help="Number of days to reduce and show.")
 def hunt(seeds: int, first: int, large: bool, worst: int) -> None:
-    """Draw days from ranges and cut the worst down to what matters. Exit status 1 if a rule broke on any."""
+    """Generate days from ranges and reduce the worst to what matters. Exit status 1 if any broke a rule."""
     finds: list[Find] = []
     with click.progressbar(length=seeds, label="days", file=sys.stderr) as bar:
         for find in search(range(first, first + seeds), large):
@@ -368,8 +372,8 @@
             bar.update(1)
     finds.sort(key=Find.badness, reverse=True)
     broken = sum(find.broken for find in finds)
-    middle = sorted(find.good for find in finds)[len(finds) // 2]
-    click.echo(f"{len(finds)} days (simulated): {broken} broke a rule, good in the middle {middle:.3f}")
+    median = sorted(find.good for find in finds)[len(finds) // 2]
+    click.echo(f"{len(finds)} days (simulated): {broken} broke a rule, median good {median:.3f}")
     for find in finds[:worst]:
         cut = cut_down(find)
         kinds = ", ".join(f"{t.kind} at {t.at / 1e9:.1f} s" for t in cut.script.troubles)
--- a/quincepath/cli/main.py
+++ b/quincepath/cli/main.py
@@ -1,4 +1,4 @@
-"""``quincepath``: run a broker, look at it, rehearse with it. Exit status 2 is for bad input."""
+"""The ``quincepath`` command: run a broker, query it, simulate incidents. Exit status 2: invalid input."""
 
 import http.client
 import json
@@ -32,7 +32,12 @@
 from quincepath.standins.leaf import Leaf, Service
 from quincepath.standins.record import Writer
 
-SIGNS = {"=~": LabelMatcher.RE, "!~": LabelMatcher.NRE, "!=": LabelMatcher.NEQ, "=": LabelMatcher.EQ}
+MATCHER_OPERATORS = {
+    "=~": LabelMatcher.RE,
+    "!~": LabelMatcher.NRE,
+    "!=": LabelMatcher.NEQ,
+    "=": LabelMatcher.EQ,
+}
 
 
 def _load(path: Path) -> Config:
@@ -52,7 +57,7 @@
 
 
 def run_until_signal(loop: Loop, broker: Broker) -> None:
-    """Until SIGINT or SIGTERM, then until each open query has its answer."""
+    """Run until SIGINT or SIGTERM, then until each open query is answered."""
     stop = {name: lambda: broker.stop(loop.stop) for name in (signal.SIGINT, signal.SIGTERM)}
     loop.on_signals({**stop, signal.SIGHUP: lambda: broker.read_list(force=True)})
     loop.run()
@@ -63,26 +68,26 @@
 @main.command()
 @click.option("-c", "--config", "path", type=click.Path(path_type=Path), required=True)
 def serve(path: Path) -> None:
-    """Run one broker. SIGTERM: no new queries, each open one gets its answer. SIGHUP: read the roster."""
+    """Run one broker. SIGTERM: answer open queries, accept no new ones. SIGHUP: reload the roster."""
     config = _load(path)
     loop = Loop()
     try:
         broker = Broker(config, loop, path.parent)
     except OSError as error:
         fail([f"{path}: cannot listen: {error}"])
-    where = {"remote_read": broker.url, "metrics": broker.metrics_url}
+    addresses = {"remote_read": broker.url, "metrics": broker.metrics_url}
     if broker.fleet is not None:
-        where["fleet"] = broker.fleet.address
-    click.echo(json.dumps(where))
+        addresses["fleet"] = broker.fleet.address
+    click.echo(json.dumps(addresses))
     sys.stdout.flush()
     run_until_signal(loop, broker)
 
 
 @main.command()
 @click.argument("files", nargs=-1, type=click.Path(path_type=Path), required=True)
-@click.option("--show", is_flag=True, help="Print the checked configuration with its defaults, times in ns.")
+@click.option("--show", is_flag=True, help="Print the validated configuration with defaults; times in ns.")
 def check(files: tuple[Path, ...], show: bool) -> None:
-    """Check configuration files; every error at once, exit status 2 if there is one."""
+    """Validate configuration files; print all errors at once. Exit status 2 if there is one."""
     lines: list[str] = []
     for path in files:
         try:
@@ -105,20 +110,26 @@
 @main.command()
 @click.option("--name", default="leaf")
 @click.option("--port", default=0)
-@click.option("--districts", required=True, help="Comma-separated.")
+@click.option("--districts", required=True, help="Comma-separated list.")
 @click.option("--seed", default=1)
-@click.option("--tractors", default=4, help="In each district.")
+@click.option("--tractors", default=4, help="Tractors per district.")
 @click.option("--work-ms", default=4.0, help="Service time of a part when warm.")
 @click.option("--cores", default=2)
-@click.option("--speed", default=1.0, help="Work (ms) that a warm core does in a ms.")
-@click.option("--room", default=64, help="Calls that may wait.")
-@click.option("--cold", default=1.0, help="Share of its capacity at the start; 1 is warm.")
+@click.option("--speed", default=1.0, help="Work (ms) that a warm core does per ms.")
+@click.option("--room", default=64, help="Length of the queue of calls.")
+@click.option("--cold", default=1.0, help="Share of capacity at the start; 1 is warm.")
 @click.option("--ramp-s", default=10.0)
-@click.option("--spread", default=0.0, help="Of the work of parts, as the sigma of a log-normal.")
-@click.option("--works", default="", help="METRIC=MS,...: metrics served, and the work of a part of each.")
-@click.option("--fall-multiple", default=2.0, help="Pushed past this while cold, it falls over.")
+@click.option("--spread", default=0.0, help="Spread of the work of parts, as the sigma of a log-normal.")
+@click.option("--works", default="", help="METRIC=MS,...: metrics served and the work of a part of each.")
+@click.option(
+    "--fall-multiple",
+    default=2.0,
+    help="While cold, it crashes under load beyond this multiple of its capacity.",
+)
 @click.option("--record", type=click.Path(path_type=Path))
-@click.option("--guarded", is_flag=True, help="End when standard input closes: no child outlives its parent.")
+@click.option(
+    "--guarded", is_flag=True, help="Exit when standard input closes, so that no child outlives its parent."
+)
 def leaf(
     name: str,
     port: int,
@@ -137,12 +148,12 @@
     record: Path | None,
     guarded: bool,
 ) -> None:
-    """Run a stand-in holder with seeded data."""
+    """Run a simulated holder with seeded data."""
     loop = Loop()
     by_metric: dict[str, int] = {}
     try:
-        for word in filter(None, works.split(",")):
-            metric, _, ms = word.partition("=")
+        for item in filter(None, works.split(",")):
+            metric, _, ms = item.partition("=")
             by_metric[metric] = int(float(ms) * 1e6)
     except ValueError:
         fail([f"--works {works!r}: expected METRIC=MS,..."])
@@ -164,10 +175,10 @@
 
 
 @main.command()
-@click.option("--seed", default=1, help="Of the data.")
-@click.option("--port", default=0, help="Of the remote read front; 0 takes a free one.")
+@click.option("--seed", default=1, help="Seed of the data.")
+@click.option("--port", default=0, help="Port of the remote read front; 0 picks a free one.")
 def demo(seed: int, port: int) -> None:
-    """One broker and six holders on loopback; prints one line of JSON when ready."""
+    """Run one broker and six holders on loopback; prints one line of JSON when ready."""
     cluster = make_cluster(seed, [], None)
     try:
         cluster.start()
@@ -193,46 +204,46 @@
 
 
 def parse_matcher(text: str) -> LabelMatcher:
-    """``district=~"north.*"`` with or without quotes. Raises ``click.BadParameter``."""
-    for at in range(len(text)):
-        for sign, kind in SIGNS.items():
-            if text.startswith(sign, at) and at:
-                value = text[at + len(sign) :]
+    """Parse ``district=~"north.*"``, with or without quotes. Raises ``click.BadParameter``."""
+    for position in range(len(text)):
+        for operator, kind in MATCHER_OPERATORS.items():
+            if text.startswith(operator, position) and position:
+                value = text[position + len(operator) :]
                 if len(value) > 1 and value[0] == value[-1] == '"':
                     value = value[1:-1]
-                return LabelMatcher(type=kind, name=text[:at], value=value)
+                return LabelMatcher(type=kind, name=text[:position], value=value)
     raise click.BadParameter(f"{text!r}: expected LABEL=VALUE, LABEL!=VALUE, LABEL=~EXPR or LABEL!~EXPR")
 
 
 def fetch(url: str, request: ReadRequest, timeout: float) -> tuple[int, dict[str, str], ReadResponse | str]:
-    """One remote read over HTTP: status, headers (lower case), the answer or the text of a refusal."""
+    """Send one remote read over HTTP; return status, headers in lower case, and the answer or error text."""
     parts = urlsplit(url)
-    line = http.client.HTTPConnection(parts.hostname or "127.0.0.1", parts.port, timeout=timeout)
+    connection = http.client.HTTPConnection(parts.hostname or "127.0.0.1", parts.port, timeout=timeout)
     try:
-        line.request("POST", parts.path or "/", encode(request), {**HEADERS, **VERSION_HEADER})
-        response = line.getresponse()
+        connection.request("POST", parts.path or "/", encode(request), {**HEADERS, **VERSION_HEADER})
+        response = connection.getresponse()
         body = response.read()
         headers = {name.lower(): value for name, value in response.getheaders()}
         if response.status != 200:
             return response.status, headers, body.decode("utf-8", "replace").strip()
         return response.status, headers, decode_response(body, 1 << 30)
     finally:
-        line.close()
+        connection.close()
 
 
 @main.command()
 @click.argument("url")
 @click.argument("matchers", nargs=-1, required=True)
 @click.option("--start", type=int, help="Milliseconds since the epoch.")
-@click.option("--end", type=int, help="Milliseconds since the epoch; now if left out.")
+@click.option("--end", type=int, help="Milliseconds since the epoch; default: now.")
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--timeout", default=30.0, help="Seconds.")
 def query(
     url: str, matchers: tuple[str, ...], start: int | None, end: int | None, as_json: bool, timeout: float
 ) -> None:
-    """Read series through a broker (or straight from a holder). Exit status 1 without an answer.
+    """Read series through a broker or directly from a holder. Exit status 1 without an answer.
 
-    MATCHERS are like __name__=engine_hours district=~"north.*".
+    MATCHERS have the form __name__=engine_hours district=~"north.*".
     """
     request = ReadRequest()
     until = end if end is not None else int(time.time() * 1000)
@@ -244,10 +255,15 @@
         click.echo(f"{url}: no answer: {error}", err=True)
         sys.exit(1)
     if isinstance(answer, str):
-        wait = headers.get("retry-after")
-        click.echo(f"status {status}: {answer}" + (f" (retry after {wait} s)" if wait else ""), err=True)
+        retry_after = headers.get("retry-after")
+        click.echo(
+            f"status {status}: {answer}" + (f" (retry after {retry_after} s)" if retry_after else ""),
+            err=True,
+        )
         sys.exit(1)
-    mark = f"{headers.get('quincepath-answer', 'unmarked')}, parts {headers.get('quincepath-parts', '?')}"
+    completeness = (
+        f"{headers.get('quincepath-answer', 'unmarked')}, parts {headers.get('quincepath-parts', '?')}"
+    )
     series = answer.results[0].timeseries if answer.results else []
     if as_json:
         found = [
@@ -257,9 +273,11 @@
             }
             for s in series
         ]
-        click.echo(json.dumps({"answer": headers.get("quincepath-answer"), "parts": mark, "series": found}))
+        click.echo(
+            json.dumps({"answer": headers.get("quincepath-answer"), "parts": completeness, "series": found})
+        )
         return
-    table = Table(title=mark)
+    table = Table(title=completeness)
     for column in ("series", "samples", "first", "last", "last value"):
         table.add_column(column, overflow="fold")
     for s in series:
@@ -275,13 +293,13 @@
 @main.command()
 @click.argument("record", type=click.Path(path_type=Path, exists=True))
 def audit(record: Path) -> None:
-    """Check the six rules from the records in a folder (or one file). Exit status 1 if one is broken."""
+    """Check records in a folder (or one file) against the six rules. Exit status 1 if one is broken."""
     paths = sorted(record.glob("*.jsonl")) if record.is_dir() else [record]
     report = run_audit(paths)
     for finding in report.findings[:20]:
         click.echo(str(finding))
-    said = ", ".join(f"{count} {kind}" for kind, count in report.ended.items())
-    click.echo(f"{report.queries} queries ({said}), {report.parts_got} parts seen at holders")
+    outcomes = ", ".join(f"{count} {kind}" for kind, count in report.ended.items())
+    click.echo(f"{report.queries} queries ({outcomes}), {report.parts_got} parts seen at holders")
     for name, share in report.margins.items():
         click.echo(f"rule {name}: {share:.2f} of its limit used")
     click.echo(f"{len(report.findings)} findings" if report.findings else "no rule broken")
@@ -290,15 +308,17 @@
 
 @main.command()
 @click.argument("script", type=click.Path(path_type=Path))
-@click.option("--record", type=click.Path(path_type=Path), help="Folder to keep records in; new or empty.")
-@click.option("--seed", type=int, help="Instead of the script's.")
+@click.option(
+    "--record", type=click.Path(path_type=Path), help="Folder for the records; must be new or empty."
+)
+@click.option("--seed", type=int, help="Overrides the seed of the script.")
 def day(script: Path, record: Path | None, seed: int | None) -> None:
-    """Run a scripted day over loopback and audit it. Exit status 1 if a rule broke."""
+    """Run a scripted day over loopback and audit it. Exit status 1 if a rule is broken."""
     try:
         result = run_day(load(script, DayScript), record, seed=seed)
     except ConfigError as error:
         fail(error.lines)
-    except ValueError as error:  # a holder that is not there, a folder that is in use
+    except ValueError as error:  # unknown holder, folder in use
         fail([f"{script}: {error}"])
     for finding in result.report.findings[:20]:
         click.echo(str(finding))
@@ -309,15 +329,17 @@
 @main.command(name="load")
 @click.argument("url")
 @click.option("--query", "queries", multiple=True, required=True, help="[WEIGHT*]MATCHER[;MATCHER...]")
-@click.option("--rate", default=50.0, help="Queries a second, on average.")
+@click.option("--rate", default=50.0, help="Mean rate of queries per second.")
 @click.option("--seconds", default=10.0)
 @click.option("--start", default=0, help="Milliseconds since the epoch.")
-@click.option("--end", type=int, help="Milliseconds since the epoch; now if left out.")
-@click.option("--timeout", default=10.0, help="Seconds until this client gives a query up.")
-@click.option("--most-open", default=1000, help="Open at once; what is due beyond is counted as unsent.")
-@click.option("--retries", default=0, help="By which a query that was not answered is asked again, marked.")
-@click.option("--tenant", "tenants", multiple=True, help="NAME or NAME=WEIGHT; as often as wanted.")
-@click.option("--tenant-header", default="X-Scope-OrgID", help="In which a tenant is named.")
+@click.option("--end", type=int, help="Milliseconds since the epoch; default: now.")
+@click.option("--timeout", default=10.0, help="Seconds after which the client gives up a query.")
+@click.option(
+    "--most-open", default=1000, help="Limit on open queries; queries due beyond it count as unsent."
+)
+@click.option("--retries", default=0, help="Retries of an unanswered query, marked as retries.")
+@click.option("--tenant", "tenants", multiple=True, help="NAME or NAME=WEIGHT; repeatable.")
+@click.option("--tenant-header", default="X-Scope-OrgID", help="Header that carries the name of the tenant.")
 @click.option("--seed", default=1)
 @click.option("--json", "as_json", is_flag=True)
 def load_command(
@@ -335,9 +357,9 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Send a load to a remote read address on this machine, open loop. Exit status 1 if nothing was answered.
+    """Send an open-loop load to a remote read URL on this machine. Exit status 1 if nothing was answered.
 
-    A query is like 3*__name__=fuel_use_liters;district=~.+ with its weight in front.
+    A query has the form 3*__name__=fuel_use_liters;district=~.+ with its weight in front.
     """
     host = urlsplit(url).hostname or ""
     if host != "localhost" and not host.startswith("127."):
@@ -347,12 +369,12 @@
     until = end if end is not None else int(time.time() * 1000)
     mixes = []
     for text in queries:
-        weight, sign, rest = text.partition("*")
+        weight, separator, rest = text.partition("*")
         try:
-            share = float(weight) if sign else 1.0
+            share = float(weight) if separator else 1.0
         except ValueError:
             share, rest = 1.0, text
-        matchers = tuple(parse_matcher(one) for one in (rest if sign else text).split(";"))
+        matchers = tuple(parse_matcher(one) for one in (rest if separator else text).split(";"))
         mixes.append(Mix(text, share, matchers, start, until, int(timeout * 1e9)))
     try:
         weights = {name: float(weight or 1) for name, _, weight in (one.partition("=") for one in tenants)}
@@ -367,13 +389,13 @@
     loop.close()
     result = load_run.result
     if as_json:
-        said = {
+        totals = {
             "sent": result.sent,
             "unsent": result.unsent,
             "retried": result.retried,
             "late_most_ms": result.late_most / 1e6,
         }
-        click.echo(json.dumps({**said, "queries": result.rows()}))
+        click.echo(json.dumps({**totals, "queries": result.rows()}))
     else:
         rows = result.rows()
         columns = list(dict.fromkeys(key for row in rows for key in row))
--- a/quincepath/config/__init__.py
+++ b/quincepath/config/__init__.py
@@ -1,1 +1,1 @@
-"""YAML configuration with checks that name the place."""
+"""YAML configuration with validation errors that name the file, line and key."""
--- a/quincepath/config/load.py
+++ b/quincepath/config/load.py
@@ -1,4 +1,4 @@
-"""Reads YAML files into checked models; every error names file, line, path, value and what was expected."""
+"""Loads YAML files into validated models; errors name file, line, key path, value and what was expected."""
 
 from pathlib import Path
 from typing import Any, TypeVar
@@ -9,32 +9,32 @@
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
 M = TypeVar("M", bound=BaseModel)
-SHOWN = 80  # characters of a wrong value that an error shows
+MAX_SHOWN_CHARS = 80  # of an invalid value, in an error message
 
 
 class ConfigError(ValueError):
-    """One or more errors in a file, a line each in ``lines``."""
+    """One or more errors in a file, each as one line in ``lines``."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
-def _plain(node: Any) -> Any:
+def _to_plain_types(node: Any) -> Any:
     if isinstance(node, CommentedMap):
-        return {key: _plain(value) for key, value in node.items()}
+        return {key: _to_plain_types(value) for key, value in node.items()}
     if isinstance(node, CommentedSeq):
-        return [_plain(value) for value in node]
+        return [_to_plain_types(value) for value in node]
     if isinstance(node, bool) or node is None:
         return node
-    for plain_type in (str, int, float):  # round-trip scalars are subclasses
+    for plain_type in (str, int, float):  # scalars of the round-trip loader are subclasses
         if isinstance(node, plain_type):
             return plain_type(node)
     return node
 
 
-def _line(root: Any, path: tuple[int | str, ...]) -> int:
-    """The line (from 1) of the deepest part of the path that stands in the file."""
+def _line_number(root: Any, path: tuple[int | str, ...]) -> int:
+    """Line number, from 1, of the deepest element of the path that exists in the file."""
     node, line = root, 1
     for key in path:
         if isinstance(node, CommentedMap) and key in node:
@@ -47,7 +47,7 @@
     return line
 
 
-def _path(path: tuple[int | str, ...]) -> str:
+def _format_path(path: tuple[int | str, ...]) -> str:
     text = ""
     for key in path:
         text += f"[{key}]" if isinstance(key, int) else f".{key}" if text else str(key)
@@ -55,7 +55,7 @@
 
 
 def parse(text: str, model: type[M], name: str) -> M:
-    """Check a file's text against a model. Raises ``ConfigError`` with all errors at once."""
+    """Validate the text of a file against a model. Raises ``ConfigError`` with all errors at once."""
     try:
         root = YAML(typ="rt").load(text)
     except MarkedYAMLError as error:
@@ -65,24 +65,24 @@
     except YAMLError as error:
         raise ConfigError([f"{name}:1: not YAML: {error}"]) from None
     try:
-        return model.model_validate(_plain(root))
+        return model.model_validate(_to_plain_types(root))
     except ValidationError as error:
         lines = []
         for item in error.errors():
             path = item["loc"]
-            said = item["msg"].removeprefix("Value error, ")
+            message = item["msg"].removeprefix("Value error, ")
             if item["type"] == "extra_forbidden":
-                said = "unknown key"
+                message = "unknown key"
             elif item["type"] == "missing":
-                said = "missing, expected a value"
+                message = "missing, expected a value"
             value = repr(item["input"])
-            shown = "" if isinstance(item["input"], (dict, list)) else f" is {value[:SHOWN]}"
-            lines.append(f"{name}:{_line(root, path)}: {_path(path)}{shown}: {said}")
+            shown = "" if isinstance(item["input"], (dict, list)) else f" is {value[:MAX_SHOWN_CHARS]}"
+            lines.append(f"{name}:{_line_number(root, path)}: {_format_path(path)}{shown}: {message}")
         raise ConfigError(lines) from None
 
 
 def load(path: Path, model: type[M]) -> M:
-    """Read and check a file. Raises ``ConfigError``, also where it cannot be read."""
+    """Read and validate a file. Raises ``ConfigError``, also if it cannot be read."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/quincepath/config/schema/__init__.py
+++ b/quincepath/config/schema/__init__.py
@@ -1,8 +1,8 @@
-"""The shape of a configuration file, checked by pydantic; times are nanoseconds, sizes bytes.
+"""The schema of a configuration file, validated by pydantic; times are nanoseconds, sizes are bytes.
 
-``Config`` is a whole file and ``Roster`` a list of holders; each section's entry stands in the file of its
-concern. ``module_settings``, ``registry_limits`` and ``admission_bounds`` are what the pure parts get of it.
-Bad input raises pydantic's ``ValidationError``, with the place, the value and what was expected.
+``Config`` is a whole file and ``Roster`` a list of holders; the model of each section is in the module of its
+topic. ``module_settings``, ``registry_limits`` and ``admission_bounds`` convert it for the pure packages.
+Invalid input raises pydantic's ``ValidationError`` with the location, the value and what was expected.
 """
 
 from quincepath.config.schema.base import MS, SECOND, Count, HolderUrl, Model, Name, Pattern, Port
--- a/quincepath/config/schema/base.py
+++ b/quincepath/config/schema/base.py
@@ -1,4 +1,4 @@
-"""What all entries share: names, counts, and that unknown keys are refused."""
+"""Types shared by all sections, and the base model, which rejects unknown keys."""
 
 import ipaddress
 from typing import Annotated
@@ -7,14 +7,14 @@
 import re2
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
-MS = 1_000_000
+MS = 1_000_000  # ns
 SECOND = 1000 * MS
 Name = Annotated[str, Field(min_length=1, max_length=200)]
 Port = Annotated[int, Field(ge=0, le=65535, strict=True)]
 Count = Annotated[int, Field(ge=1, strict=True)]
 
 
-def _pattern(value: str) -> str:
+def _check_pattern(value: str) -> str:
     options = re2.Options()
     options.log_errors = False
     try:
@@ -24,7 +24,7 @@
     return value
 
 
-def _holder_url(value: str) -> str:
+def _check_holder_url(value: str) -> str:
     parts = urlsplit(value)
     try:
         port = parts.port
@@ -39,11 +39,11 @@
     return value
 
 
-Pattern = Annotated[str, AfterValidator(_pattern)]
-HolderUrl = Annotated[str, AfterValidator(_holder_url)]
+Pattern = Annotated[str, AfterValidator(_check_pattern)]
+HolderUrl = Annotated[str, AfterValidator(_check_holder_url)]
 
 
 class Model(BaseModel):
-    """Unknown keys are refused: a misspelt setting must not silently keep its default."""
+    """Unknown keys are rejected: a misspelt setting must not silently keep its default."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/quincepath/config/schema/broker.py
+++ b/quincepath/config/schema/broker.py
@@ -1,4 +1,4 @@
-"""One broker: its limits, its rules, its asks and its traces."""
+"""Settings of one broker: identity, limits, rules, asks and traces."""
 
 from pydantic import Field, model_validator
 
@@ -10,7 +10,7 @@
 
 
 class LimitsEntry(Model):
-    """What a broker may do at most."""
+    """Limits of one broker."""
 
     attempts: int = Field(3, ge=1, le=16)
     second_copies: bool = True
@@ -19,18 +19,18 @@
     idle_close: Duration = 15 * SECOND
     connections_per_holder: Count = 32
     max_retry_after: Duration = 10 * SECOND
-    max_open: Count = 4000  # queries and parts held at once
-    max_asks: Count = 4000  # queries held at once
-    max_bytes: Size = 1 << 30  # of requests and expected answers held at once
-    max_memory: Size = 0  # bytes resident at which nothing new is taken; 0: not watched
+    max_open: Count = 4000  # queries and parts open at once
+    max_asks: Count = 4000  # queries open at once
+    max_bytes: Size = 1 << 30  # of requests and expected answers in memory at once
+    max_memory: Size = 0  # resident bytes at which no new query is admitted; 0: not monitored
     max_answer: Size = 64 << 20  # bytes of one holder's answer, decompressed
     max_merged: Size = 128 << 20  # bytes of one merged answer, before compression
     max_queries: int = Field(64, ge=1, le=4096)  # queries in one request
-    fair: FairEntry | None = None  # turns of slow queries; absent: nothing waits
+    fair: FairEntry | None = None  # fair queueing of slow queries; absent: no queue
 
 
 class RulesEntry(Model):
-    """The figures of the rules."""
+    """Parameters of the rules for sending."""
 
     drain_grace: Duration = 500 * MS
     cold_share: Share = 0.2
@@ -43,29 +43,29 @@
 
 
 class TracesEntry(Model):
-    """Where spans are written (JSON lines, appended to), and which share of the sound ones is kept."""
+    """File that spans are appended to as JSON lines, and the share of normal traces that is kept."""
 
     file: Name | None = None
     share: Share = 0.01
 
 
 class AsksEntry(Model):
-    """Which requests are tries of one ask. Of several headers, the first that is there counts."""
+    """Which requests are tries of one ask. Of several headers, the first one present counts."""
 
-    key_headers: list[Name] = ["Idempotency-Key"]  # vouched for: one body a key
-    id_headers: list[Name] = ["X-Request-Id"]  # an id may come again with another body: another ask
-    scope_header: Name = "X-Scope-OrgID"  # asks of different scopes are never one
-    remember: Duration = 10 * SECOND  # a marked ask's answer, for tries that come after it
+    key_headers: list[Name] = ["Idempotency-Key"]  # strict: a key belongs to one body only
+    id_headers: list[Name] = ["X-Request-Id"]  # an id that recurs with another body starts another ask
+    scope_header: Name = "X-Scope-OrgID"  # asks of different scopes are never shared
+    remember: Duration = 10 * SECOND  # how long the answer of a keyed ask is kept for later tries
     most_remembered: Count = 10_000
     most_bytes: Size = 64 << 20  # of remembered answers
-    linger: Duration = 300 * MS  # a marked ask runs on for a retry when its last client has gone
+    linger: Duration = 300 * MS  # a keyed ask keeps running for a retry after its last client left
     most_tries: Count = 64  # that wait for one ask
-    unmarked_within: Duration = 0  # equal bodies of one address so soon are tries of one ask; 0: never
-    share_equal: bool = True  # equal requests in flight are run once
+    unmarked_within: Duration = 0  # equal bodies of one address within it are tries of one ask; 0: never
+    share_equal: bool = True  # equal requests in flight share one run
 
 
 class BrokerEntry(Model):
-    """This broker among its peers. ``tick`` is the reserve for carrying an answer to its client."""
+    """This broker among its peers. ``tick`` is time reserved for delivering an answer to its client."""
 
     number: int = Field(0, ge=0)
     brokers: Count = 1
@@ -76,14 +76,14 @@
     call_work: Duration = 0
 
     @model_validator(mode="after")
-    def _one_of(self) -> "BrokerEntry":
+    def _check_number(self) -> "BrokerEntry":
         if self.number >= self.brokers:
             raise ValueError(f"expected number below brokers ({self.brokers})")
         return self
 
 
 def registry_limits(asks: AsksEntry, tick: int) -> RegistryLimits:
-    """What the book of asks and tries is bound to."""
+    """Limits of the ask registry."""
     return RegistryLimits(
         remember=asks.remember,
         most_remembered=asks.most_remembered,
@@ -95,5 +95,5 @@
 
 
 def admission_bounds(limits: LimitsEntry) -> AdmissionBounds:
-    """What admission is bound to."""
+    """Bounds of admission."""
     return AdmissionBounds(limits.max_asks, limits.max_open, limits.max_bytes, limits.max_retry_after)
--- a/quincepath/config/schema/classes.py
+++ b/quincepath/config/schema/classes.py
@@ -1,4 +1,4 @@
-"""Classes of query, and how a query is known to be of one."""
+"""Query classes and the rules that assign a query to one."""
 
 from typing import Literal
 
@@ -9,7 +9,7 @@
 
 
 class ClassRule(Model):
-    """True of a query that has a matcher of this label and type whose value the expression matches whole."""
+    """Matches a query that has a matcher of this label and type whose whole value the expression matches."""
 
     label: Name
     type: Literal["EQ", "NEQ", "RE", "NRE", "any"] = "EQ"
@@ -17,7 +17,7 @@
 
 
 class ClassEntry(Model):
-    """One class of query. ``recent`` cuts a longer time range into two steps, the newest part first."""
+    """One query class. ``recent`` splits a longer time range into two steps, the newest samples first."""
 
     name: Name
     when: list[ClassRule] = []
@@ -26,11 +26,11 @@
     need: Share = 1.0
     floor: Share | None = None
     late_worth: Share = 0.3
-    worth: Share = 1.0  # against other classes, when much is open
+    worth: Share = 1.0  # relative to other classes, when many queries are open
     recent: Duration = 0
 
     @model_validator(mode="after")
-    def _sound(self) -> "ClassEntry":
+    def _check_values(self) -> "ClassEntry":
         if not 0 < self.target <= self.deadline:
             raise ValueError("expected 0 < target <= deadline")
         if not 0 < self.need or (self.floor is not None and not 0 < self.floor <= self.need):
--- a/quincepath/config/schema/distribution.py
+++ b/quincepath/config/schema/distribution.py
@@ -1,4 +1,4 @@
-"""Distribution of the configuration by relays: which members relay, in which region each of them stands."""
+"""Distribution of the configuration by relays: which members relay, and the region of each."""
 
 from typing import Literal
 
@@ -7,33 +7,33 @@
 from quincepath.config.schema.base import Model, Name
 from quincepath.config.schema.members import MemberName
 
-RELAYS_MOST = 100  # of which the status keeps summaries
+MAX_RELAYS = 100  # the status page keeps a summary of each
 
 
 class RelayEntry(Model):
-    """A member that relays, and its region."""
+    """A relay member and its region."""
 
     name: MemberName
     region: Name
 
 
 class DistributionEntry(Model):
-    """On a fleet with keepers only. ``region`` is this member's own; ``relays`` are the same on all."""
+    """Needs a fleet with ``keepers``. ``region`` is that of this member; ``relays`` is equal on all."""
 
     region: Name
-    relays: list[RelayEntry] = Field(min_length=1, max_length=RELAYS_MOST)
+    relays: list[RelayEntry] = Field(min_length=1, max_length=MAX_RELAYS)
 
     @model_validator(mode="after")
-    def _distinct(self) -> "DistributionEntry":
+    def _check_distinct(self) -> "DistributionEntry":
         names = [relay.name for relay in self.relays]
-        doubled = sorted({name for name in names if names.count(name) > 1})
-        if doubled:
-            raise ValueError(f"relays: {doubled[0]!r} stands twice")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        if duplicates:
+            raise ValueError(f"relays: {duplicates[0]!r} is listed twice")
         return self
 
 
 class NodeListEntry(Model):
-    """Of the distributed nodes as a whole: whether they are all, and so take the place of the file's list."""
+    """Whether the distributed nodes are the whole list and replace the list of the file."""
 
     name: Literal["nodes"]
     whole: bool
--- a/quincepath/config/schema/fleet.py
+++ b/quincepath/config/schema/fleet.py
@@ -1,4 +1,4 @@
-"""A broker as a member of a fleet: peers, keepers, and how many may be out at once."""
+"""A broker as a member of a fleet: peers, voters of the log, and how many members may be out at once."""
 
 import ipaddress
 from typing import Annotated
@@ -13,41 +13,41 @@
 from quincepath.config.values import Duration, Share
 
 
-def _peer_address(value: str) -> str:
+def _check_peer_address(value: str) -> str:
     host, _, port = value.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
-        sound = 0 < int(port) < 65536
+        valid = 0 < int(port) < 65536
     except ValueError:
-        sound = False
-    if not sound:
+        valid = False
+    if not valid:
         raise ValueError("expected ADDRESS:PORT with an IPv4 address")
     return value
 
 
 class PeerEntry(Model):
-    """Another broker: its name in the fleet, and where it hears datagrams and takes connections."""
+    """Another broker: its name in the fleet and its address for datagrams and connections."""
 
     name: MemberName
-    address: Annotated[str, AfterValidator(_peer_address)]
+    address: Annotated[str, AfterValidator(_check_peer_address)]
 
     @property
     def socket_address(self) -> tuple[str, int]:
-        """For a socket."""
+        """The address as a socket takes it."""
         host, _, port = self.address.rpartition(":")
         return host, int(port)
 
 
 class LimitEntry(Model):
-    """Most that may be out at once: a number, a share of those configured, or the smaller of both."""
+    """How many may be out at once: a number, a share of those configured, or the smaller of both."""
 
     number: int | None = Field(None, ge=0)
     share: Share | None = None
-    least: int = Field(1, ge=0)  # that a share allows at least
+    least: int = Field(1, ge=0)  # minimum that a share allows
 
 
 class KindLimits(Model):
-    """Of one kind. ``ready_least``: holders of each replica set that must stay ready and warm."""
+    """Limits of one kind. ``ready_least``: holders of each replica set that must stay ready and warm."""
 
     total: LimitEntry = LimitEntry(number=1)
     zone: LimitEntry = LimitEntry(number=1)
@@ -55,42 +55,42 @@
 
 
 class FleetLimits(Model):
-    """How many may be out at once, for whatever reason."""
+    """How many members may be out at once, for any reason."""
 
     brokers: KindLimits = KindLimits()
     holders: KindLimits = KindLimits()
 
 
 class FleetEntry(Model):
-    """This broker as a member of a fleet. ``peers`` may name this member, too: one list may serve for all."""
+    """This broker as a member of a fleet. ``peers`` may include this member, so that all can use one list."""
 
     name: MemberName
     member: MemberName
     host: Name = "127.0.0.1"
     port: Port = 0
     peers: list[PeerEntry] = Field(max_length=1000)
-    keepers: list[MemberName] = []  # of the log of permits and drains; the same list on all. Empty: none
-    store: Name | None = None  # folder of this keeper's store, beside the file
+    keepers: list[MemberName] = []  # voters of the log of permits and drains; equal on all. Empty: none
+    store: Name | None = None  # folder of this voter's store, relative to the file
     limits: FleetLimits = FleetLimits()
-    overdue: Duration = 3600 * SECOND  # until a drain that is not over halts everything
-    join: list[MemberName] = []  # asked first; any peer, where these do not answer
+    overdue: Duration = 3600 * SECOND  # until an unfinished drain halts all further grants
+    join: list[MemberName] = []  # contacted first; if none answers, any peer
     period: Duration = 500 * MS  # between probes
-    ack_time: Duration = 150 * MS  # until others are asked to probe as well
-    floor: Duration = 1500 * MS  # least time from suspicion to death
-    exchange: Duration = 10 * SECOND  # between comparisons of whole views
-    reclaim: Duration = 600 * SECOND  # until the dead are no longer told of
-    settle: Duration = 3 * SECOND  # without a change, until the view may be called settled
-    ledger: LedgerEntry | None = None  # absent: brokers tell each other nothing of their load
-    overload: OverloadEntry | None = None  # absent: each broker alone
+    ack_time: Duration = 150 * MS  # until indirect probes are requested
+    floor: Duration = 1500 * MS  # minimum time from suspicion to death
+    exchange: Duration = 10 * SECOND  # between exchanges of whole views
+    reclaim: Duration = 600 * SECOND  # until dead members are forgotten
+    settle: Duration = 3 * SECOND  # time without a change until the view may count as settled
+    ledger: LedgerEntry | None = None  # absent: brokers exchange no load reports
+    overload: OverloadEntry | None = None  # absent: each broker sheds on its own
     topology: TopologyEntry | None = None  # absent: the configured shard map stays
-    configuration: DistributionEntry | None = None  # absent: the files alone say what is in force
+    configuration: DistributionEntry | None = None  # absent: only the files define the configuration
 
     @model_validator(mode="after")
-    def _sound(self) -> "FleetEntry":
+    def _check_values(self) -> "FleetEntry":
         names = [peer.name for peer in self.peers]
-        doubled = sorted({name for name in names if names.count(name) > 1})
-        if doubled:
-            raise ValueError(f"peers: {doubled[0]!r} stands twice")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        if duplicates:
+            raise ValueError(f"peers: {duplicates[0]!r} is listed twice")
         others = [peer for peer in self.peers if peer.name != self.member]
         addresses: dict[str, str] = {}
         for peer in others:
@@ -100,13 +100,13 @@
         unknown = sorted(set(self.join) - set(names))
         if unknown:
             raise ValueError(f"join: {unknown[0]!r} is none of the peers")
-        self._sound_keepers({*names, self.member})
+        self._check_keepers({*names, self.member})
         if self.overload is not None and self.ledger is None:
             raise ValueError("overload: expected ledger beside it: its figures come from there")
         if self.topology is not None and not self.keepers:
             raise ValueError("topology: expected keepers beside it: a shard map is adopted through their log")
         if self.configuration is not None:
-            self._sound_relays(self.configuration, {*names, self.member})
+            self._check_relays(self.configuration, {*names, self.member})
         if not 10 * MS <= self.ack_time <= self.period // 2:
             raise ValueError("expected 10ms <= ack_time <= half of period")
         if self.floor < 2 * self.period:
@@ -115,7 +115,7 @@
             raise ValueError("expected exchange and settle of at least one period, reclaim of at least ten")
         return self
 
-    def _sound_keepers(self, known: set[str]) -> None:
+    def _check_keepers(self, known: set[str]) -> None:
         if len(self.keepers) not in (0, 1, 3, 5, 7) or len(set(self.keepers)) < len(self.keepers):
             raise ValueError(
                 f"keepers: {len(self.keepers)} names; expected 3, 5 or 7 different ones (1 to try)"
@@ -126,7 +126,7 @@
         if (self.member in self.keepers) != (self.store is not None):
             raise ValueError("expected store with a member that is one of the keepers, and with no other")
 
-    def _sound_relays(self, entry: DistributionEntry, known: set[str]) -> None:
+    def _check_relays(self, entry: DistributionEntry, known: set[str]) -> None:
         if not self.keepers:
             raise ValueError("configuration: expected keepers beside it: changes are committed in their log")
         unknown = sorted({relay.name for relay in entry.relays} - known)
--- a/quincepath/config/schema/holders.py
+++ b/quincepath/config/schema/holders.py
@@ -1,4 +1,4 @@
-"""Shards, replica sets and the holders that serve them; what a roster file holds."""
+"""Shards, replica sets, the holders that serve them, and the roster file."""
 
 from typing import Literal
 from urllib.parse import urlsplit
@@ -9,7 +9,7 @@
 
 
 class ShardEntry(Model):
-    """One shard: the values of the shard label that it holds. Shards of one ``set`` have the same holders."""
+    """One shard and its values of the shard label. Shards of one ``set`` have the same holders."""
 
     name: Name
     values: list[Name] = Field(min_length=1)
@@ -17,19 +17,19 @@
 
 
 class Shards(Model):
-    """How queries are cut. ``unlabelled`` says which shards may hold series without the shard label."""
+    """How queries are split. ``unlabelled``: which shards may hold series without the shard label."""
 
     label: Name
     unlabelled: Literal["everywhere", "nowhere"] = "everywhere"
     map: list[ShardEntry] = Field(min_length=1)
 
     @model_validator(mode="after")
-    def _distinct(self) -> "Shards":
+    def _check_distinct(self) -> "Shards":
         names: set[str] = set()
         values: dict[str, str] = {}
         for entry in self.map:
             if entry.name in names:
-                raise ValueError(f"shard {entry.name!r} stands twice")
+                raise ValueError(f"shard {entry.name!r} is listed twice")
             names.add(entry.name)
             for value in entry.values:
                 if value in values:
@@ -38,11 +38,11 @@
         return self
 
     def sets(self) -> dict[str, list[str]]:
-        """Names of the shards of each replica set, in the file's order."""
-        found: dict[str, list[str]] = {}
+        """Names of the shards of each replica set, in the order of the file."""
+        shards_by_set: dict[str, list[str]] = {}
         for entry in self.map:
-            found.setdefault(entry.set or entry.name, []).append(entry.name)
-        return found
+            shards_by_set.setdefault(entry.set or entry.name, []).append(entry.name)
+        return shards_by_set
 
 
 class Holder(Model):
@@ -57,19 +57,19 @@
 
 
 class Roster(Model):
-    """A roster file: all holders now. ``version`` should grow with each change."""
+    """A roster file: all current holders. ``version`` should grow with each change."""
 
     version: int = Field(0, ge=0)
     holders: list[Holder]
 
     @model_validator(mode="after")
-    def _distinct(self) -> "Roster":
+    def _check_distinct(self) -> "Roster":
         check_distinct(self.holders)
         return self
 
 
 def check_distinct(holders: list[Holder]) -> None:
-    """Raises ``ValueError`` where two holders share a name or an address."""
+    """Raises ``ValueError`` if two holders share a name or an address."""
     seen: dict[str, str] = {}
     for holder in holders:
         address = urlsplit(holder.url).netloc
@@ -82,7 +82,7 @@
 
 
 def check_holders(shards: Shards, holders: list[Holder]) -> None:
-    """Raises ``ValueError`` where a holder's shards are not those of one replica set."""
+    """Raises ``ValueError`` if the shards of a holder are not those of one replica set."""
     sets = {frozenset(names) for names in shards.sets().values()}
     for holder in holders:
         if frozenset(holder.shards) not in sets:
--- a/quincepath/config/schema/listeners.py
+++ b/quincepath/config/schema/listeners.py
@@ -1,4 +1,4 @@
-"""Where a broker listens, and what one connection may use."""
+"""Listeners of a broker and limits of one connection."""
 
 from pydantic import Field
 
@@ -7,22 +7,22 @@
 
 
 class Listen(Model):
-    """The remote read front's listener and what one client connection may use."""
+    """The listener of the remote read front and the limits of one client connection."""
 
     host: Name = "127.0.0.1"
     port: Port = 0
     path: str = Field("/api/v1/read", pattern="^/")
     max_connections: Count = 2000
-    max_connections_per_address: int = Field(0, ge=0)  # 0: no bound of its own
+    max_connections_per_address: int = Field(0, ge=0)  # 0: no limit per address
     max_headers: Size = 32 * 1024
     max_body: Size = 4 << 20
     idle_timeout: Duration = 60 * SECOND
-    request_timeout: Duration = 10 * SECOND  # from a request's first byte to its last
-    write_timeout: Duration = 30 * SECOND  # without the client taking a byte
+    request_timeout: Duration = 10 * SECOND  # from the first byte of a request to its last
+    write_timeout: Duration = 30 * SECOND  # without the client reading a byte
 
 
 class MetricsListen(Model):
-    """Where the metrics page is served."""
+    """The listener of the metrics page."""
 
     host: Name = "127.0.0.1"
     port: Port = 0
--- a/quincepath/config/schema/members.py
+++ b/quincepath/config/schema/members.py
@@ -1,4 +1,4 @@
-"""How a member of a fleet may be called."""
+"""The syntax of member names in a fleet."""
 
 from typing import Annotated
 
--- a/quincepath/config/schema/module.py
+++ b/quincepath/config/schema/module.py
@@ -1,27 +1,27 @@
-"""The module's settings, drawn from the configuration."""
+"""Derives the settings of the decision module from the configuration."""
 
 from quincepath.config.schema.root import Config
 from quincepath.interface import Effect, Limits, QueryClass, Rules, Settings
 
 
 def module_kind(config: Config, index: int, two_steps: bool) -> int:
-    """The module's position of a class: itself, or its twin without a second step."""
+    """Position of a class in the module's settings: its own, or that of its variant without a second step."""
     if two_steps or not config.classes[index].recent:
         return index
-    twins = [at for at, entry in enumerate(config.classes) if entry.recent]
-    return len(config.classes) + twins.index(index)
+    two_step = [position for position, entry in enumerate(config.classes) if entry.recent]
+    return len(config.classes) + two_step.index(index)
 
 
 def module_settings(config: Config) -> Settings:
-    """The module's settings. Each replica set is one cell; all classes of remote read are safe to repeat.
+    """Settings of the decision module. Each replica set is one cell; all remote read classes are retry-safe.
 
-    A class with a second step stands twice, the twins without one at the end: for a query of a short time
-    range. The module keeps back time for a second step and gives a query up when none is left for it; a
-    query that has none must not be held to that, nor its latencies be mixed with those that have.
+    A class with a second step is listed twice; its variant without one, for queries of a short time range, is
+    at the end. The module reserves time for a second step and gives up a query when none is left for it. This
+    must not apply to a query without a second step, and latencies of both kinds must not be mixed.
     """
     broker, limits, rules = config.broker, config.limits, config.rules
-    both = [(entry, bool(entry.recent)) for entry in config.classes]
-    both += [(entry, False) for entry in config.classes if entry.recent]
+    variants = [(entry, bool(entry.recent)) for entry in config.classes]
+    variants += [(entry, False) for entry in config.classes if entry.recent]
     return Settings(
         me=broker.number,
         instances=broker.brokers,
@@ -44,7 +44,7 @@
                 floor=entry.need if entry.floor is None else entry.floor,
                 second_step=int(two_steps),
             )
-            for entry, two_steps in both
+            for entry, two_steps in variants
         ),
         limits=Limits(
             attempts=limits.attempts,
--- a/quincepath/config/schema/root.py
+++ b/quincepath/config/schema/root.py
@@ -1,4 +1,4 @@
-"""A whole file, and what is derived from all of it."""
+"""A whole configuration file and values derived from it."""
 
 from typing import Any
 
@@ -35,7 +35,7 @@
     repeat_header: Name = "Retry-Attempt"
 
     @model_validator(mode="after")
-    def _sound(self) -> "Config":
+    def _check_values(self) -> "Config":
         if bool(self.holders) == bool(self.roster):
             raise ValueError("expected either holders or roster, one of them")
         names = [entry.name for entry in self.classes]
@@ -46,20 +46,22 @@
             raise ValueError("two tenants share a name")
         if self.fleet is not None and self.fleet.keepers:
             members = {self.fleet.member, *(peer.name for peer in self.fleet.peers)}
-            both = sorted(members & {holder.name for holder in self.holders})
-            if both:
-                raise ValueError(f"{both[0]!r} names a broker and a holder: permits go by the name")
+            duplicates = sorted(members & {holder.name for holder in self.holders})
+            if duplicates:
+                raise ValueError(
+                    f"{duplicates[0]!r} names a broker and a holder: permits identify members by name"
+                )
         check_distinct(self.holders)
         check_holders(self.shards, self.holders)
         return self
 
 
-def zone_positions(config: Config, more: list[Holder]) -> dict[str, int]:
-    """Positions of zone names: this broker's first, the rest by name."""
-    names = {holder.zone for holder in [*config.holders, *more]} - {config.broker.zone}
-    return {name: at for at, name in enumerate([config.broker.zone, *sorted(names)])}
+def zone_positions(config: Config, holders: list[Holder]) -> dict[str, int]:
+    """Positions of zones: the zone of this broker first, the rest sorted by name."""
+    names = {holder.zone for holder in [*config.holders, *holders]} - {config.broker.zone}
+    return {name: position for position, name in enumerate([config.broker.zone, *sorted(names)])}
 
 
 def config_as_dict(config: Config) -> dict[str, Any]:
-    """The configuration with defaults filled in, for showing; times in nanoseconds."""
+    """The configuration with defaults filled in, for display; times in nanoseconds."""
     return config.model_dump()
--- a/quincepath/config/schema/topology.py
+++ b/quincepath/config/schema/topology.py
@@ -1,4 +1,4 @@
-"""What a new shard map is judged by, and how long it is measured."""
+"""Limits that a new shard map is checked against, and how long it is measured."""
 
 from typing import Literal
 
@@ -9,7 +9,7 @@
 
 
 class MapLimitEntry(Model):
-    """The most that a forecast figure may be. ``where``: a replica set or class; absent: each of them."""
+    """Maximum of a forecast figure. ``where``: a replica set or class; absent: each of them."""
 
     kind: Literal["parts", "calls", "load", "bytes", "miss"]
     most: float = Field(gt=0)
@@ -17,11 +17,11 @@
 
 
 class TopologyEntry(Model):
-    """Adoption of a shard map; on a fleet with keepers only, the same on all brokers."""
+    """Adoption of a shard map. Needs a fleet with ``keepers``; equal on all brokers."""
 
     limits: list[MapLimitEntry] = Field(min_length=1, max_length=100)
-    slots: Count = 1  # calls that a holder works on at once
-    least: Count = 400  # footprints in the sample
-    age_most: Duration = 7200 * SECOND  # of the sample
-    heard_least: Share = 0.9  # of the brokers
-    measure: Duration = 600 * SECOND  # after it is in use, until it is held against the forecast
+    slots: Count = 1  # calls that a holder serves concurrently
+    least: Count = 400  # minimum number of footprints in the sample
+    age_most: Duration = 7200 * SECOND  # maximum age of the sample
+    heard_least: Share = 0.9  # minimum share of brokers that reported
+    measure: Duration = 600 * SECOND  # time in use before it is compared with the forecast
--- a/tests/fleet/distribution/test_schema.py
+++ b/tests/fleet/distribution/test_schema.py
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "said"),
     [
-        ("name: b0, region: east", "name: b1, region: east", "relays: 'b1' stands twice"),
+        ("name: b0, region: east", "name: b1, region: east", "relays: 'b1' is listed twice"),
         ("name: b0, region: east", "name: b7, region: west", "configuration.relays: 'b7' is neither"),
         ("name: b0, region: east", "name: b0", "relays[1].region: missing"),
         ("name: b0, region: east", "name: 'b 0', region: west", "relays[1].name is 'b 0'"),
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -254,7 +254,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "said"),
     [
-        ("name: b2", "name: b1", "'b1' stands twice"),
+        ("name: b2", "name: b1", "'b1' is listed twice"),
         ("127.0.0.1:7002", "127.0.0.1:7001", "share 127.0.0.1:7001"),
         ("127.0.0.1:7002", "example.org:7002", "expected ADDRESS:PORT with an IPv4 address"),
         ("127.0.0.1:7002", "127.0.0.1:70000", "expected ADDRESS:PORT"),
