--- a/quincepath/fronts/remote_read/front.py
+++ b/quincepath/fronts/remote_read/front.py
@@ -98,8 +98,8 @@
                     client_key = ClientKey(scope, key[:MAX_NAME_CHARS], strict and len(key) <= MAX_NAME_CHARS)
         # The address is part of the digest only if nothing else identifies the client.
         owner = address if client_key is None and asks.unmarked_within else ""
-        # The digest covers all that makes a request valid, so that one with a wrong path or type is not a try of
-        # a valid one.
+        # The digest covers all that makes a request valid, so one of a wrong path or type is not a try of a
+        # valid one.
         media_type, encoding = headers.get("content-type", ""), headers.get("content-encoding", "")
         head = f"{request.method} {request.path}\n{media_type}\n{encoding}\n"
         digest = hashlib.blake2b(
--- a/tests/fleet/adoption/test_front.py
+++ b/tests/fleet/adoption/test_front.py
@@ -22,14 +22,14 @@
 from quincepath.shards.versions import MapVersion
 from tests.fleet.adoption.builders import digest, judged
 from tests.fleet.adoption.test_wiring import ENTRY
-from tests.test_config import SOUND
+from tests.test_config import VALID_CONFIG
 
 
 class Front:
     """A planner and its extension over a log of one broker."""
 
     def __init__(self) -> None:
-        self.config = parse(SOUND.replace("[north.example.org]", "[n1, n2, n3]"), Config, "f.yaml")
+        self.config = parse(VALID_CONFIG.replace("[north.example.org]", "[n1, n2, n3]"), Config, "f.yaml")
         self.first = configured_map(self.config.shards)
         cells = {name: cell for cell, name in enumerate(self.config.shards.sets())}
         self.planner = Planner(self.config, self.first.to_shard_map(cells))
@@ -97,7 +97,7 @@
     front.extension.on_ask_ended(0, ended(1, before))
     assert front.maps.follower.usage() == (2, 0)
     front.extension.on_ask_ended(0, ended(2, after))
-    assert not [call for call in front.log.calls if "another version" in str(call)]
+    assert not [call for call in front.log.calls if "another shard map version" in str(call)]
 
 
 def test_a_query_cut_by_one_version_and_held_by_another_is_told() -> None:
@@ -107,7 +107,7 @@
     front.adopt(front.split(), 2)
     front.extension.on_ask_begun(0, 1, {})
     front.extension.on_ask_ended(0, ended(1, before))
-    assert [call for call in front.log.calls if "another version" in str(call)]
+    assert [call for call in front.log.calls if "another shard map version" in str(call)]
 
 
 def test_numbers_of_any_version_leave_the_cell_of_their_set() -> None:
--- a/tests/fleet/distribution/test_schema.py
+++ b/tests/fleet/distribution/test_schema.py
@@ -8,7 +8,7 @@
 
 from quincepath.config.load import ConfigError, parse
 from quincepath.config.schema import Config
-from tests.test_config import SOUND
+from tests.test_config import VALID_CONFIG
 from tests.test_fleet_processes import FLEET
 
 KEEPERS = "  keepers: [b0, b1, b2]\n  store: s\n"
@@ -22,7 +22,7 @@
 
 
 def test_relays_may_be_peers_and_this_member() -> None:
-    found = parse(SOUND + FLEET + KEEPERS + SECTION, Config, "f.yaml")
+    found = parse(VALID_CONFIG + FLEET + KEEPERS + SECTION, Config, "f.yaml")
     assert found.fleet is not None and found.fleet.configuration is not None
     assert [relay.name for relay in found.fleet.configuration.relays] == ["b1", "b0"]
 
@@ -41,7 +41,7 @@
     ],
 )
 def test_a_wrong_section_is_refused_with_place_and_value(old: str, new: str, said: str) -> None:
-    text = SOUND + FLEET + KEEPERS + SECTION
+    text = VALID_CONFIG + FLEET + KEEPERS + SECTION
     assert old in text
     with pytest.raises(ConfigError) as error:
         parse(text.replace(old, new), Config, "f.yaml")
@@ -53,7 +53,7 @@
     relays = "".join(f"      - {{name: r{number}, region: east}}\n" for number in range(count))
     section = "  configuration:\n    region: east\n    relays:" + (f"\n{relays}" if count else " []\n")
     with pytest.raises(ConfigError, match="at (least 1|most 100) item"):
-        parse(SOUND + FLEET + KEEPERS + section, Config, "f.yaml")
+        parse(VALID_CONFIG + FLEET + KEEPERS + section, Config, "f.yaml")
 
 
 def _loaded(section: str, folder: str) -> list[str]:
@@ -65,7 +65,7 @@
         "from quincepath.config.load import parse\n"
         "from quincepath.config.schema import Config\n"
         "from quincepath.net.loop import Loop\n"
-        f"config = parse({SOUND + FLEET + KEEPERS + section!r}, Config, 'f')\n"
+        f"config = parse({VALID_CONFIG + FLEET + KEEPERS + section!r}, Config, 'f')\n"
         f"broker = Broker(config, Loop(), Path({folder!r}))\n"
         "broker.close()\n"
         "ours = ('quincepath.fleet.distribution', 'quincepath.fleet.configuration_requests',\n"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration errors name file, line, path, value and what was expected; the list survives them."""
+"""Configuration errors name file, line, path, value and what was expected; an invalid roster is ignored."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -16,7 +16,7 @@
 from quincepath.membership.state import HolderInfo, MembershipState
 from quincepath.net.loop import Loop
 
-SOUND = """\
+VALID_CONFIG = """\
 shards:
   label: district
   map:
@@ -35,8 +35,8 @@
 """
 
 
-def test_a_sound_file_is_read_with_units() -> None:
-    config = parse(SOUND, Config, "f.yaml")
+def test_a_valid_file_is_parsed_with_units() -> None:
+    config = parse(VALID_CONFIG, Config, "f.yaml")
     assert config.rules.drain_grace == 250_000_000
     assert config.classes[0].need == 0.6
     settings = module_settings(config)
@@ -68,26 +68,28 @@
         ("need: 60%", "need: 60%\n    need: 50%", "f.yaml:14: not YAML: found duplicate key"),
     ],
 )
-def test_errors_name_place_value_and_what_was_expected(old: str, new: str, wanted: str) -> None:
-    assert old in SOUND
+def test_errors_name_location_value_and_what_was_expected(old: str, new: str, wanted: str) -> None:
+    assert old in VALID_CONFIG
     with pytest.raises(ConfigError) as caught:
-        parse(SOUND.replace(old, new), Config, "f.yaml")
+        parse(VALID_CONFIG.replace(old, new), Config, "f.yaml")
     assert wanted in str(caught.value)
 
 
-def test_check_tells_every_error_at_once_and_exits_with_2(tmp_path: Path) -> None:
+def test_check_prints_all_errors_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "b.yaml"
-    path.write_text(SOUND.replace("250ms", "soon").replace("60%", "much").replace("target: 2s", "target: 2"))
+    path.write_text(
+        VALID_CONFIG.replace("250ms", "soon").replace("60%", "much").replace("target: 2s", "target: 2")
+    )
     run = CliRunner().invoke(main, ["check", str(path)])
     assert run.exit_code == 2
     assert [line.split(":")[1] for line in run.stderr.splitlines()] == ["11", "13", "15"]
-    path.write_text(SOUND)
+    path.write_text(VALID_CONFIG)
     assert CliRunner().invoke(main, ["check", str(path)]).exit_code == 0
     assert CliRunner().invoke(main, ["check", str(tmp_path / "none.yaml")]).exit_code == 2
 
 
 @pytest.mark.parametrize(
-    ("parse_it", "good", "bad"),
+    ("parse_value", "good", "bad"),
     [
         (
             parse_duration,
@@ -98,37 +100,37 @@
         (parse_share, {"60%": 0.6, 0.25: 0.25, 1: 1.0}, ["160%", -0.1, "x", True, None]),
     ],
 )
-def test_values(parse_it: Callable[[Any], Any], good: dict[Any, Any], bad: list[Any]) -> None:
-    assert {text: parse_it(text) for text in good} == good
+def test_parsing_of_values(parse_value: Callable[[Any], Any], good: dict[Any, Any], bad: list[Any]) -> None:
+    assert {text: parse_value(text) for text in good} == good
     for text in bad:
         with pytest.raises(ValueError, match="expected"):
-            parse_it(text)
+            parse_value(text)
 
 
-def fact(name: str, phase: Phase = Phase.READY, since: int = 0, port: int = 80) -> HolderInfo:
+def holder_info(name: str, phase: Phase = Phase.READY, since: int = 0, port: int = 80) -> HolderInfo:
     return HolderInfo(name, bytes((127, 0, 0, 1)) + port.to_bytes(2), "/", 0, 0, ("s0",), phase, since)
 
 
-def test_news_of_a_list_are_what_changed_and_who_vanished() -> None:
+def test_membership_updates_contain_changed_and_removed_holders() -> None:
     state = MembershipState()
-    news, _ = state.apply_list([fact("a"), fact("b", port=81)])
-    assert news is not None and news.scope is Scope.CACHED and len(news.entries) == 2
-    assert state.apply_list([fact("a"), fact("b", port=81)]) == (None, [])
-    news, changes = state.apply_list([fact("a", Phase.DRAINING)])
-    assert news is not None and news.scope is Scope.DELTA
-    assert [entry.phase for entry in news.entries] == [Phase.DRAINING, Phase.GONE]
+    update, _ = state.apply_list([holder_info("a"), holder_info("b", port=81)])
+    assert update is not None and update.scope is Scope.CACHED and len(update.entries) == 2
+    assert state.apply_list([holder_info("a"), holder_info("b", port=81)]) == (None, [])
+    update, changes = state.apply_list([holder_info("a", Phase.DRAINING)])
+    assert update is not None and update.scope is Scope.DELTA
+    assert [entry.phase for entry in update.entries] == [Phase.DRAINING, Phase.GONE]
     assert [(change.name, change.description) for change in changes] == [
         ("a", "ready -> draining"), ("b", "removed from the list"),
     ]  # fmt: skip
-    assert state.address(fact("b", port=81).node) is None
+    assert state.address(holder_info("b", port=81).node) is None
 
 
-def test_a_start_told_again_on_a_stepped_clock_is_the_same_start() -> None:
+def test_a_slightly_shifted_start_time_is_not_a_restart() -> None:
     state = MembershipState()
-    state.apply_list([fact("a", since=50_000_000_000)])
-    assert state.apply_list([fact("a", since=50_400_000_000)]) == (None, [])
-    news, changes = state.apply_list([fact("a", since=60_000_000_000)])
-    assert news is not None and changes[0].description == "restarted"
+    state.apply_list([holder_info("a", since=50_000_000_000)])
+    assert state.apply_list([holder_info("a", since=50_400_000_000)]) == (None, [])
+    update, changes = state.apply_list([holder_info("a", since=60_000_000_000)])
+    assert update is not None and changes[0].description == "restarted"
 
 
 ROSTER = """\
@@ -139,23 +141,23 @@
 """
 
 
-def test_a_broken_roster_changes_nothing_and_is_told(tmp_path: Path) -> None:
-    head, _, rest = SOUND.partition("holders:")
-    text = head + "roster: r.yaml\nclasses:" + rest.partition("classes:")[2]
+def test_an_invalid_roster_changes_nothing_and_is_counted(tmp_path: Path) -> None:
+    before_holders, _, after_holders = VALID_CONFIG.partition("holders:")
+    text = before_holders + "roster: r.yaml\nclasses:" + after_holders.partition("classes:")[2]
     (tmp_path / "b.yaml").write_text(text)
     (tmp_path / "r.yaml").write_text(ROSTER)
     loop = Loop()
     broker = Broker(load(tmp_path / "b.yaml", Config), loop, tmp_path)
     loop.turn(0)
     assert len(broker.holders.source.state.holders) == 2
-    for broken in ("version: [", ROSTER.replace("[s1]", "[s7]"), ROSTER.replace("holders", "holder")):
-        (tmp_path / "r.yaml").write_text(broken)
+    for invalid in ("version: [", ROSTER.replace("[s1]", "[s7]"), ROSTER.replace("holders", "holder")):
+        (tmp_path / "r.yaml").write_text(invalid)
         broker.read_list(force=True)
         assert len(broker.holders.source.state.holders) == 2 and broker.holders.source.errors
     assert broker.holders.source.errors == 3
     (tmp_path / "r.yaml").write_text(ROSTER.replace("shards: [s1]", "shards: [s1], phase: draining"))
     broker.read_list()
-    phases = [fact.phase for fact in broker.holders.source.state.holders.values()]
+    phases = [info.phase for info in broker.holders.source.state.holders.values()]
     assert phases == [Phase.READY, Phase.DRAINING]
     broker.close()
     loop.close()
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The command line as a process: the demo's contract, a broker's stop, a short scripted day and its audit."""
+"""The command line as processes: demo output, shutdown of a broker, a short scripted day and its audit."""
 
 import json
 import os
@@ -46,17 +46,17 @@
     return found
 
 
-def test_demo_serves_its_contract_and_leaves_no_child() -> None:
-    words = [*COMMAND, "demo", "--seed", "4"]
-    with subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True) as process:
+def test_demo_output_answers_and_shutdown_without_child_processes() -> None:
+    command = [*COMMAND, "demo", "--seed", "4"]
+    with subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None and process.stderr is not None
         ready = json.loads(process.stdout.readline())
         assert set(ready) == {"remote_read", "metrics", "holders", "shard_label", "classes"}
         assert len(ready["holders"]) >= 6
         for shard in {shard for holder in ready["holders"] for shard in holder["shards"]}:
             assert sum(shard in holder["shards"] for holder in ready["holders"]) == 2
-        own = children(process.pid)
-        assert len(own) == 6
+        child_pids = children(process.pid)
+        assert len(child_pids) == 6
 
         def read(url: str) -> Any:
             run = subprocess.run(
@@ -65,10 +65,10 @@
             )  # fmt: skip
             return json.loads(run.stdout)
 
-        through = read(ready["remote_read"])
+        through_broker = read(ready["remote_read"])
         holder = next(h for h in ready["holders"] if "s0" in h["shards"])
-        assert through["series"] == read(holder["url"])["series"] != []
-        assert through["answer"] == "whole"
+        assert through_broker["series"] == read(holder["url"])["series"] != []
+        assert through_broker["answer"] == "whole"
         with urllib.request.urlopen(ready["metrics"]) as page:
             text = page.read().decode()
         assert 'quincepath_queries_total{answer="whole",class="hours-report"} 1.0' in text
@@ -79,15 +79,15 @@
         assert [(line["answer"], line["parts"]) for line in answers] == [
             ("whole", "2/2")
         ]  # one shard, two steps
-    assert not [pid for pid in own if Path(f"/proc/{pid}").exists()]
+    assert not [pid for pid in child_pids if Path(f"/proc/{pid}").exists()]
 
 
-def test_demo_on_a_taken_port_says_so_and_leaves_no_child() -> None:
+def test_demo_reports_a_port_in_use_and_leaves_no_child_process() -> None:
     import socket
 
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
         run = subprocess.run(
-            [*COMMAND, "demo", "--port", str(taken.getsockname()[1])],
+            [*COMMAND, "demo", "--port", str(occupied.getsockname()[1])],
             capture_output=True,
             text=True,
             timeout=30,
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "wanted"),
+    ("command", "wanted"),
     [
         (["query", "http://127.0.0.1:1/x", "nonsense"], "expected LABEL=VALUE"),
         (["query", "http://127.0.0.1:1/x", "a=b"], "no answer"),
@@ -105,50 +105,50 @@
         (["day", str(ROOT / "pyproject.toml")], "pyproject.toml:8: not YAML"),
     ],
 )
-def test_bad_input_ends_with_a_clear_line(words: list[str], wanted: str) -> None:
-    run = subprocess.run([*COMMAND, *words], capture_output=True, text=True, timeout=30)
+def test_invalid_input_ends_with_a_clear_message(command: list[str], wanted: str) -> None:
+    run = subprocess.run([*COMMAND, *command], capture_output=True, text=True, timeout=30)
     assert run.returncode in (1, 2) and wanted in run.stderr and "Traceback" not in run.stderr
 
 
-def test_short_bad_day_breaks_no_rule_and_the_record_can_be_judged_again(tmp_path: Path) -> None:
+def test_short_day_with_faults_breaks_no_rule_and_its_record_can_be_audited_again(tmp_path: Path) -> None:
     record = tmp_path / "day"
     result = run_day(DayScript.model_validate(SHORT_DAY), record)
     assert result.report.findings == []
     assert result.asked > 200 and sum(result.report.ended.values()) == result.asked
-    # A broker that refuses all would break no rule: most queries must be served, too.
+    # A broker that refuses every query would break no rule, so most queries must be served.
     assert result.good > 0.5
     run = subprocess.run([*COMMAND, "audit", str(record)], capture_output=True, text=True)
     assert run.returncode == 0 and "no rule broken" in run.stdout
-    # The same record with one answer taken out is rejected.
-    shutil.copytree(record, tmp_path / "doctored")
-    path = tmp_path / "doctored" / "clients.jsonl"
+    # The audit rejects the same record with one answer removed.
+    shutil.copytree(record, tmp_path / "altered")
+    path = tmp_path / "altered" / "clients.jsonl"
     lines = path.read_bytes().splitlines(keepends=True)
     at = next(n for n, line in enumerate(lines) if b'"type":"end"' in line)
     path.write_bytes(b"".join(lines[:at] + lines[at + 1 :]))
-    run = subprocess.run([*COMMAND, "audit", str(tmp_path / "doctored")], capture_output=True, text=True)
+    run = subprocess.run([*COMMAND, "audit", str(tmp_path / "altered")], capture_output=True, text=True)
     assert run.returncode == 1 and "rule 1: clients.jsonl:" in run.stdout
 
 
-def test_scripts_in_examples_are_sound() -> None:
+def test_example_scripts_are_valid() -> None:
     scripts = list((ROOT / "examples").glob("*day*.yaml"))
     assert scripts
     for path in scripts:
         assert load(path, DayScript).troubles
 
 
-def test_stopped_process_answers_each_query_once_when_it_goes_on(tmp_path: Path) -> None:
-    """SIGSTOP for 2 s in the middle of queries: on real processes, what the virtual clock shows elsewhere."""
-    words = [*COMMAND, "demo", "--seed", "4"]
-    with subprocess.Popen(words, stdout=subprocess.PIPE, text=True) as process:
+def test_a_process_resumed_after_sigstop_answers_each_query_once(tmp_path: Path) -> None:
+    """SIGSTOP for 2 s during queries, on real processes; other tests cover it with a virtual clock."""
+    command = [*COMMAND, "demo", "--seed", "4"]
+    with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None
         ready = json.loads(process.stdout.readline())
         query = [*COMMAND, "query", ready["remote_read"], "__name__=engine_hours", "--json"]
         process.send_signal(signal.SIGSTOP)
-        asking = [subprocess.Popen(query, stdout=subprocess.PIPE, text=True) for _ in range(3)]
-        time.sleep(2)  # the length of the stall, not a wait for something to happen
+        clients = [subprocess.Popen(query, stdout=subprocess.PIPE, text=True) for _ in range(3)]
+        time.sleep(2)  # the length of the stall, not a wait for an event
         process.send_signal(signal.SIGCONT)
-        for one in asking:
-            out, _ = one.communicate(timeout=20)
-            assert one.returncode == 0 and json.loads(out)["answer"] == "whole"
+        for client in clients:
+            out, _ = client.communicate(timeout=20)
+            assert client.returncode == 0 and json.loads(out)["answer"] == "whole"
         process.send_signal(signal.SIGTERM)
         assert process.wait(15) == 0
--- a/tests/test_documented.py
+++ b/tests/test_documented.py
@@ -1,4 +1,4 @@
-"""Public items are documented: ruff's D1 rules hold everywhere but in a list of places that only shrinks."""
+"""Public items have docstrings: ruff's D1 rules apply everywhere except in a list that may only shrink."""
 
 import subprocess
 import sys
@@ -32,20 +32,20 @@
     ).returncode
 
 
-def test_the_rules_are_on_and_no_place_is_excepted_anew() -> None:
+def test_the_rules_are_on_and_no_exception_is_added() -> None:
     assert "D1" in LINT["select"] and LINT["ignore"] == ["D105", "D107"]
     assert excepted() <= EXCEPTED
 
 
 @pytest.mark.parametrize("pattern", sorted(excepted() - {"tests/**"}))
-def test_a_place_that_is_documented_by_now_is_excepted_no_more(pattern: str) -> None:
+def test_an_exception_of_documented_files_is_removed(pattern: str) -> None:
     files = sorted(ROOT.glob(pattern))
-    assert files and undocumented(files) == 1, f"{pattern}: take it from the list in pyproject.toml"
+    assert files and undocumented(files) == 1, f"{pattern}: remove it from the list in pyproject.toml"
 
 
 def test_a_public_item_without_a_docstring_is_found(tmp_path: Path) -> None:
     file = tmp_path / "module.py"
-    file.write_text('"""A module."""\n\n\ndef told() -> None:\n    """With words."""\n')
+    file.write_text('"""A module."""\n\n\ndef documented() -> None:\n    """Has one."""\n')
     assert undocumented([file]) == 0
-    file.write_text('"""A module."""\n\n\ndef untold() -> None:\n    return None\n')
+    file.write_text('"""A module."""\n\n\ndef undocumented() -> None:\n    return None\n')
     assert undocumented([file]) == 1
--- a/tests/test_extensions.py
+++ b/tests/test_extensions.py
@@ -1,4 +1,4 @@
-"""An extension of the broker: asked before any part is sent, told of each step of a query, and of the end."""
+"""Extensions of the broker: may reject queries before any part is sent, and are notified of each step."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -14,31 +14,31 @@
 from tests.world import SECOND, World
 
 
-class Watching(Extension):
-    """Writes down what it is told; refuses the queries of one class."""
+class RecordingExtension(Extension):
+    """Records its notifications; rejects queries of one class."""
 
     def __init__(self, refused: str = "") -> None:
         self.refused = refused
-        self.told: list[str] = []
+        self.events: list[str] = []
         self.parts: list[int] = []
 
     def admit(self, now: int, arrival: Arrival) -> Rejection | None:
-        self.told.append(f"arrive {arrival.plan.entry.name}")
+        self.events.append(f"admit {arrival.plan.entry.name}")
         self.parts.append(len(arrival.ask.parts))
         refuse = arrival.plan.entry.name == self.refused
         return Rejection("over its share", 3 * SECOND) if refuse else None
 
     def on_ask_begun(self, now: int, ask: int, headers: Mapping[str, str]) -> None:
-        self.told.append("began")
+        self.events.append("began")
 
     def on_call_sent(self, now: int, order: StartCall) -> None:
-        self.told.extend("sent" for _ in order.attempts)
+        self.events.extend("sent" for _ in order.attempts)
 
     def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
-        self.told.append("came")
+        self.events.append("came")
 
     def on_ask_ended(self, now: int, ended: AskEnded[Plan, Reply]) -> None:
-        self.told.append("ended")
+        self.events.append("ended")
 
     def handle_request(self, exchange: Exchange) -> bool:
         if exchange.request.path == "/extension":
@@ -47,40 +47,41 @@
         return False
 
     def drain(self) -> None:
-        self.told.append("drain")
+        self.events.append("drain")
 
     def close(self) -> None:
-        self.told.append("close")
+        self.events.append("close")
 
 
 def test_an_extension_follows_a_query_from_its_arrival_to_its_end(tmp_path: Path) -> None:
     world = World(tmp_path)
-    extension = Watching()
+    extension = RecordingExtension()
     world.broker.extensions.add(extension)
     end = world.ask(world.plan("hours-report"))[0]
     assert end.status == 200
-    sent, came = extension.told.count("sent"), extension.told.count("came")
-    assert extension.told[:3] == ["arrive hours-report", "began", "sent"] and extension.told[-1] == "ended"
+    sent, came = extension.events.count("sent"), extension.events.count("came")
+    assert extension.events[:3] == ["admit hours-report", "began", "sent"] and extension.events[-1] == "ended"
     assert extension.parts == [3] and sent == came >= 3
-    assert extension.told.count("ended") == 1
+    assert extension.events.count("ended") == 1
     world.broker.stop(lambda: None)
     world.close()
-    assert extension.told[-2:] == ["drain", "close"]
+    assert extension.events[-2:] == ["drain", "close"]
 
 
 def test_a_query_that_an_extension_refuses_reaches_no_holder_and_gets_the_extensions_advice(
     tmp_path: Path,
 ) -> None:
     world = World(tmp_path)
-    extension, second = Watching("hours-report"), Watching()
+    extension, second = RecordingExtension("hours-report"), RecordingExtension()
     world.broker.extensions.add(extension)
     world.broker.extensions.add(second)
     refused, served = world.ask(world.plan("hours-report"), world.plan("fleet-glance"))
     assert (refused.status, served.status) == (503, 200)
     assert refused.response is not None and refused.response.headers["retry-after"] == "3"
     assert b"over its share" in refused.response.body
-    assert second.told[0] == "arrive fleet-glance"  # the first refusal counts, nobody is asked after it
-    assert extension.told.count("ended") == 1 and extension.told.count("began") == 1
+    # The first rejection counts; later extensions are not called.
+    assert second.events[0] == "admit fleet-glance"
+    assert extension.events.count("ended") == 1 and extension.events.count("began") == 1
     world.close()
 
 
--- a/tests/test_fleet_drains.py
+++ b/tests/test_fleet_drains.py
@@ -17,7 +17,7 @@
 from quincepath.lab.demo import demo_config, make_cluster
 from quincepath.lab.process import Child
 from quincepath.standins.record import Got, read
-from tests.test_config import SOUND
+from tests.test_config import VALID_CONFIG
 from tests.test_fleet_processes import FLEET, ask, free_ports, phases, until
 
 MS = 1_000_000
@@ -197,7 +197,7 @@
 )
 def test_wrong_keepers_and_limits_are_refused_by_place(more: str, said: str) -> None:
     with pytest.raises(ConfigError) as error:
-        parse(SOUND + FLEET + more, Config, "f.yaml")
+        parse(VALID_CONFIG + FLEET + more, Config, "f.yaml")
     assert said in str(error.value)
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -29,7 +29,7 @@
 from quincepath.lab.fleet.verdict import EXCUSED_FOR, SECOND, Watcher
 from quincepath.lab.process import Child
 from quincepath.standins.record import Halt, Mark, read
-from tests.test_config import SOUND
+from tests.test_config import VALID_CONFIG
 
 HALVES = [["b0", "b1", "b2"], ["b3", "b4", "b5", "b6"]]
 LONGEST = 60.0  # seconds that a test waits for something
@@ -232,8 +232,8 @@
         "from quincepath.config.load import parse\n"
         "from quincepath.config.schema import Config\n"
         "from quincepath.net.loop import Loop\n"
-        "from tests.test_config import SOUND\n"
-        "broker = Broker(parse(SOUND, Config, 'f'), Loop())\n"
+        "from tests.test_config import VALID_CONFIG\n"
+        "broker = Broker(parse(VALID_CONFIG, Config, 'f'), Loop())\n"
         "off = ('quincepath.fleet', 'quincepath.store')\n"
         "print(broker.fleet, [m for m in sys.modules if m.startswith(off)])"
     )
@@ -268,16 +268,16 @@
 )
 def test_a_wrong_fleet_section_is_refused_by_place_and_value(old: str, new: str, said: str) -> None:
     with pytest.raises(ConfigError) as error:
-        parse(SOUND + FLEET.replace(old, new), Config, "f.yaml")
+        parse(VALID_CONFIG + FLEET.replace(old, new), Config, "f.yaml")
     assert said in str(error.value) and "f.yaml:" in str(error.value)
 
 
 def test_the_digest_of_a_configuration_leaves_out_who_a_broker_is() -> None:
-    one = parse(SOUND + FLEET, Config, "f")
+    one = parse(VALID_CONFIG + FLEET, Config, "f")
     other = parse(
-        SOUND + FLEET.replace("b0", "b9") + "broker: {number: 2, brokers: 4, zone: x}\n", Config, "f"
+        VALID_CONFIG + FLEET.replace("b0", "b9") + "broker: {number: 2, brokers: 4, zone: x}\n", Config, "f"
     )
-    more = parse(SOUND + FLEET + "broker: {number: 1, brokers: 4}\n", Config, "f")
-    wider = parse(SOUND + FLEET + "broker: {number: 1, brokers: 5}\n", Config, "f")
+    more = parse(VALID_CONFIG + FLEET + "broker: {number: 1, brokers: 4}\n", Config, "f")
+    wider = parse(VALID_CONFIG + FLEET + "broker: {number: 1, brokers: 5}\n", Config, "f")
     assert config_digest(other) == config_digest(more)
     assert len({config_digest(config) for config in (one, more, wider)}) == 3
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Holders and clients at their worst, on real sockets in virtual time. One broker, two holders a shard."""
+"""Faulty holders and clients on real sockets in virtual time: one broker, two holders per shard."""
 
 import os
 import resource
@@ -38,8 +38,8 @@
         assert not world.broker.driver.breaches, world.broker.driver.breaches
 
 
-class Raw:
-    """A client that writes bytes as it likes and keeps the responses."""
+class RawClient:
+    """A client that writes arbitrary bytes and keeps the responses."""
 
     def __init__(self, world: World, port: int = 0) -> None:
         self.got: list[tuple[int, bytes]] = []
@@ -51,7 +51,7 @@
 
     def _data(self, data: bytes) -> None:
         while data:
-            # One response at a time: the reader keeps the last that it completed.
+            # One response at a time: the reader keeps only the last that it completed.
             cut = data.find(b"HTTP/1.1 ", 1)
             piece, data = (data[:cut], data[cut:]) if cut > 0 else (data, b"")
             done = self.reader.feed(piece)
@@ -66,7 +66,7 @@
     return request_bytes("POST", "/api/v1/read", "test", {**HEADERS, **headers}, body)
 
 
-FAULTS_ONE = [
+HOLDER_FAULTS = [
     "hang",
     "silence",
     "reset",
@@ -80,11 +80,12 @@
 ]
 
 
-@pytest.mark.parametrize("fault", FAULTS_ONE)
-def test_bad_replicas_beside_sound_ones_cost_no_answer(make: Any, fault: str) -> None:
+@pytest.mark.parametrize("fault", HOLDER_FAULTS)
+def test_faulty_replicas_beside_healthy_ones_cost_no_answer(make: Any, fault: str) -> None:
     world = make(limits={"max_answer": "16MiB"})
     whole = answer(world.ask(world.plan())[0])
-    # Two lost connections with no part in make the module hold the query for poisoned: one holder, then.
+    # Two lost connections and no received part make the module treat the query as a poison query, so only
+    # one holder resets.
     world.faults("a0" if fault in ("reset", "cut") else "a0 b0 c0", fault=fault)
     ends = [world.ask(world.plan())[0] for _ in range(6)]
     for seen in ends:
@@ -104,7 +105,9 @@
 
 
 @pytest.mark.parametrize("fault", ["hang", "errors", "corrupt", "full"])
-def test_whole_shard_gone_ends_the_report_once_and_leaves_the_glance_whole(make: Any, fault: str) -> None:
+def test_a_lost_shard_refuses_the_strict_class_and_still_serves_the_lenient_one(
+    make: Any, fault: str
+) -> None:
     world = make()
     world.ask(world.plan(), world.plan("fleet-glance"))
     world.faults("a0 a1", fault=fault)
@@ -117,7 +120,7 @@
     assert districts == {"river.example.org", "south.example.org"}
 
 
-def test_killed_holders_are_known_dead_at_once_and_served_again_cold(make: Any) -> None:
+def test_killed_holders_cost_no_answer_and_restart_with_slow_start(make: Any) -> None:
     world = make(rules={"ramp_time": "1s", "cold_share": "20%", "overload_for": "250ms"})
     world.ask(world.plan())
     old = world.leaves["a0"]
@@ -136,16 +139,16 @@
         assert {completeness(seen)[0] for seen in ends if seen.status == 200} <= {"whole"}
         sent += [world.loop.at - began] * (world.leaves["a0"].requests - before)
     first = [at for at in sent if at < 250 * MS]
-    able = 2.0 * 0.3 * 250 * MS / (2 * MS) * 2  # multiple, mean warmth, two cores: parts in a window
-    assert 0 < len(first) <= able
-    assert any(at > SECOND for at in sent)  # warm again, it takes its share
+    capacity = 2.0 * 0.3 * 250 * MS / (2 * MS) * 2  # multiple, mean warmth, two cores: parts in a window
+    assert 0 < len(first) <= capacity
+    assert any(at > SECOND for at in sent)  # once warm, it gets its share
 
 
 def _node(port: int) -> bytes:
     return bytes((127, 0, 0, 1)) + port.to_bytes(2)
 
 
-def test_drain_mid_query_ends_the_query_and_sends_nothing_past_the_grace(make: Any) -> None:
+def test_drain_during_a_query_answers_it_and_sends_nothing_after_the_grace(make: Any) -> None:
     world = make()
     world.ask(world.plan())
     world.faults("a0 a1", fault="late", late_ms=300)
@@ -164,23 +167,23 @@
     assert world.leaves["a0"].requests == before
 
 
-def test_client_that_leaves_takes_its_query_along(make: Any) -> None:
+def test_a_client_disconnect_cancels_its_query(make: Any) -> None:
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
-    raw = Raw(world)
+    raw = RawClient(world)
     raw.stream.write(post(encode(read_request())))
     world.until(lambda: sum(leaf.requests for leaf in world.leaves.values()) == 3)
     raw.stream.close()
     world.until(lambda: not world.broker.clients.open and not world.broker.driver.tracked_count())
-    assert world.broker.upstream.counts.open == 0  # the calls were dropped with it
+    assert world.broker.upstream.counts.open == 0  # its calls were dropped as well
     sent = sum(leaf.requests for leaf in world.leaves.values())
     world.run(3)
     assert sum(leaf.requests for leaf in world.leaves.values()) == sent
 
 
-def test_pipelined_requests_are_answered_in_order_and_each_once(make: Any) -> None:
+def test_pipelined_requests_are_answered_once_each_and_in_order(make: Any) -> None:
     world = make()
-    raw = Raw(world)
+    raw = RawClient(world)
     raw.stream.write(
         post(encode(read_request("hours-report")))
         + post(encode(read_request("fleet-glance")))
@@ -192,43 +195,43 @@
     ]
     assert names == [{"engine_hours"}, {"fuel_use_liters"}]
     assert raw.got[2][0] == 400 and b"snappy" in raw.got[2][1]
-    assert not raw.closed  # a bad request is no reason to close
+    assert not raw.closed  # an invalid request does not close the connection
 
 
-def test_pipelining_without_end_is_not_held_without_end(make: Any) -> None:
-    """It is read on all the same: behind it may lie the client's end.
+def test_memory_for_pipelined_requests_is_bounded(make: Any) -> None:
+    """Reading continues all the same, because the end of the stream may follow.
 
     See tests/platform/test_client_disconnect.py.
     """
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
-    raw = Raw(world)
+    raw = RawClient(world)
     raw.stream.write(post(encode(read_request())) * 40)
     world.until(lambda: sum(leaf.requests for leaf in world.leaves.values()) == 3)
     peer = next(iter(world.broker.server.connections))
-    assert len(peer.reader.done) == 39  # one chunk at most
+    assert len(peer.reader.done) == 39  # at most one chunk
     raw.stream.write(post(encode(read_request())) * 40)
     world.run(0.05)
-    assert len(peer.reader.done) == 39 and peer.reader.dropped  # then no more
+    assert len(peer.reader.done) == 39 and peer.reader.dropped  # and no more
     world.faults("a0 a1 b0 b1 c0 c1")
     world.until(lambda: bool(raw.closed), longest=100)
     assert len(raw.got) == 40 and {status for status, _ in raw.got} <= {200, 503}
     assert raw.closed == "end of stream"
 
 
-def test_slow_sender_is_told_and_closed(make: Any) -> None:
+def test_a_slow_sender_gets_408_and_is_closed(make: Any) -> None:
     world = make(listen={"request_timeout": "2s"})
-    raw = Raw(world)
+    raw = RawClient(world)
     raw.stream.write(post(encode(read_request()))[:-5])
     world.until(lambda: bool(raw.closed))
     assert raw.got == [(408, b"the request did not arrive in time\n")]
 
 
-def test_slow_reader_is_cut_off_and_holds_nothing_back(make: Any) -> None:
+def test_a_slow_reader_is_disconnected(make: Any) -> None:
     world = make(listen={"write_timeout": "2s"})
     for leaf in world.leaves.values():
-        leaf.store = _Big(4_000_000)
-    raw = Raw(world)
+        leaf.store = BigStore(4_000_000)
+    raw = RawClient(world)
     raw.stream.pause()
     raw.stream.write(post(encode(read_request())))
     world.until(lambda: not world.broker.clients.open and world.broker.server.connections != {}, longest=5)
@@ -237,7 +240,7 @@
     raw.stream.close()
 
 
-class _Big:
+class BigStore:
     """A store with one incompressible series of about ``size`` bytes."""
 
     def __init__(self, size: int) -> None:
@@ -255,40 +258,40 @@
         return response
 
 
-def test_a_body_of_fifty_megabytes_comes_through(make: Any) -> None:
+def test_a_body_of_fifty_megabytes_is_delivered(make: Any) -> None:
     world = make()
     for leaf in world.leaves.values():
-        leaf.store = _Big(51_000_000)
+        leaf.store = BigStore(51_000_000)
     seen = world.ask(world.plan("hours-report", "north.*", start=END_MS - 60_000))[0]
     assert seen.response is not None and len(seen.response.body) > 50_000_000
     assert completeness(seen) == ("whole", "1/1")
 
 
-def test_answers_over_the_merged_limit_fail_and_say_so(make: Any) -> None:
+def test_answers_over_the_merge_limit_fail_with_the_reason(make: Any) -> None:
     world = make(limits={"max_merged": "1MiB"})
     for leaf in world.leaves.values():
-        leaf.store = _Big(600_000)
+        leaf.store = BigStore(600_000)
     seen = world.ask(world.plan("hours-report", start=END_MS - 60_000))[0]
     assert seen.status == 502 and b"over 1048576 bytes" in seen.response.body
 
 
-def test_compressed_bomb_is_refused_before_memory_is_given(make: Any) -> None:
+def test_a_decompression_bomb_is_rejected_before_memory_is_allocated(make: Any) -> None:
     world = make()
-    raw = Raw(world)
+    raw = RawClient(world)
     bomb = bytes(cramjam.snappy.compress_raw(b"\0" * 200_000_000))
     raw.stream.write(post(bomb[: 3 << 20]))
     world.until(lambda: len(raw.got) == 1)
     assert raw.got[0][0] == 400 and b"decompresses to 200000000 bytes" in raw.got[0][1]
 
 
-def test_body_and_headers_over_the_limit_are_refused_early(make: Any) -> None:
+def test_body_and_headers_over_the_limit_are_rejected_early(make: Any) -> None:
     world = make()
     for head, status in (
         (b"POST /api/v1/read HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413),
         (b"POST /api/v1/read HTTP/1.1\r\nX: " + b"y" * 40_000 + b"\r\n\r\n", 431),
         (b"nonsense\r\n\r\n", 400),
     ):
-        raw = Raw(world)
+        raw = RawClient(world)
         raw.stream.write(head)
         world.until(lambda raw=raw: bool(raw.closed))
         assert raw.got[0][0] == status
@@ -300,7 +303,7 @@
     body = encode(read_request())
     head = "POST /api/v1/read HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
     head += "".join(f"{name}: {value}\r\n" for name, value in HEADERS.items()) + "\r\n"
-    raw = Raw(world)
+    raw = RawClient(world)
     raw.stream.write(head.encode())
     world.run(0.1)
     for at in range(0, len(body), 7):
@@ -311,7 +314,7 @@
     assert raw.got[0][0] == 200
 
 
-def test_thousand_idle_connections_cost_a_query_nothing(make: Any) -> None:
+def test_a_thousand_idle_connections_do_not_affect_a_query(make: Any) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, hard), hard))
     try:
@@ -320,17 +323,17 @@
         world.until(lambda: len(world.broker.server.connections) >= 1000)
         turns = world.loop.turns
         world.run(10)
-        assert world.loop.turns - turns < 1000  # no busy waiting: sweeps and polls of ten seconds only
+        assert world.loop.turns - turns < 1000  # no busy waiting: only sweeps and polls every ten seconds
         assert completeness(world.ask(world.plan())[0])[0] == "whole"
         world.run(60)
-        assert len(world.broker.server.connections) <= 1  # idle ones are closed in their time
+        assert len(world.broker.server.connections) <= 1  # idle ones are closed after the idle timeout
         for sock in idle:
             sock.close()
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_running_out_of_descriptors_rests_the_listener_and_passes(make: Any) -> None:
+def test_running_out_of_descriptors_pauses_the_listener_until_it_passes(make: Any) -> None:
     world = make()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     clients = [socket.create_connection(("127.0.0.1", world.broker.server.port)) for _ in range(3)]
@@ -353,11 +356,11 @@
         sock.close()
 
 
-def test_no_connection_in_time_is_known_never_to_have_run(make: Any) -> None:
+def test_a_connect_timeout_is_reported_as_connect_failed(make: Any) -> None:
     world = make()
     old = world.leaves["a0"]
     old.close(reset=True)
-    # A listener whose backlog is full drops further handshakes: dialling hangs.
+    # A listener whose backlog is full drops further handshakes, so that connecting hangs.
     full = socket.socket()
     full.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     full.bind(("127.0.0.1", old.port))
@@ -381,7 +384,7 @@
         sock.close()
 
 
-def test_reply_and_deadline_in_the_same_turn_is_answered_once(make: Any) -> None:
+def test_a_reply_and_the_deadline_in_one_turn_give_one_answer(make: Any) -> None:
     world = make()
     world.ask(world.plan(pattern="north.*"))
     world.faults("a0 a1", fault="hang")
@@ -394,8 +397,8 @@
     peer = next(peer for peer in leaf.server.connections if peer.current)
     exchange = peer.current
     body = encode(leaf.store.read(_request_of(exchange.request.body)))
-    exchange.respond(200, HEADERS, body)  # the bytes are in the broker's socket now ...
-    world.loop.at = query.deadline - 1  # ... when its turn comes, at the end of the client's time
+    exchange.respond(200, HEADERS, body)  # the bytes are in the broker's socket now,
+    world.loop.at = query.deadline - 1  # and it reads them at the end of the client's time
     world.until(lambda: bool(done))
     assert done[0].status == 200 and completeness(done[0]) == ("whole", "1/1")
 
@@ -404,15 +407,15 @@
     return decode_request(body, 1 << 20)
 
 
-def test_stalled_broker_ends_what_it_held_once_and_goes_on(make: Any) -> None:
+def test_a_stalled_broker_answers_open_queries_once_and_continues(make: Any) -> None:
     world = make()
     world.ask(world.plan(), world.plan("fleet-glance"))
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
-    raws = [Raw(world) for _ in range(3)]
+    raws = [RawClient(world) for _ in range(3)]
     for raw in raws:
         raw.stream.write(post(encode(read_request())))
     world.until(lambda: len(world.broker.clients.open) == 3)
-    world.loop.at += 2 * SECOND + 500 * MS  # stopped and continued: the clock has stepped past the deadline
+    world.loop.at += 2 * SECOND + 500 * MS  # stopped and resumed: the clock is past the deadline
     world.until(lambda: all(raw.got for raw in raws))
     world.run(3)
     assert [len(raw.got) for raw in raws] == [1, 1, 1]
@@ -420,7 +423,7 @@
     assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
-def test_late_answers_after_a_cancel_reach_nobody(make: Any) -> None:
+def test_late_answers_after_a_cancel_are_discarded(make: Any) -> None:
     world = make()
     for _ in range(3):
         world.ask(world.plan())
@@ -431,7 +434,7 @@
     assert not world.broker.driver.tracked_count() and not world.broker.upstream.attempts
 
 
-def test_stop_answers_what_is_open_and_takes_no_more(make: Any) -> None:
+def test_stop_answers_open_queries_and_accepts_no_more(make: Any) -> None:
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="late", late_ms=200)
     done: list[Seen] = []
@@ -445,7 +448,7 @@
     assert [seen.status for seen in done] == [200]
 
 
-def test_too_much_open_is_refused_at_the_door(make: Any) -> None:
+def test_queries_over_the_open_limit_are_rejected_at_admission(make: Any) -> None:
     world = make(limits={"max_open": 9})
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     done: list[Seen] = []
@@ -467,11 +470,11 @@
     response = answer(seen)
     found = [{dict(labels)["district"] for labels in as_dict(response, i)} for i in range(3)]
     assert found == [{"north.example.org"}, {"river.example.org"}, set()]
-    # The strictest class holds for the whole request: both shards are needed.
+    # The strictest class applies to the whole request: both shards are needed.
     assert completeness(seen) == ("whole", "4/4")
 
 
-def test_matcher_that_touches_no_shard_is_answered_empty_without_a_part(make: Any) -> None:
+def test_a_matcher_that_touches_no_shard_is_answered_empty_without_a_part(make: Any) -> None:
     world = make()
     seen = world.ask(world.plan(pattern="atlantis"))[0]
     assert completeness(seen) == ("whole", "0/0") and as_dict(answer(seen)) == {}
@@ -485,26 +488,28 @@
         ({"pattern": "("}, b"not an RE2 expression"),
     ],
 )
-def test_bad_requests_name_the_query_and_the_fault(make: Any, change: dict[str, Any], wanted: bytes) -> None:
+def test_invalid_requests_are_rejected_with_query_and_reason(
+    make: Any, change: dict[str, Any], wanted: bytes
+) -> None:
     world = make()
     seen = world.ask(world.plan(**change))[0]
     assert seen.status == 400 and wanted in seen.response.body
 
 
-def test_request_timeout_header_shortens_the_time(make: Any) -> None:
+def test_the_timeout_header_shortens_the_deadline(make: Any) -> None:
     world = make()
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
-    raw = Raw(world)
+    raw = RawClient(world)
     began = world.loop.at
     raw.stream.write(post(encode(read_request()), **{"X-Quincepath-Timeout": "300ms"}))
-    raw2 = Raw(world)
-    raw2.stream.write(post(encode(read_request()), **{"X-Quincepath-Timeout": "soon"}))
-    world.until(lambda: bool(raw.got) and bool(raw2.got))
+    invalid = RawClient(world)
+    invalid.stream.write(post(encode(read_request()), **{"X-Quincepath-Timeout": "soon"}))
+    world.until(lambda: bool(raw.got) and bool(invalid.got))
     assert raw.got[0][0] == 503 and world.loop.at - began <= 300 * MS
-    assert raw2.got[0][0] == 400 and b"expected a duration" in raw2.got[0][1]
+    assert invalid.got[0][0] == 400 and b"expected a duration" in invalid.got[0][1]
 
 
-def test_matcher_types_prune_to_the_same_shards_as_they_match(make: Any) -> None:
+def test_each_matcher_type_prunes_to_the_shards_that_it_matches(make: Any) -> None:
     world = make()
     for kind, value, wanted in (
         (LabelMatcher.EQ, "north.example.org", {"north.example.org"}),
@@ -523,8 +528,8 @@
         assert sum(leaf.requests for leaf in world.leaves.values()) - before == len(wanted)
 
 
-def test_a_call_whose_connection_took_no_byte_is_told_as_never_run(make: Any) -> None:
-    """The pool's count of unsent bytes was gone by the time it was asked: such a call was told as a reset."""
+def test_a_call_whose_connection_took_no_byte_is_reported_as_connect_failed(make: Any) -> None:
+    """The pool cleared its count of unsent bytes before reading it, and reported such a call as a reset."""
     world = make()
     world.ask(world.plan())
     upstream = world.broker.upstream
@@ -534,7 +539,7 @@
     for name in ("a0", "a1"):
         for peer in list(world.leaves[name].server.connections):
             peer.stream.close(reset=True)
-    # Before the broker's loop has seen that the idle connection is gone:
+    # Before the broker's loop notices that the idle connection is closed:
     fetch = PartFetch(((0, read_request().queries[0]),))
     until = world.loop.at + SECOND
     order = AttemptOrder(901, 0, 0, 1, until, until, until, fetch, "x")
@@ -545,7 +550,7 @@
     assert [(e.part, e.result) for e in ended] == [(901, Result.CONNECT_FAILED)]
 
 
-def test_a_fault_of_the_program_fails_its_query_only(make: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_internal_error_fails_only_its_query(make: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     world = make()
 
     def broken(*_: Any) -> Any:
@@ -559,29 +564,29 @@
     assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
-def test_no_descriptor_for_a_holder_ends_the_attempt_not_the_broker(
+def test_no_descriptor_for_a_holder_fails_the_attempt_only(
     make: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = make()
-    world.client.idle.append(world.client._connect())  # the client's own connection is there already
+    world.client.idle.append(world.client._connect())  # the client already has its connection
     world.run(0.1)
 
-    def none_left(*_: Any) -> Any:
+    def out_of_descriptors(*_: Any) -> Any:
         raise OSError(24, "Too many open files")
 
-    monkeypatch.setattr("quincepath.upstream.pool.socket.socket", none_left)
+    monkeypatch.setattr("quincepath.upstream.pool.socket.socket", out_of_descriptors)
     assert world.ask(world.plan())[0].status == 503
     monkeypatch.undo()
     assert completeness(world.ask(world.plan())[0])[0] == "whole"
 
 
-def test_a_client_that_takes_streamed_answers_only_is_told_before_anything_is_sent(make: Any) -> None:
+def test_a_client_that_accepts_only_streamed_answers_gets_415_before_any_send(make: Any) -> None:
     world = make()
     request = read_request()
     request.accepted_response_types.append(ReadRequest.STREAMED_XOR_CHUNKS)
     plan = world.plan()
     seen = world.ask(type(plan)("hours-report", [], encode(request), request, 2 * SECOND))[0]
     assert seen.status == 415 and sum(leaf.requests for leaf in world.leaves.values()) == 0
-    request.accepted_response_types.append(ReadRequest.SAMPLES)  # the second choice will do
+    request.accepted_response_types.append(ReadRequest.SAMPLES)  # the second accepted type is served
     seen = world.ask(type(plan)("hours-report", [], encode(request), request, 2 * SECOND))[0]
     assert completeness(seen)[0] == "whole"
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -1,7 +1,7 @@
-"""Imports point inwards only: the contracts in pyproject.toml hold, and each finds what it is there for.
+"""Imports point inwards only: the contracts in pyproject.toml hold, and each detects a planted violation.
 
-What import-linter cannot say stands here as well: which names of ``random`` pure code uses, and that the
-adapter runs without a third party.
+Checks that import-linter cannot express are here as well: which names of ``random`` pure code uses, and that
+the adapter runs without third-party packages.
 """
 
 import ast
@@ -20,9 +20,9 @@
 CONTRACTS: dict[str, dict[str, Any]] = {contract["id"]: contract for contract in LINTER["contracts"]}
 TOOLS = {"quincepath.lab", "quincepath.standins", "quincepath.cli"}
 EDGE = set(CONTRACTS["edge"]["protected_modules"])
-PLANTED = [  # contract, file, the bad line
+PLANTED = [  # contract, file, the forbidden line
     ("pure", "asks/intake.py", "import time"),
-    ("pure", "fleet/load_reports/sums.py", "from os import path"),  # a room and a file that nobody has listed
+    ("pure", "fleet/load_reports/sums.py", "from os import path"),  # package and file are in no contract
     ("edge", "broker/dispatcher.py", "from quincepath.net import loop"),
     ("edge", "limits/fair/tags.py", "from quincepath.observe.logs import *"),
     ("pure-packages", "shards/versions.py", "from quincepath.net.loop import Loop"),
@@ -33,27 +33,27 @@
     ("layers", "lab/fleet/verdict.py", "import quincepath.cli.main"),
     ("single-thread", "cli/main.py", "import concurrent.futures"),
     ("platform", "platform/descriptors.py", "from quincepath.fleet import budget"),
-    ("platform", "orders.py", "import quincepath.config.values"),  # by a chain
+    ("platform", "orders.py", "import quincepath.config.values"),  # through a chain of imports
     ("adapter", "drill.py", "import msgspec"),
     ("adapter", "settings.py", "from quincepath.shards import shardmap"),
 ]
 
 
-def lint(where: Path, *words: str) -> subprocess.CompletedProcess[str]:
-    """The contracts over the package that lies in ``where``."""
+def lint(where: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run the contracts on the package in folder ``where``."""
     script = "from importlinter.cli import lint_imports_command as run; run()"
     return subprocess.run(
-        [sys.executable, "-c", script, "--no-cache", *words], cwd=where, capture_output=True, text=True
+        [sys.executable, "-c", script, "--no-cache", *arguments], cwd=where, capture_output=True, text=True
     )
 
 
-def name_of(path: Path, root: Path) -> str:
+def module_name(path: Path, root: Path) -> str:
     parts = path.relative_to(root).with_suffix("").parts
     return ".".join(part for part in parts if part != "__init__")
 
 
-def circles(package: str) -> list[list[str]]:
-    """Modules that import each other over any number of others, what is only for types among it."""
+def import_cycles(package: str) -> list[list[str]]:
+    """Import cycles of any length, including imports that are for type checking only."""
     graph = grimp.build_graph(package, cache_dir=None)
     found = []
     for module in sorted(graph.modules):
@@ -62,30 +62,30 @@
     return found
 
 
-def within(name: str, rooms: set[str]) -> bool:
-    return any(name == room or name.startswith(room + ".") for room in rooms)
+def is_within(name: str, packages: set[str]) -> bool:
+    return any(name == package or name.startswith(package + ".") for package in packages)
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    assert circles("quincepath") == []
+def test_there_are_no_import_cycles() -> None:
+    assert import_cycles("quincepath") == []
 
 
-@pytest.mark.parametrize("line", ["from ringed import one", "if TYPE_CHECKING:\n    from ringed import one"])
-def test_a_circle_is_found_also_where_it_is_for_types_only(
+@pytest.mark.parametrize("line", ["from cyclic import one", "if TYPE_CHECKING:\n    from cyclic import one"])
+def test_a_cycle_of_type_only_imports_is_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: str
 ) -> None:
     modules = {
-        "one": "import ringed.two",
-        "two": "import ringed.three",
+        "one": "import cyclic.two",
+        "two": "import cyclic.three",
         "three": f"from typing import TYPE_CHECKING\n{line}",
-        "apart": "import ringed.one",
+        "apart": "import cyclic.one",
     }
-    (tmp_path / "ringed").mkdir()
+    (tmp_path / "cyclic").mkdir()
     for name, text in {"__init__": "", **modules}.items():
-        (tmp_path / "ringed" / f"{name}.py").write_text(text + "\n")
+        (tmp_path / "cyclic" / f"{name}.py").write_text(text + "\n")
     monkeypatch.syspath_prepend(tmp_path)
-    ring = ["ringed.one", "ringed.three", "ringed.two"]
-    assert circles("ringed") == [ring, ring, ring]
+    cycle = ["cyclic.one", "cyclic.three", "cyclic.two"]
+    assert import_cycles("cyclic") == [cycle, cycle, cycle]
 
 
 def test_all_contracts_are_kept() -> None:
@@ -105,19 +105,19 @@
     shutil.copytree(ROOT / "quincepath", tmp_path / "quincepath", ignore=stale)
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
     path = tmp_path / "quincepath" / file
-    for room in [*path.relative_to(tmp_path).parents][:-1]:
-        (tmp_path / room).mkdir(exist_ok=True)
-        (tmp_path / room / "__init__.py").touch()
+    for package in [*path.relative_to(tmp_path).parents][:-1]:
+        (tmp_path / package).mkdir(exist_ok=True)
+        (tmp_path / package / "__init__.py").touch()
     with path.open("a") as out:
         out.write(f"\n{line}\n")
     run = lint(tmp_path, "--contract", contract)
     assert run.returncode == 1, run.stdout + run.stderr
     shown = run.stdout.partition("Broken contracts")[2]
     assert CONTRACTS[contract]["name"] in " ".join(shown.split())
-    assert name_of(path, tmp_path) in shown
+    assert module_name(path, tmp_path) in shown
 
 
-def test_the_edge_is_named_alike_in_the_contracts_that_name_it() -> None:
+def test_all_contracts_list_the_same_edge_modules() -> None:
     assert EDGE | TOOLS == set(CONTRACTS["edge"]["allowed_importers"])
     exempt = {line.partition(" -> ")[0].removesuffix(".**") for line in CONTRACTS["pure"]["ignore_imports"]}
     assert exempt <= EDGE | TOOLS
@@ -129,15 +129,15 @@
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     wanted = {line.partition(">")[0] for line in project["dependencies"]}
     modules = {names.get(name, name.replace("-", "_")) for name in wanted}
-    rooms = {f"quincepath.{path.parent.name}" for path in (ROOT / "quincepath").glob("*/__init__.py")}
+    packages = {f"quincepath.{path.parent.name}" for path in (ROOT / "quincepath").glob("*/__init__.py")}
     own = {"quincepath.policy"}
-    assert (modules | rooms) - set(CONTRACTS["adapter"]["forbidden_modules"]) <= own
+    assert (modules | packages) - set(CONTRACTS["adapter"]["forbidden_modules"]) <= own
 
 
-def test_pure_code_uses_of_random_only_a_source_of_its_own() -> None:
-    looked = 0
+def test_pure_code_uses_only_random_instances() -> None:
+    checked = 0
     for path in (ROOT / "quincepath").rglob("*.py"):
-        if within(name_of(path, ROOT), EDGE | TOOLS):
+        if is_within(module_name(path, ROOT), EDGE | TOOLS):
             continue
         tree = ast.parse(path.read_text())
         for node in ast.walk(tree):
@@ -145,12 +145,12 @@
                 assert {alias.name for alias in node.names} == {"Random"}, path
             if isinstance(node, ast.Attribute) and ast.unparse(node.value) == "random":
                 assert node.attr == "Random", path
-        looked += 1
-    assert looked > 50
+        checked += 1
+    assert checked > 50
 
 
 @pytest.mark.parametrize("module", ["quincepath", "quincepath.drill"])
-def test_the_adapter_runs_on_the_standard_library_alone(module: str) -> None:
+def test_the_adapter_needs_only_the_standard_library(module: str) -> None:
     script = (
         f"import sys, {module}\n"
         "own = {'quincepath'}\n"
--- a/tests/test_interop.py
+++ b/tests/test_interop.py
@@ -1,4 +1,4 @@
-"""What other libraries put on the wire is read as they meant it."""
+"""Requests encoded by other libraries are decoded correctly."""
 
 import json
 from dataclasses import replace
@@ -10,20 +10,20 @@
 from tests.world import World
 
 
-def test_a_request_made_with_other_libraries_is_read_alike_and_answered(tmp_path: Path) -> None:
+def test_a_request_encoded_by_other_libraries_is_decoded_and_answered(tmp_path: Path) -> None:
     """The bytes come from pure-protobuf and another snappy (benchmarks/interop); both agreed on samples."""
-    kept = json.loads((Path(__file__).parent.parent / "benchmarks/results/interop.json").read_text())
-    assert kept["same"] and kept["samples"] > 0
-    body = bytes.fromhex(kept["request"])
+    stored = json.loads((Path(__file__).parent.parent / "benchmarks/results/interop.json").read_text())
+    assert stored["same"] and stored["samples"] > 0
+    body = bytes.fromhex(stored["request"])
     request = decode_request(body, 1 << 20)
     [query] = request.queries
-    assert [[m.type, m.name, m.value] for m in query.matchers] == kept["matchers"]
+    assert [[m.type, m.name, m.value] for m in query.matchers] == stored["matchers"]
     assert (query.start_timestamp_ms, query.end_timestamp_ms) == (BEGIN_MS, END_MS)
     world = World(tmp_path)
-    [seen] = world.ask(QueryPlan("hours-report", [], body, request, 2_000_000_000))
-    assert seen.status == 200 and seen.response is not None
-    same = world.ask(replace(world.plan("hours-report", "north.*|river.*"), patience=2_000_000_000))[0]
-    assert same.response is not None
-    ours, others = (decode_response(one.body, 1 << 26) for one in (same.response, seen.response))
+    [foreign] = world.ask(QueryPlan("hours-report", [], body, request, 2_000_000_000))
+    assert foreign.status == 200 and foreign.response is not None
+    own = world.ask(replace(world.plan("hours-report", "north.*|river.*"), patience=2_000_000_000))[0]
+    assert own.response is not None
+    ours, others = (decode_response(one.body, 1 << 26) for one in (own.response, foreign.response))
     assert ours == others and sum(len(s.samples) for s in others.results[0].timeseries) > 0
     world.close()
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -1,4 +1,4 @@
-"""The laboratory on the command line: reports, comparisons, recordings, the load tool, the fault search."""
+"""The commands of the laboratory: reports, comparisons, recordings, load tool, search for faults."""
 
 import json
 import time
@@ -57,13 +57,13 @@
     return path
 
 
-def run(*words: str) -> tuple[int, str, str]:
-    result = CliRunner().invoke(main, list(words))
+def run(*arguments: str) -> tuple[int, str, str]:
+    result = CliRunner().invoke(main, list(arguments))
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.stdout, result.stderr
 
 
-def test_rehearse_compares_a_setting_and_writes_a_page_on_its_own(script: Path, tmp_path: Path) -> None:
+def test_rehearse_compares_a_setting_and_writes_a_self_contained_page(script: Path, tmp_path: Path) -> None:
     code, out, _ = run("rehearse", str(script), "--json", "--setting", "traffic.rate=60",
                        "--report", str(tmp_path / "r"))  # fmt: skip
     assert code == 0
@@ -75,7 +75,7 @@
     assert "<script src=" not in text and "cdn" not in text[:2000]
 
 
-def test_page_shows_troubles_starts_and_every_holder(script: Path) -> None:
+def test_the_page_shows_troubles_cold_starts_and_every_holder(script: Path) -> None:
     plan = load(script, Script)
     lines: list[Line] = []
     outcome = rehearse(plan, None, lines.append)
@@ -99,7 +99,7 @@
         ("fleet.ramp=soon", "expected a duration"),
     ],
 )
-def test_wrong_settings_are_named(script: Path, setting: str, wanted: str) -> None:
+def test_invalid_settings_are_rejected_with_the_reason(script: Path, setting: str, wanted: str) -> None:
     code, _, err = run("rehearse", str(script), "--setting", setting)
     assert code == 2 and wanted in err
 
@@ -119,7 +119,7 @@
     assert code == 0 and "cut inside frame" in err
 
 
-def test_rehearse_keeps_to_a_pace_and_says_how_it_goes(script: Path) -> None:
+def test_rehearse_limits_its_speed_and_reports_progress(script: Path) -> None:
     began = time.monotonic()
     code, _, err = run("rehearse", str(script), "--json", "--speed", "8")
     assert code == 0 and time.monotonic() - began >= 4 / 8 * 0.9
@@ -133,18 +133,18 @@
     assert f"{asked} asked" in monitor.summary() and "of 30 s answered" not in monitor.summary()
 
 
-def test_every_example_names_staff_and_loads() -> None:
+def test_every_example_loads_and_says_what_staff_should_see() -> None:
     for path in (ROOT / "examples" / "incidents").glob("*.yaml"):
         assert "taff should see" in load(path, Script).about.replace("\n", " "), path
 
 
-def test_drawn_days_are_the_same_by_number_and_differ_between() -> None:
+def test_generated_days_depend_only_on_their_number() -> None:
     assert draw(3) == draw(3) != draw(4)
     sizes = [draw(n, large=True) for n in range(5)]
     assert all(80 <= one.fleet.holders <= 110 and 23 <= one.brokers <= 32 for one in sizes)
 
 
-def test_the_search_cuts_a_find_down_to_the_trouble_that_matters() -> None:
+def test_the_search_reduces_a_find_to_the_decisive_trouble() -> None:
     script = parse(SCRIPT, Script, "s").model_copy(update={"length": 5 * SECOND})
     values = script.model_dump()["troubles"]
     harmless = [{**values[0], "kind": "drain"}, {**values[0], "kind": "list_late"}]
@@ -169,7 +169,7 @@
     assert [entry.kind for entry in cut_down(find, run_only_hangs).script.troubles] == ["hang"]
 
 
-def test_a_few_drawn_days_break_no_rule() -> None:
+def test_a_few_generated_days_break_no_rule() -> None:
     for find in search(range(6)):
         assert not find.broken, (
             find.number,
@@ -192,9 +192,7 @@
 """
 
 
-def test_a_run_that_the_machine_could_not_keep_up_with_is_void(
-    script: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_run_on_a_machine_that_was_too_slow_is_void(script: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def behind(self: SocketRun) -> dict[str, Any]:
         self.ended, self.late_most = True, 3 * SECOND
         self.clients = []
@@ -206,8 +204,8 @@
     assert code == 2 and "could not keep up (behind by 3.0 s" in err
 
 
-def test_every_kind_of_trouble_is_played_on_sockets_and_no_rule_breaks(tmp_path: Path) -> None:
-    """All kinds in one day, one after the other and over one another; the processes come back."""
+def test_every_kind_of_trouble_runs_on_sockets_and_breaks_no_rule(tmp_path: Path) -> None:
+    """All kinds in one day, in sequence and overlapping; killed processes restart."""
     special = {
         "class_errors": "of_class: b",
         "heavy_tail": "of_class: a, share: 0.1",
@@ -228,15 +226,15 @@
     kept = [line for _, line in read(tmp_path / "clients.jsonl")]
     marks = [line.what for line in kept if isinstance(line, Mark)]
     assert [one for one in marks if one.startswith("begins")] == [f"begins: {kind}" for kind in ALL_KINDS]
-    assert any("ended by itself" in one for one in marks)  # the poisoned query
+    assert any("ended by itself" in one for one in marks)  # the poison query
     killed = [line for line in kept if isinstance(line, Halt) and line.killed]
     assert killed and all(line.until > line.at for line in killed)
     assert {line.broker for line in kept if isinstance(line, Told)} == {0, 1}
     for holder in run_.by_name.values():
-        assert holder.process is None  # none is left behind
+        assert holder.process is None  # no process is left running
 
 
-def test_faults_of_one_holder_add_up_while_they_overlap() -> None:
+def test_overlapping_faults_of_one_holder_are_combined() -> None:
     whole = together(
         [Faults(slow=2.0, deaf_to=[1]), Faults(fault="errors", share=0.5, metric="m"),
          Faults(slow=3.0, deaf_to=[0], handshake_ms=5), Faults(steal=0.3), Faults(steal=0.2, lose=0.1)]
@@ -253,7 +251,7 @@
     return replace(plan, body=encode(plan.request))
 
 
-def test_a_holder_fails_one_metric_only_and_answers_some_brokers_only(tmp_path: Path) -> None:
+def test_faults_can_be_limited_to_a_metric_or_to_brokers(tmp_path: Path) -> None:
     world = World(tmp_path)
     world.faults("a0 a1", fault="errors", metric="fuel_use_liters")
     ends = world.ask(world.plan("hours-report"), world.plan("fleet-glance", "north.example.org"))
@@ -265,7 +263,7 @@
     world.close()
 
 
-def test_a_poisoned_query_takes_down_the_holders_that_begin_it_and_a_heavy_one_takes_longer(
+def test_a_poison_query_crashes_holders_and_a_heavy_query_takes_longer(
     tmp_path: Path,
 ) -> None:
     world = World(tmp_path, service=Service(work=20 * MS))
@@ -278,11 +276,11 @@
     world.close()
 
 
-def test_slow_handshakes_hold_up_new_connections_only(tmp_path: Path) -> None:
+def test_slow_handshakes_delay_only_new_connections(tmp_path: Path) -> None:
     world = World(tmp_path)
     first = world.ask(world.plan("hours-report"))[0]
     world.faults("a0 a1 b0 b1 c0 c1", handshake_ms=400)
-    assert world.ask(world.plan("hours-report"))[0].took < 300 * MS  # over connections that are open
+    assert world.ask(world.plan("hours-report"))[0].took < 300 * MS  # on open connections
     fresh = World(tmp_path)
     fresh.faults("a0 a1 b0 b1 c0 c1", handshake_ms=400)
     assert first.took < 300 * MS < 400 * MS <= fresh.ask(fresh.plan("hours-report"))[0].took
@@ -295,11 +293,11 @@
     return [Mix("reports", 1.0, matchers, END_MS - 60_000, END_MS, 2 * SECOND)]
 
 
-def test_load_is_sent_when_it_is_due_and_a_stall_is_not_left_out(tmp_path: Path) -> None:
+def test_load_is_sent_on_schedule_and_a_stall_counts_as_latency(tmp_path: Path) -> None:
     world = World(tmp_path)
     load_run = OpenLoop(world.loop, world.broker.url, mixes(), 50, 3, 1, 100)
     world.run(1)
-    world.loop.at += SECOND  # everything stands still for a second: what was due meanwhile waited for it
+    world.loop.at += SECOND  # a stall of one second delays what is due meanwhile
     world.until(load_run.done)
     result = load_run.result
     row = result.rows()[0]
@@ -309,26 +307,29 @@
     world.close()
 
 
-def test_load_is_spread_over_tenants_by_weight_and_each_is_named_to_the_broker(tmp_path: Path) -> None:
+def test_load_is_spread_over_tenants_by_weight_with_their_header(tmp_path: Path) -> None:
     world = World(tmp_path)
-    heard: list[str] = []
-    taken = world.broker.clients.front.read
+    tenants_seen: list[str] = []
+    original_read = world.broker.clients.front.read
 
-    def spy(request: Request, handle: int, name: str) -> Any:
-        heard.append(request.headers.get("x-scope-orgid", ""))
-        return taken(request, handle, name)
+    def record_and_read(request: Request, handle: int, name: str) -> Any:
+        tenants_seen.append(request.headers.get("x-scope-orgid", ""))
+        return original_read(request, handle, name)
 
-    world.broker.clients.front.read = spy  # type: ignore[method-assign]
+    world.broker.clients.front.read = record_and_read  # type: ignore[method-assign]
     spread = by_tenant(mixes(), {"desk": 3.0, "field": 1.0}, "X-Scope-OrgID")
     load_run = OpenLoop(world.loop, world.broker.url, spread, 100, 2, 1, 100)
     world.until(load_run.done)
     rows = {row["query"]: row["whole"] for row in load_run.result.rows()}
-    assert rows == {"reports [desk]": heard.count("desk"), "reports [field]": heard.count("field")}
+    assert rows == {
+        "reports [desk]": tenants_seen.count("desk"),
+        "reports [field]": tenants_seen.count("field"),
+    }
     assert 2 < rows["reports [desk]"] / rows["reports [field]"] < 4.5
     world.close()
 
 
-def test_load_beyond_the_bound_is_counted_not_dropped(tmp_path: Path) -> None:
+def test_load_beyond_the_limit_is_counted_as_unsent(tmp_path: Path) -> None:
     world = World(tmp_path)
     world.faults("a0 a1 b0 b1 c0 c1", fault="hang")
     load_run = OpenLoop(world.loop, world.broker.url, mixes(), 100, 1, 1, 10)
@@ -339,18 +340,18 @@
     world.close()
 
 
-def test_load_retries_are_marked_and_count_from_when_the_query_was_due(tmp_path: Path) -> None:
+def test_load_retries_are_marked_as_retries(tmp_path: Path) -> None:
     world = World(tmp_path)
     world.faults("a0 a1 b0 b1 c0 c1", fault="errors")
     repeats: list[bool] = []
-    taken = world.broker.clients.front.read
+    original_read = world.broker.clients.front.read
 
-    def spy(request: Request, handle: int, name: str) -> Any:
-        found = taken(request, handle, name)
+    def record_and_read(request: Request, handle: int, name: str) -> Any:
+        found = original_read(request, handle, name)
         repeats.extend([found[0].repeat] if isinstance(found, tuple) else [])
         return found
 
-    world.broker.clients.front.read = spy  # type: ignore[method-assign]
+    world.broker.clients.front.read = record_and_read  # type: ignore[method-assign]
     load_run = OpenLoop(world.loop, world.broker.url, mixes(), 20, 1, 1, 100, retries=2)
     world.loop.call_in(SECOND + 500 * MS, lambda: world.faults("a0 a1 b0 b1 c0 c1"))
     world.until(load_run.done)
@@ -361,7 +362,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "wanted"),
+    ("arguments", "wanted"),
     [
         (["http://127.0.0.1:1/x", "--query", "a=b", "--tenant", "x=much"], "expected NAME or NAME=WEIGHT"),
         (["http://192.0.2.1:80/x", "--query", "a=b"], "expected an address of this machine"),
@@ -369,8 +370,8 @@
         (["http://127.0.0.1:1/x", "--query", "a=b", "--rate", "0"], "expected a rate"),
     ],
 )
-def test_load_refuses_what_it_must_not_do(words: list[str], wanted: str) -> None:
-    code, _, err = run("load", *words)
+def test_load_rejects_invalid_options(arguments: list[str], wanted: str) -> None:
+    code, _, err = run("load", *arguments)
     assert code == 2 and wanted in err
 
 
@@ -401,7 +402,7 @@
 }  # fmt: skip
 
 
-def test_a_day_of_the_bench_is_mapped_and_what_has_no_counterpart_is_named(tmp_path: Path) -> None:
+def test_a_day_of_the_bench_is_converted_and_unsupported_items_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "day.json"
     path.write_text(json.dumps(DAY))
     found = from_day(path)
@@ -424,14 +425,14 @@
 
 
 @pytest.mark.parametrize("text", ["{", "{}", '{"family": "fanout"}', json.dumps({**DAY, "family": "ring"})])
-def test_what_is_not_a_day_is_told(tmp_path: Path, text: str) -> None:
+def test_an_invalid_day_file_is_rejected(tmp_path: Path, text: str) -> None:
     path = tmp_path / "day.json"
     path.write_text(text)
     code, _, err = run("rehearse", str(path), "--from-day")
     assert code == 2 and "day.json" in err
 
 
-def test_the_same_script_runs_over_sockets_and_asks_the_same_queries(tmp_path: Path) -> None:
+def test_a_script_on_sockets_sends_the_same_queries_as_in_simulation(tmp_path: Path) -> None:
     script = parse(SCRIPT + ON_SOCKETS, Script, "s")
     figures = SocketRun(script, script.seed, tmp_path).play()
     assert figures["findings"] == [] and not figures["void"] and figures["late_most_s"] < 1
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README runs and prints what it says."""
 
 import re
 import subprocess
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_readme_example_prints_what_the_readme_says() -> None:
+def test_readme_example_prints_the_documented_output() -> None:
     blocks = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert len(blocks) == 1
     run = subprocess.run(
--- a/tests/test_remote_read.py
+++ b/tests/test_remote_read.py
@@ -5,7 +5,7 @@
 import cramjam
 import pytest
 from hypothesis import given
-from hypothesis import settings as fuzz
+from hypothesis import settings as fuzz_settings
 from hypothesis import strategies as st
 
 from quincepath.config.schema import Config
@@ -19,7 +19,7 @@
 EQ, NEQ, RE, NRE = LabelMatcher.EQ, LabelMatcher.NEQ, LabelMatcher.RE, LabelMatcher.NRE
 
 
-def test_request_bytes_are_those_of_the_specification() -> None:
+def test_request_encoding_matches_the_specification() -> None:
     request = ReadRequest()
     query = request.queries.add(start_timestamp_ms=1, end_timestamp_ms=2)
     query.matchers.add(type=RE, name="a", value="b")
@@ -37,14 +37,14 @@
         (bytes(cramjam.snappy.compress(b"framed")), "not snappy"),
     ],
 )
-def test_broken_bodies_are_named(body: bytes, wanted: str) -> None:
+def test_invalid_bodies_are_rejected_with_the_reason(body: bytes, wanted: str) -> None:
     with pytest.raises(CodecError, match=wanted):
         decode_request(body, 1000)
 
 
-@fuzz(max_examples=200, deadline=None, derandomize=True)
+@fuzz_settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_no_bytes_make_the_codec_do_anything_but_refuse(body: bytes) -> None:
+def test_arbitrary_bytes_only_raise_codec_errors(body: bytes) -> None:
     try:
         assert len(decompress(body, 10_000)) <= 10_000
     except CodecError:
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "pattern", "yes", "no"),
+    ("kind", "pattern", "matching", "not_matching"),
     [
         (EQ, "a", ["a"], ["", "aa"]),
         (NEQ, "a", ["", "b"], ["a"]),
@@ -62,23 +62,23 @@
         (RE, "(?i)North", ["north"], ["south"]),
     ],
 )
-def test_matchers_are_anchored_and_see_a_missing_label_as_empty(
-    kind: Any, pattern: str, yes: list[str], no: list[str]
+def test_matchers_are_anchored_and_treat_a_missing_label_as_empty(
+    kind: Any, pattern: str, matching: list[str], not_matching: list[str]
 ) -> None:
     test = accepts(LabelMatcher(type=kind, name="x", value=pattern))
-    assert [test(text) for text in yes] == [True] * len(yes)
-    assert [test(text) for text in no] == [False] * len(no)
+    assert [test(text) for text in matching] == [True] * len(matching)
+    assert [test(text) for text in not_matching] == [False] * len(not_matching)
 
 
 @pytest.mark.parametrize("pattern", ["(", "a{99999}", r"\1"])
-def test_bad_expressions_are_refused_by_name(pattern: str) -> None:
+def test_invalid_expressions_are_rejected_with_the_matcher(pattern: str) -> None:
     with pytest.raises(MatcherError, match="x=~"):
         accepts(LabelMatcher(type=RE, name="x", value=pattern))
 
 
-@fuzz(max_examples=200, deadline=None, derandomize=True)
+@fuzz_settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.text(max_size=20), st.text(max_size=20))
-def test_quoted_text_matches_itself_only(text: str, other: str) -> None:
+def test_quoted_text_matches_only_itself(text: str, other: str) -> None:
     test = accepts(LabelMatcher(type=RE, name="x", value=quote(text)))
     assert test(text)
     assert test(other) == (other == text)
@@ -87,7 +87,7 @@
 MAP = [("s0", "a", ["n", "e"]), ("s1", "b", ["s"]), ("s2", "a", ["w"])]
 
 
-def test_shard_numbers_leave_their_cell_as_the_module_reckons() -> None:
+def test_shard_numbers_modulo_the_cell_count_give_the_cell() -> None:
     shards = ShardMap("d", MAP, True)
     assert [(s.name, s.number % 2, s.cell, s.exclusive) for s in shards.shards] == [
         ("s0", 0, 0, False), ("s1", 1, 1, True), ("s2", 0, 0, False),
@@ -101,7 +101,7 @@
     [
         ([], True, {"s0", "s1", "s2"}),
         ([(EQ, "n")], True, {"s0"}),
-        ([(EQ, "")], True, {"s0", "s1", "s2"}),  # series without the label may stand anywhere
+        ([(EQ, "")], True, {"s0", "s1", "s2"}),  # series without the label may be in any shard
         ([(EQ, "")], False, set()),
         ([(NEQ, "s")], True, {"s0", "s1", "s2"}),
         ([(NEQ, "s")], False, {"s0", "s2"}),
@@ -117,7 +117,7 @@
     assert {touch.shard.name for touch in ShardMap("d", MAP, anywhere).touched(tests)} == wanted
 
 
-def config(**more: Any) -> Config:
+def config(**overrides: Any) -> Config:
     return Config.model_validate(
         {
             "shards": {
@@ -135,13 +135,13 @@
                 {"name": "report", "target": "1s", "deadline": "2s", "recent": "10s",
                  "when": [{"label": "__name__", "type": "any"}]},
             ],
-            **more,
+            **overrides,
         }
     )  # fmt: skip
 
 
-def plan(*queries: tuple[str, str, int], **more: Any) -> Plan:
-    settings = config(**more)
+def plan(*queries: tuple[str, str, int], **overrides: Any) -> Plan:
+    settings = config(**overrides)
     shards = ShardMap("d", MAP, False)
     request = ReadRequest()
     for metric, pattern, start in queries:
@@ -151,7 +151,7 @@
     return Planner(settings, shards).plan(request)
 
 
-def test_parts_ask_a_holder_of_several_shards_for_their_own_values_only() -> None:
+def test_parts_to_a_holder_of_several_shards_are_narrowed_to_their_values() -> None:
     found = plan(("fuel", ".+", 95_000))
     narrowed = {
         part.shard: part.payload.queries[0][1].matchers[2].value
@@ -162,7 +162,7 @@
     assert sum(part.weight for part in found.parts) == pytest.approx(1)
 
 
-def test_long_range_is_cut_into_two_steps_that_meet_without_overlap() -> None:
+def test_long_range_is_split_into_two_adjacent_steps() -> None:
     found = plan(("hours", "s", 0))
     assert found.follow is not None
     ((_, recent),) = found.parts[0].payload.queries
@@ -173,19 +173,19 @@
     assert found.follow({}) == ()
 
 
-def test_short_range_has_one_step_and_a_class_of_its_own_at_the_module() -> None:
+def test_short_range_has_one_step_and_its_own_module_class() -> None:
     short, long = plan(("hours", "s", 95_000)), plan(("hours", "s", 0))
     assert short.follow is None
     assert (short.entry.name, long.entry.name) == ("report", "report")
     assert short.kind != long.kind
 
 
-def test_the_strictest_class_holds_for_a_request_of_several() -> None:
+def test_the_strictest_class_applies_to_a_request_of_several_queries() -> None:
     assert plan(("fuel", ".+", 95_000)).entry.name == "glance"
     assert plan(("fuel", ".+", 95_000), ("hours", "s", 95_000)).entry.name == "report"
 
 
-def test_requests_that_cannot_be_planned_say_why() -> None:
+def test_requests_that_cannot_be_planned_are_rejected_with_the_reason() -> None:
     with pytest.raises(BadRequest, match="holds no query"):
         plan()
     with pytest.raises(BadRequest, match="query 2: starts at 200000 ms, after its end"):
@@ -223,13 +223,13 @@
 )
 
 
-@fuzz(max_examples=200, deadline=None, derandomize=True)
+@fuzz_settings(max_examples=200, deadline=None, derandomize=True)
 @given(bodies_of, st.randoms(use_true_random=False))
-def test_merge_is_the_union_in_order_whatever_order_parts_come_in(parts: Any, random: Any) -> None:
-    bodies = [(step, shard, ((0, [series(*one) for one in many]),)) for step, shard, many in parts]
+def test_merge_is_the_sorted_union_for_any_order_of_parts(parts: Any, random: Any) -> None:
+    bodies = [(step, shard, ((0, [series(*one) for one in group]),)) for step, shard, group in parts]
     expected: dict[Any, dict[int, float]] = {}
-    for _step, _shard, many in sorted(parts, key=lambda item: item[:2]):
-        for labels, samples in many:
+    for _step, _shard, group in sorted(parts, key=lambda item: item[:2]):
+        for labels, samples in group:
             known = expected.setdefault(tuple(sorted(labels.items())), {})
             for timestamp, value in samples.items():
                 known.setdefault(timestamp, value)
@@ -241,17 +241,17 @@
         for one in response.results[0].timeseries
     ]
     assert found == [(key, sorted(samples.items())) for key, samples in sorted(expected.items())]
-    dropped = sum(len(s) for _, _, many in parts for _, s in many) - sum(map(len, expected.values()))
+    dropped = sum(len(s) for _, _, group in parts for _, s in group) - sum(map(len, expected.values()))
     assert stats.duplicates == dropped and stats.conflicts <= dropped
 
 
-def test_merge_stops_at_its_bound() -> None:
+def test_merge_stops_at_its_size_limit() -> None:
     big = series({"a": "x" * 500}, {1: 1.0})
     with pytest.raises(MergeError, match="over 900 bytes"):
         merge(1, [(1, 0, ((0, [big]),)), (1, 1, ((0, [big]),))], 900)
 
 
-def test_merge_counts_replicas_that_disagree() -> None:
+def test_merge_counts_conflicting_samples() -> None:
     nan = float("nan")
     first, second = series({"a": "1"}, {1: 1.0, 2: nan}), series({"a": "1"}, {1: 9.0, 2: nan, 3: 3.0})
     response, stats = merge(1, [(1, 1, ((0, [second]),)), (1, 0, ((0, [first]),))], 1 << 20)
@@ -259,7 +259,7 @@
     assert (stats.duplicates, stats.conflicts) == (2, 1)
 
 
-def test_fields_this_program_does_not_know_pass_through() -> None:
+def test_unknown_protobuf_fields_are_preserved() -> None:
     raw = series({"a": "1"}, {1: 1.0}).SerializeToString() + b"\x22\x03abc"  # field 4, a histogram
     response, _ = merge(1, [(1, 0, ((0, [TimeSeries.FromString(raw)]),))], 1 << 20)
     assert b"\x22\x03abc" in response.SerializeToString()
