--- a/quincepath/broker/service/core.py
+++ b/quincepath/broker/service/core.py
@@ -138,20 +138,20 @@
             )  # fmt: skip
             self.fleet = extension.fleet
             self.extensions.add(extension)
-            if extension.fleet.agreed is not None and extension.fleet.agreed.maps is not None:
+            if extension.fleet.replicated_log is not None and extension.fleet.replicated_log.maps is not None:
                 # loaded only with map adoption
                 from quincepath.broker.service.shard_maps import ShardMapExtension
 
                 self.extensions.add(
-                    ShardMapExtension(extension.fleet.agreed.maps, front.planner, self.log, registry)
+                    ShardMapExtension(extension.fleet.replicated_log.maps, front.planner, self.log, registry)
                 )
-            if extension.fleet.shared is not None:
+            if extension.fleet.load_service is not None:
                 # loaded only with a ledger
                 from quincepath.broker.service.load_control import LoadControlExtension
 
                 self.extensions.add(
                     LoadControlExtension(
-                        extension.fleet.shared,
+                        extension.fleet.load_service,
                         self.driver,
                         self.map,
                         self.dispatcher.enqueue,
--- a/quincepath/fleet/load_reports/member_counts.py
+++ b/quincepath/fleet/load_reports/member_counts.py
@@ -1,9 +1,9 @@
-"""What is kept of each member: counts merged by maximum, by (member, boot), and where they stood in the past.
+"""Counts received from each member, merged by maximum per (member, boot), with checkpoints of the past.
 
 Of each name one boot counts at a time. A second one is kept beside it, uncounted, until it takes over: when
-the view names it, or when the first has been silent for a while. A boot that began after the first was last
-heard counts from zero; any other from where it stood when it took over. So a restart loses nothing, and of
-two processes that both go on only one counts at any moment.
+the fleet view names it, or when the first has been silent for a while. A boot that began after the first was
+last heard counts from zero; any other from where it stood when it took over. So a restart loses nothing, and
+of two processes of one name that both go on only one counts at any time.
 """
 
 from bisect import bisect_right
@@ -18,35 +18,34 @@
 from quincepath.fleet.load_reports.types import MAX_NAMED_TENANTS, MS, LoadReportSettings
 
 K = TypeVar("K")
-MAX_MEMBERS = 256  # kept in one place; a group has 16 on average
-MAX_COMPETING = 2  # further boots of a name; the one heard longest ago gives way
+MAX_MEMBERS = 256  # per group; a group has 16 on average
+MAX_COMPETING = 2  # further boots of a name; the one with the oldest report is replaced
 MAX_PREVIOUS_BOOTS = 8  # boots of a name that have counted before: none of them counts from zero again
-MAX_MEMBER_TENANTS = 4 * MAX_NAMED_TENANTS  # tenants of one member; the one heard longest ago gives way
-TAKEOVER_PERIODS = 3  # periods after which a second boot may take over
+MAX_MEMBER_TENANTS = 4 * MAX_NAMED_TENANTS  # tenants of one member; the one reported longest ago is dropped
+TAKEOVER_PERIODS = 3  # periods of silence after which a second boot may take over
 
 
 @dataclass(slots=True)
 class ProcessCounts:
-    """What one process told of itself. ``raw``: by field, the most heard. ``began``: own clock."""
+    """Counts reported by one process. ``highest``: by field, the largest value. ``started_at``: own clock."""
 
     boot: int
     started_at: int
     last_report_at: int
     sequence: int = 0
     highest: dict[int, int] = field(default_factory=dict)
-    tenant_highest: dict[str, int] = field(default_factory=dict)  # by tenant, the most heard
+    tenant_highest: dict[str, int] = field(default_factory=dict)  # by tenant, the largest value
     threshold_permille: int = 0
     waiting: int = 0
     tenant_waiting: dict[str, int] = field(default_factory=dict)
-    regressed: set[int] = field(default_factory=set)  # fields that a newer report had below an older one
-    from_start: bool = (
-        False  # it counts from its beginning: what is heard of a field for the first time is all new
-    )
+    # Fields with a lower value in a newer report than in an older one.
+    regressed: set[int] = field(default_factory=set)
+    from_start: bool = False  # counted from its start: the first value of each field is all new
 
 
 @dataclass(slots=True)
 class Checkpoint:
-    """Where the counted totals stood at a time."""
+    """The counted values at one time."""
 
     at: int
     values: dict[int, int]
@@ -55,10 +54,10 @@
 
 @dataclass(slots=True)
 class Member:
-    """One name. ``values`` and ``uses``: what has been counted of all its boots."""
+    """One member name. ``values`` and ``tenant_slot_ms``: what has been counted of all its boots."""
 
     current: ProcessCounts
-    complete_from: int  # a window that begins here or later is known whole; with ``from_zero`` any is
+    complete_from: int  # a window that begins here or later is complete; with ``complete_from_start`` any is
     complete_from_start: bool
     values: dict[int, int] = field(default_factory=dict)
     tenant_slot_ms: dict[str, int] = field(default_factory=dict)
@@ -68,7 +67,7 @@
 
 
 class MemberCounts:
-    """Reports heard, by member. ``causes`` counts what did not count, and why."""
+    """Received counts by member. ``causes`` counts what was not counted, and why."""
 
     def __init__(self, settings: LoadReportSettings, causes: Counter[str]) -> None:
         self._settings, self._causes = settings, causes
@@ -80,9 +79,9 @@
     def apply_report(
         self, now: int, name: str, boot: int, report: Report, live_boot: int | None = None
     ) -> None:
-        """A report. ``believed``: the boot of that name that the view holds for the living one.
+        """Apply a report. ``live_boot``: the boot of that name that the fleet view believes live.
 
-        Raises ValueError where its runs cannot be read; then nothing has changed.
+        Raises ValueError where its runs cannot be decoded; then nothing has changed.
         """
         fields = list(decode_runs(report.runs))
         started_at = now - report.uptime_ms * MS
@@ -124,7 +123,8 @@
         member.competing[old.boot] = old
         if new.boot not in member.previous_boots:
             member.previous_boots.append(new.boot)
-            if new.started_at > old.last_report_at - self._settings.period:  # it began after the other's end
+            # It began after the other one ended.
+            if new.started_at > old.last_report_at - self._settings.period:
                 new.from_start = True
                 for number, value in new.highest.items():
                     self._add(member, number, value)
@@ -135,58 +135,58 @@
         member.values[number] = member.values.get(number, 0) + increase
 
     def _merge(
-        self, now: int, member: Member, boot: ProcessCounts, report: Report, fields: list[tuple[int, int]]
+        self, now: int, member: Member, process: ProcessCounts, report: Report, fields: list[tuple[int, int]]
     ) -> None:
-        is_current = boot is member.current
-        is_newest = report.sequence >= boot.sequence
+        is_current = process is member.current
+        is_newest = report.sequence >= process.sequence
         if not is_newest:
             self._causes["older"] += 1
-        self._merge_tenants(member, boot, report, is_current, is_newest)
+        self._merge_tenants(member, process, report, is_current, is_newest)
         new_queries = 0
         for number, value in fields:
-            previous = boot.highest.get(number)
-            if previous is None and not boot.from_start:
-                previous = value  # where it stood before it was first heard is not known
-                boot.highest[number] = value
+            previous = process.highest.get(number)
+            if previous is None and not process.from_start:
+                previous = value  # its value before the first report is not known
+                process.highest[number] = value
             if is_newest and value >= (previous or 0):
-                boot.regressed.discard(number)
+                process.regressed.discard(number)
             if value > (previous or 0):
-                boot.highest[number] = value
+                process.highest[number] = value
                 if is_current:
                     self._add(member, number, value - (previous or 0))
                     new_queries += value - (previous or 0) if FAMILY_BY_FIELD[number] == TAKEN else 0
-            elif report.sequence > boot.sequence and previous is not None and value < previous:
-                boot.regressed.add(number)
-        if boot.regressed and is_newest:
+            elif report.sequence > process.sequence and previous is not None and value < previous:
+                process.regressed.add(number)
+        if process.regressed and is_newest:
             self._causes["backwards"] += 1
-        elapsed = max(now - boot.last_report_at, self._settings.period)
+        elapsed = max(now - process.last_report_at, self._settings.period)
         if new_queries * 1_000_000_000 > 2 * self._settings.most_rate * elapsed:
             self._causes["jump"] += 1
         if is_newest:
-            boot.sequence, boot.last_report_at = report.sequence, now
-            boot.threshold_permille, boot.waiting = report.threshold_permille, report.waiting
+            process.sequence, process.last_report_at = report.sequence, now
+            process.threshold_permille, process.waiting = report.threshold_permille, report.waiting
         if is_current:
             self._add_checkpoint(now, member)
 
     def _merge_tenants(
-        self, member: Member, boot: ProcessCounts, report: Report, is_current: bool, is_newest: bool
+        self, member: Member, process: ProcessCounts, report: Report, is_current: bool, is_newest: bool
     ) -> None:
-        """Tenants: counts that go on from ``base``, the sum of all tenants when this one was last named."""
-        if is_newest and (report.tenants or report.sequence > boot.sequence):
-            boot.tenant_waiting = {use.name: use.waiting for use in report.tenants if use.waiting}
+        """Tenants: counts continue from ``base_ms``, the use of all tenants when this one was last named."""
+        if is_newest and (report.tenants or report.sequence > process.sequence):
+            process.tenant_waiting = {use.name: use.waiting for use in report.tenants if use.waiting}
         for use in report.tenants:
-            previous = boot.tenant_highest.pop(use.name, None)
+            previous = process.tenant_highest.pop(use.name, None)
             if previous is None:  # at most all that was used since the last report
                 previous = (
                     0
-                    if boot.from_start and not boot.sequence
-                    else boot.highest.get(SLOT_TIME_FIELD, use.slot_ms)
+                    if process.from_start and not process.sequence
+                    else process.highest.get(SLOT_TIME_FIELD, use.slot_ms)
                 )
             increase = use.slot_ms - max(previous, use.base_ms)
-            boot.tenant_highest[use.name] = max(previous, use.slot_ms)
+            process.tenant_highest[use.name] = max(previous, use.slot_ms)
             if increase > 0 and is_current:
                 member.tenant_slot_ms[use.name] = member.tenant_slot_ms.pop(use.name, 0) + increase
-        for table in (boot.tenant_highest, member.tenant_slot_ms):
+        for table in (process.tenant_highest, member.tenant_slot_ms):
             while len(table) > MAX_MEMBER_TENANTS:
                 del table[next(iter(table))]
 
@@ -205,7 +205,7 @@
         del self._members[name]
 
     def expire(self, now: int) -> None:
-        """Forget whom nobody has heard for so long that nothing of it is in a window."""
+        """Forget members whose last report is so old that nothing of them is in a window."""
         cutoff = now - max(self._settings.window, self._settings.forget)
         for name in [
             name for name, member in self._members.items() if member.current.last_report_at < cutoff
@@ -213,12 +213,12 @@
             self._forget(now, name)
 
     def window_sums(self, now: int) -> Iterator[tuple[str, Sums]]:
-        """What each adds to the window that ends now; ``heard`` is 1 where it is fresh and known whole."""
+        """Each member's growth in the window ending now; ``reporting`` is 1 if it is fresh and complete."""
         for name, member in self._members.items():
             process = member.current
             recent = now - process.last_report_at <= self._settings.fresh_within
             fresh = recent and not process.regressed
-            # The window ends with the last report; of one that fell silent it goes on, and empties.
+            # The window ends with the last report; for a silent member it moves on and empties.
             window_start = (
                 max(process.last_report_at, now - self._settings.fresh_within) - self._settings.window
             )
@@ -228,7 +228,7 @@
             before = checkpoints[max(index, 0)]
             after = checkpoints[min(index + 1, len(checkpoints) - 1)]
             span = after.at - before.at
-            # Between two reports it is taken to have gone evenly.
+            # Growth between two reports is taken to be linear.
             fraction = (
                 min(max((window_start - before.at) / span, 0.0), 1.0) if span > 0 and index >= 0 else 0.0
             )
@@ -253,7 +253,7 @@
 def _growth_since(
     latest: dict[K, int], before: dict[K, int], after: dict[K, int], fraction: float
 ) -> dict[K, int]:
-    """What came since then, in whole numbers; their roundings add up to less than one, not to a bias."""
+    """Growth since then, in integers; the rounding errors add up to less than one instead of a bias."""
     growth, carried = {}, 0.0
     for key, value in latest.items():
         base = before.get(key, 0)
--- a/tests/fleet/distribution/test_virtual_fleet.py
+++ b/tests/fleet/distribution/test_virtual_fleet.py
@@ -124,7 +124,7 @@
             commit_all_nodes(world)
             world.propose("m5", "second", 1, remove=["node/a1"])
             world.until_all_at(2)
-            sent = {name: dict(world.fleet(name).edge.sent) for name in world.names}
+            sent = {name: dict(world.fleet(name).transport.sent) for name in world.names}
             found.append((world.loop.at, sent, world.revisions))
     assert found[0] == found[1]
 
