--- a/quincepath/broker/service/load_control.py
+++ b/quincepath/broker/service/load_control.py
@@ -58,8 +58,8 @@
     def on_call_sent(self, now: int, order: StartCall) -> None:
         """Count first and further sends."""
         counter = self.load_service.control.counter
-        for one in order.attempts:
-            counter.count_sends(SendKind.FURTHER if one.attempt else SendKind.FIRST)
+        for attempt in order.attempts:
+            counter.count_sends(SendKind.FURTHER if attempt.attempt else SendKind.FIRST)
 
     def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         """Record whether the replica set served the part."""
--- a/quincepath/broker/service/shard_maps.py
+++ b/quincepath/broker/service/shard_maps.py
@@ -47,8 +47,8 @@
         )
         older.set_function(lambda: maps.follower.usage()[1])
         step = Gauge("quincepath_fleet_map_step", "1 at the step of the change", ["step"], registry=registry)
-        for one in Step:
-            step.labels(one.value).set_function(partial(self._is_at_step, one))
+        for known_step in Step:
+            step.labels(known_step.value).set_function(partial(self._is_at_step, known_step))
 
     def _is_at_step(self, step: Step) -> int:
         return int(self.maps.topology.step is step)
@@ -66,8 +66,8 @@
         return True
 
     def _on_use(self, version: MapVersion) -> None:
-        found = self._built.get(version.number)
-        self.planner.use(version.to_shard_map(self.cells) if found is None else found, version.number)
+        built = self._built.get(version.number)
+        self.planner.use(version.to_shard_map(self.cells) if built is None else built, version.number)
 
     def admit(self, now: int, arrival: Arrival) -> Rejection | None:
         """Reject queries until the shard map in use is known and staged."""
@@ -118,7 +118,7 @@
     merged: dict[int, int] = {}
     for _step, shard, body in finish.bodies:
         calls[shard] = calls.get(shard, 0) + 1
-        size = sum(series.ByteSize() for _index, found in body for series in found)
+        size = sum(series.ByteSize() for _index, series_list in body for series in series_list)
         merged[shard] = merged.get(shard, 0) + size
     mean = sum(durations.values()) // max(1, len(durations))
     return tuple(
--- a/quincepath/broker/service/tracing.py
+++ b/quincepath/broker/service/tracing.py
@@ -38,8 +38,10 @@
     def on_call_sent(self, now: int, order: StartCall) -> None:
         """Start the spans of the attempts of a call."""
         name = self.name(order.node)
-        for one in order.attempts:
-            self.traces.attempt_sent(one.ask, one.part, one.attempt, one.shard, one.step, name, now)
+        for attempt in order.attempts:
+            self.traces.attempt_sent(
+                attempt.ask, attempt.part, attempt.attempt, attempt.shard, attempt.step, name, now
+            )
 
     def on_attempt_ended(self, now: int, part: OpenPart, item: AttemptEnded) -> None:
         """End the span of an attempt."""
--- a/quincepath/broker/service/turn.py
+++ b/quincepath/broker/service/turn.py
@@ -80,8 +80,6 @@
                 self.telemetry.log.warning("message from the decision module", text=text)
             case Breach(name, detail):
                 self.telemetry.metrics.contract_breaches.labels(name).inc()
-                self.telemetry.log.error(
-                    "decision module broke its contract; the effect was contained", name=name, detail=detail
-                )
+                self.telemetry.log.error("contract violated, effect suppressed", name=name, detail=detail)
             case RefreshMembership():
                 self.holders.read(force=True)
--- a/quincepath/cli/lab.py
+++ b/quincepath/cli/lab.py
@@ -41,10 +41,10 @@
     try:
         if not is_day:
             return load(path, Script)
-        found = from_day(path)
-        for note in found.notes:
+        converted = from_day(path)
+        for note in converted.notes:
             click.echo(f"{path.name}: {note}", err=True)
-        return found.script
+        return converted.script
     except ConfigError as error:
         fail(error.lines)
         raise AssertionError from None
@@ -123,7 +123,7 @@
         elif key in SIZE_KEYS and isinstance(value, int):
             node[key] = f"{value}B"
         elif key == "lag":
-            node[key] = [f"{one}ns" for one in value]
+            node[key] = [f"{duration}ns" for duration in value]
         else:
             _restore_units(value)
 
@@ -292,18 +292,18 @@
             fail(error.lines)
     outcomes: dict[str, Outcome] = {}
     lines_by_name: dict[str, list[Line]] = {}
-    for name, one in scripts.items():
+    for name, current in scripts.items():
         writer = None
-        if record is not None and one is plan:
+        if record is not None and current is plan:
             text = json.dumps(_as_file_values(plan)) if is_day else script.read_text(encoding="utf-8")
             used_seed = plan.seed if seed is None else seed
             writer = RecordingWriter(record, text, used_seed, version("quincepath"))
-        seconds = one.length // SECOND
+        seconds = current.length // SECOND
         with click.progressbar(
             length=seconds, label=name, file=sys.stderr, item_show_func=RehearsalMonitor.shown
         ) as bar:
             monitor = RehearsalMonitor(seconds, bar, writer, report is not None, speed or 0.0)
-            outcomes[name] = rehearse(one, seed, monitor.on_line)
+            outcomes[name] = rehearse(current, seed, monitor.on_line)
         lines_by_name[name] = monitor.lines
         if writer is not None:
             writer.close()
--- a/quincepath/cli/main.py
+++ b/quincepath/cli/main.py
@@ -247,8 +247,8 @@
     """
     request = ReadRequest()
     until = end if end is not None else int(time.time() * 1000)
-    one = request.queries.add(start_timestamp_ms=0 if start is None else start, end_timestamp_ms=until)
-    one.matchers.extend(parse_matcher(text) for text in matchers)
+    read = request.queries.add(start_timestamp_ms=0 if start is None else start, end_timestamp_ms=until)
+    read.matchers.extend(parse_matcher(text) for text in matchers)
     try:
         status, headers, answer = fetch(url, request, timeout)
     except (OSError, http.client.HTTPException, CodecError) as error:
@@ -266,7 +266,7 @@
     )
     series = answer.results[0].timeseries if answer.results else []
     if as_json:
-        found = [
+        rows = [
             {
                 "labels": {la.name: la.value for la in s.labels},
                 "samples": [[p.timestamp, p.value] for p in s.samples],
@@ -274,7 +274,7 @@
             for s in series
         ]
         click.echo(
-            json.dumps({"answer": headers.get("quincepath-answer"), "parts": completeness, "series": found})
+            json.dumps({"answer": headers.get("quincepath-answer"), "parts": completeness, "series": rows})
         )
         return
     table = Table(title=completeness)
@@ -374,10 +374,10 @@
             share = float(weight) if separator else 1.0
         except ValueError:
             share, rest = 1.0, text
-        matchers = tuple(parse_matcher(one) for one in (rest if separator else text).split(";"))
+        matchers = tuple(parse_matcher(matcher) for matcher in (rest if separator else text).split(";"))
         mixes.append(Mix(text, share, matchers, start, until, int(timeout * 1e9)))
     try:
-        weights = {name: float(weight or 1) for name, _, weight in (one.partition("=") for one in tenants)}
+        weights = {name: float(weight or 1) for name, _, weight in (text.partition("=") for text in tenants)}
     except ValueError:
         fail([f"--tenant {', '.join(tenants)!r}: expected NAME or NAME=WEIGHT"])
     if weights:
--- a/quincepath/fronts/remote_read/plan.py
+++ b/quincepath/fronts/remote_read/plan.py
@@ -99,7 +99,7 @@
         module = module_kind(self.config, kind, bool(older_queries))
         span = max(one.end_timestamp_ms - one.start_timestamp_ms for one in request.queries) * 1_000_000
         entry, parts = self.config.classes[kind], _parts(recent_queries)
-        touched = tuple((number, tuple(sorted(found))) for number, found in sorted(values.items()))
+        touched = tuple((number, tuple(sorted(labels))) for number, labels in sorted(values.items()))
         return Plan(
             module,
             entry,
