--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -114,7 +114,7 @@
     record = tmp_path / "day"
     result = run_day(DayScript.model_validate(SHORT_DAY), record)
     assert result.report.findings == []
-    assert result.asked > 200 and sum(result.report.ended.values()) == result.asked
+    assert result.asked > 200 and sum(result.report.outcomes.values()) == result.asked
     # A broker that refuses every query would break no rule, so most queries must be served.
     assert result.good > 0.5
     run = subprocess.run([*COMMAND, "audit", str(record)], capture_output=True, text=True)
