--- a/quincepath/lab/emulator/world/state.py
+++ b/quincepath/lab/emulator/world/state.py
@@ -11,7 +11,9 @@
 from quincepath.lab.emulator.script import Script, TrafficClass
 from quincepath.lab.emulator.server import Fleet, Server, ServerConfig
 from quincepath.lab.emulator.workload import RandomStream, draw_machines
+from quincepath.lab.emulator.workload import draw_machines
 from quincepath.lab.emulator.world.entities import Broker
+from quincepath.standins.random_streams import RandomStream
 from quincepath.standins.record import Bounds, ClassRules, Head, Line, Mark
 
 MS = 1_000_000
