--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -109,7 +109,7 @@
 def _members_exchanged() -> LimitFound:
     most = largest(_full_taken, BROKERS)
     return LimitFound(
-        "members in one exchange of views", "fleet/messages.py MEMBERS_MOST", VIEW, most, BROKERS, "members",
+        "members in one exchange of views", "fleet/messages.py MAX_MEMBERS", VIEW, most, BROKERS, "members",
         f"dropped as an unknown kind beyond {MAX_MEMBERS}",
     )  # fmt: skip
 
@@ -119,7 +119,7 @@
     answer = "whole view of 2,600 fits" if needed <= MAX_FRAME_BYTES else "dropped as too large"
     return LimitFound(
         "bytes of one exchange of views",
-        "fleet/messages.py FRAME",
+        "fleet/messages.py MAX_FRAME_BYTES",
         VIEW,
         MAX_FRAME_BYTES,
         needed,
