--- a/benchmarks/capacity/scale/hosts.py
+++ b/benchmarks/capacity/scale/hosts.py
@@ -8,7 +8,7 @@
 
 from benchmarks.capacity.scale import messages as m
 from benchmarks.capacity.scale.plan import Plan
-from quincepath.lab.process import STOP_WAIT
+from quincepath.lab.process import STOP_TIMEOUT_S
 from quincepath.net.loop import Loop
 from quincepath.net.stream import Stream
 
@@ -60,7 +60,7 @@
         """It has ended when this returns, killed where it does not end by itself."""
         self._stream.close()
         try:
-            self.process.wait(STOP_WAIT)
+            self.process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
--- a/benchmarks/map_forecast.py
+++ b/benchmarks/map_forecast.py
@@ -56,7 +56,7 @@
         place = broker.hash_if_sampled(number)
         if place is not None:
             parts = tuple(Part(*part) for part in one.parts)
-            broker.add(Footprint(place, at, one.kind.name, "t", parts, one.kind.target, one.took))
+            broker.add(Footprint(place, at, one.kind.name, "t", parts, one.kind.target, one.elapsed))
     return Sample(size=size).merged(*(broker.sample() for broker in brokers))
 
 
@@ -70,7 +70,7 @@
         if name:
             found[FigureKind.PARTS, name] = sum(len(one.parts) for one in mine) / len(mine)
         found[FigureKind.BYTES, name] = sum(part[4] for one in mine for part in one.parts) / seconds
-        found[FigureKind.MISS, name] = sum(one.took > one.kind.target for one in mine) / len(mine)
+        found[FigureKind.MISS, name] = sum(one.elapsed > one.kind.target for one in mine) / len(mine)
     for group, index in run.calls:
         if index == 0:
             found[FigureKind.CALLS, group] = run.calls[group, 0] / seconds
--- a/quincepath/lab/__init__.py
+++ b/quincepath/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals on one machine: records, audit, load, scripted days."""
+"""The laboratory: rehearsals on one machine, load generators, simulations, records and their audit."""
--- a/quincepath/lab/cluster.py
+++ b/quincepath/lab/cluster.py
@@ -1,4 +1,4 @@
-"""Holders as processes on loopback, and a roster file about them: for the demo and for scripted days."""
+"""Holders as processes on loopback, and a roster file that lists them, for the demo and scripted days."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 
 class HolderProcess(ChildProcess):
-    """One holder: how to start it, and its process while it runs."""
+    """A holder: its options, and its process while it runs."""
 
     def __init__(
         self,
@@ -34,61 +34,61 @@
 
     @property
     def url(self) -> str:
-        """Where it serves remote read."""
+        """The remote read address."""
         return f"http://127.0.0.1:{self.port}/api/v1/read"
 
     def launch(self, cold: float = 1.0) -> None:
-        """Start the process; ``wait`` tells when it serves."""
-        words = [
+        """Start the process; ``wait`` returns when it is ready."""
+        arguments = [
             "leaf", "--name", self.name, "--port", str(self.port),
             "--districts", ",".join(self.districts), "--cold", str(cold), "--guarded", *self.options,
         ]  # fmt: skip
         if self.record:
-            words += ["--record", str(self.record)]
-        self.start(words)
+            arguments += ["--record", str(self.record)]
+        self.start(arguments)
 
     def wait(self) -> None:
-        """Until it serves. Raises ``StartError``."""
+        """Wait until it is ready. Raises ``StartError``."""
         self.port = self.startup_value("port")
         self.started = time.time()
 
     def control(self, fault: str) -> None:
-        """Tell it how to behave; it answers at once. Raises ``OSError`` where it does not."""
-        line = http.client.HTTPConnection("127.0.0.1", self.port, timeout=5)
+        """Inject a fault by the control endpoint, which answers at once. Raises ``OSError`` if not."""
+        connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=5)
         try:
-            line.request("POST", "/control", json.dumps({"fault": fault}))
-            line.getresponse().read()
+            connection.request("POST", "/control", json.dumps({"fault": fault}))
+            connection.getresponse().read()
         finally:
-            line.close()
+            connection.close()
 
 
 @dataclass(slots=True)
 class Cluster:
-    """A handful of holders and the roster about them."""
+    """A few holders and the roster that lists them."""
 
     holders: list[HolderProcess]
     roster: Path | None = None
     record: Writer | None = None
     version: int = 0
-    missing: set[str] = field(default_factory=set)
+    unlisted: set[str] = field(default_factory=set)
 
     def start(self) -> None:
-        """Start all, then wait for all: they come up side by side."""
+        """Start all holders in parallel and wait until they are ready."""
         for holder in self.holders:
             holder.launch()
         for holder in self.holders:
             holder.wait()
 
     def stop(self) -> None:
-        """No child is left."""
+        """Stop all holders."""
         for holder in self.holders:
             holder.stop()
 
     def entries(self, with_start: set[str]) -> list[dict[str, Any]]:
-        """The holders as a configuration or roster names them."""
+        """The holders as entries of a configuration or roster."""
         found = []
         for holder in self.holders:
-            if holder.name in self.missing:
+            if holder.name in self.unlisted:
                 continue
             entry: dict[str, Any] = {
                 "name": holder.name, "url": holder.url, "zone": holder.zone, "shards": holder.shards,
@@ -99,14 +99,14 @@
             found.append(entry)
         return found
 
-    def write_roster(self, news: dict[str, str], with_start: set[str]) -> None:
-        """Replace the roster file at once; ``news`` (holder to phase) is noted for the audit."""
+    def write_roster(self, changes: dict[str, str], with_start: set[str]) -> None:
+        """Replace the roster file atomically and record ``changes`` (holder to phase) for the audit."""
         assert self.roster is not None
         self.version += 1
-        beside = self.roster.with_suffix(".new")
-        with beside.open("w") as file:
+        new_file = self.roster.with_suffix(".new")
+        with new_file.open("w") as file:
             YAML(typ="safe").dump({"version": self.version, "holders": self.entries(with_start)}, file)
-        beside.replace(self.roster)
-        for name, phase in news.items():
+        new_file.replace(self.roster)
+        for name, phase in changes.items():
             if self.record is not None:
                 self.record.write(Told(time.monotonic_ns(), name, phase))
--- a/quincepath/lab/day.py
+++ b/quincepath/lab/day.py
@@ -1,7 +1,7 @@
-"""A scripted day: holders, a broker and clients as processes on loopback, troubles at stated times, an audit.
+"""A scripted day: holder and broker processes on loopback, clients, scheduled faults, and an audit.
 
-The roster that the broker reads follows the truth with a lag, and knows only whether a process runs and
-whether it drains, like the lists of the users' own fleets.
+The roster that the broker reads lags behind the real state, and contains only whether a process runs and
+whether it drains, as the endpoint lists of production fleets do.
 """
 
 import tempfile
@@ -30,13 +30,13 @@
 from quincepath.standins.leaf import Faults
 from quincepath.standins.record import Bounds, ClassRules, Mark, Writer
 
-SLACK = 300_000_000  # ns for transit and scheduling on a busy machine
-DRAIN_TIME = 8.0  # seconds after the last query for the last answers
+SLACK_NS = 300_000_000  # for transit and scheduling on a busy machine
+DRAIN_TIME_S = 8.0  # for the last answers after the last query
 MS = 1_000_000
 
 
 class LeafEntry(Model):
-    """What the holders of the day are like."""
+    """Properties of the holders."""
 
     work: Duration = 8 * MS
     cores: int = Field(2, ge=1)
@@ -45,7 +45,7 @@
 
 
 class Trouble(Model):
-    """One trouble at one holder, from ``at`` on, ``last`` long; a killed one is back, cold, then."""
+    """A fault at one holder from ``at`` for ``last``; a killed holder restarts cold at its end."""
 
     at: Duration
     holder: str
@@ -57,7 +57,7 @@
 
 
 class DayScript(Model):
-    """A day. ``rate`` is queries a second, ``lag`` how far the roster runs behind."""
+    """A day. ``rate`` is in queries per second; ``lag`` is the delay of the roster."""
 
     about: str = ""
     seed: int = 1
@@ -71,13 +71,13 @@
     def _sound(self) -> "DayScript":
         for place, trouble in enumerate(self.troubles):
             if trouble.at > self.length:
-                raise ValueError(f"troubles[{place}] begins after the day's end")
+                raise ValueError(f"troubles[{place}] starts after the end of the day")
         return self
 
 
 @dataclass(slots=True, frozen=True)
 class DayResult:
-    """What came of a day. ``good`` is the share of queries answered whole within the target."""
+    """Result of a day. ``good`` is the share of queries answered whole within the target."""
 
     report: Report
     good: float
@@ -86,16 +86,16 @@
     record: Path
 
     def summary(self) -> str:
-        """A few lines for people."""
-        said = ", ".join(f"{count} {kind}" for kind, count in self.outcomes.items())
+        """A summary of a few lines."""
+        counts = ", ".join(f"{count} {kind}" for kind, count in self.outcomes.items())
         verdict = f"{len(self.report.findings)} findings" if self.report.findings else "no rule broken"
-        return f"{self.asked} queries: {said}\nwhole within the target: {self.good:.3f}\naudit: {verdict}"
+        return f"{self.asked} queries: {counts}\nwhole within the target: {self.good:.3f}\naudit: {verdict}"
 
 
 BROKER = [*PROGRAM, "--log-level", "warning", "serve", "-c"]
 
 
-class _Day:
+class _DayRun:
     def __init__(self, script: DayScript, folder: Path, seed: int, broker: list[str]) -> None:
         self.script, self.folder, self.seed = script, folder, seed
         self.loop = Loop()
@@ -107,7 +107,7 @@
         self.cluster: Cluster = make_cluster(seed, options, folder, folder / "roster.yaml")
         self.cluster.record = self.writer
         self.by_name = {holder.name: holder for holder in self.cluster.holders}
-        self.fresh: set[str] = set()  # holders whose start the roster knows
+        self.restarted: set[str] = set()  # holders whose start time is in the roster
         self.broker = ChildProcess("the broker", folder / "broker.log", broker)
         self.outcomes: Counter[str] = Counter()
         self.good = 0
@@ -124,7 +124,9 @@
     def run(self) -> DayResult:
         unknown = {trouble.holder for trouble in self.script.troubles} - set(self.by_name)
         if unknown:
-            raise ValueError(f"no holder {', '.join(sorted(unknown))}; there are {', '.join(self.by_name)}")
+            raise ValueError(
+                f"unknown holder {', '.join(sorted(unknown))}; known are {', '.join(self.by_name)}"
+            )
         config = self.config()
         self.bounds(config)
         try:
@@ -132,7 +134,7 @@
             self.cluster.write_roster({}, set())
             client = Client(self.loop, self.start_broker(), self.writer)
             self.schedule(config, client)
-            end = int(self.script.length / 1e9) + DRAIN_TIME
+            end = int(self.script.length / 1e9) + DRAIN_TIME_S
             self.loop.run_until(lambda: self.all_asked and not client.open, end)
             client.close()
         finally:
@@ -154,7 +156,7 @@
             Bounds(
                 config.limits.attempts, rules.drain_grace, config.roster_poll, rules.fall_multiple,
                 rules.overload_for, rules.ramp_time, rules.budget_window, rules.budget_free,
-                rules.budget_ratio, 1, SLACK,
+                rules.budget_ratio, 1, SLACK_NS,
             )
         )  # fmt: skip
 
@@ -178,11 +180,11 @@
         self.asked, self.total = 0, len(times)
 
         def ask(name: str) -> Callable[[], None]:
-            def go() -> None:
+            def run_step() -> None:
                 self.asked += 1
                 client.ask(name, source.next(), lambda seen: self.ended(seen, targets))
 
-            return go
+            return run_step
 
         for number, at in enumerate(times):
             self.loop.call_at(int(at), ask(f"d{number}"))
@@ -201,37 +203,37 @@
         self.outcomes[kind] += 1
         self.good += mark == "whole" and seen.took <= targets[seen.plan.kind]
 
-    # --- troubles ---
+    # --- faults ---
 
-    def later(self, wait: int, call: Callable[[], None]) -> None:
+    def call_later(self, wait: int, call: Callable[[], None]) -> None:
         self.loop.call_in(wait, call)
 
     def begin(self, trouble: Trouble) -> Callable[[], None]:
         holder = self.by_name[trouble.holder]
 
-        def go() -> None:
+        def run_step() -> None:
             self.mark(f"{trouble.kind} {holder.name}")
             if trouble.kind == "kill":
                 holder.kill()
-                self.later(self.script.lag, lambda: self.lost(holder))
-                self.later(trouble.last, lambda: self.back(holder))
+                self.call_later(self.script.lag, lambda: self.unlist_lost(holder))
+                self.call_later(trouble.last, lambda: self.restart(holder))
             elif trouble.kind == "drain":
                 holder.phase = "draining"
-                self.later(self.script.lag, lambda: self.publish({holder.name: "draining"}))
-                self.later(trouble.last, lambda: self.undrain(holder))
+                self.call_later(self.script.lag, lambda: self.publish({holder.name: "draining"}))
+                self.call_later(trouble.last, lambda: self.undrain(holder))
             else:
                 slow = trouble.kind == "slow"
                 fault = "none" if slow else trouble.kind
                 self.control(holder, Faults(fault, trouble.share, trouble.times if slow else 1.0))
-                self.later(trouble.last, lambda: self.control(holder, Faults()))
+                self.call_later(trouble.last, lambda: self.control(holder, Faults()))
 
-        return go
+        return run_step
 
     def mark(self, what: str) -> None:
         self.writer.write(Mark(time.monotonic_ns(), what))
 
     def control(self, holder: HolderProcess, faults: Faults) -> None:
-        """Off the loop for about a millisecond: a control call to a live holder answers at once."""
+        """Inject faults. Blocks the loop for about 1 ms: a live holder answers a control call at once."""
         if holder.process is None:
             return
         line = HTTPConnection("127.0.0.1", holder.port, timeout=2)
@@ -242,56 +244,57 @@
         finally:
             line.close()
 
-    def publish(self, news: dict[str, str]) -> None:
-        self.cluster.write_roster(news, self.fresh)
+    def publish(self, changes: dict[str, str]) -> None:
+        self.cluster.write_roster(changes, self.restarted)
 
-    def lost(self, holder: HolderProcess) -> None:
+    def unlist_lost(self, holder: HolderProcess) -> None:
         if holder.process is None or holder.name in self.starting:
-            self.cluster.missing.add(holder.name)
+            self.cluster.unlisted.add(holder.name)
             self.publish({holder.name: "gone"})
 
-    def back(self, holder: HolderProcess) -> None:
-        """Start it again, on its port, cold; it takes a moment to come up and is looked at until it has."""
+    def restart(self, holder: HolderProcess) -> None:
+        """Restart a holder cold on its port; it is polled until it is ready."""
         holder.launch(self.script.leaf.cold)
         self.starting[holder.name] = holder
-        self.look(holder)
+        self.poll_ready(holder)
 
-    def look(self, holder: HolderProcess) -> None:
+    def poll_ready(self, holder: HolderProcess) -> None:
         if not holder.ready():
-            self.later(20 * MS, lambda: self.look(holder))
+            self.call_later(20 * MS, lambda: self.poll_ready(holder))
             return
         holder.wait()
         del self.starting[holder.name]
         self.mark(f"back {holder.name}")
-        self.later(self.script.lag, lambda: self.known(holder))
+        self.call_later(self.script.lag, lambda: self.list_restarted(holder))
 
-    def known(self, holder: HolderProcess) -> None:
-        self.cluster.missing.discard(holder.name)
-        self.fresh.add(holder.name)
+    def list_restarted(self, holder: HolderProcess) -> None:
+        self.cluster.unlisted.discard(holder.name)
+        self.restarted.add(holder.name)
         self.publish({holder.name: "ready"})
 
     def undrain(self, holder: HolderProcess) -> None:
         holder.phase = "ready"
         self.mark(f"drained {holder.name} serves again")
-        self.later(self.script.lag, lambda: self.publish({holder.name: "ready"}))
+        self.call_later(self.script.lag, lambda: self.publish({holder.name: "ready"}))
 
 
 def run_day(
     script: DayScript, record: Path | None = None, seed: int | None = None, broker: list[str] | None = None
 ) -> DayResult:
-    """Run a day and audit it. ``record`` must be new or empty; without one a temporary folder is used.
+    """Run a day and audit it. ``record`` must be new or empty; by default a temporary folder is used.
 
-    ``broker`` is the command that starts a broker, its configuration file appended: for baselines.
+    ``broker`` is the command that starts a broker, to which the configuration file is appended; it is for
+    runs of a baseline.
     """
     chosen = script.seed if seed is None else seed
-    words = broker or BROKER
+    command = broker or BROKER
     if record is not None:
         record.mkdir(parents=True, exist_ok=True)
         if any(record.iterdir()):
-            raise ValueError(f"{record} is not empty: records of two days must not mix")
-        return _Day(script, record, chosen, words).run()
+            raise ValueError(f"{record} is not empty: a folder holds the records of one day")
+        return _DayRun(script, record, chosen, command).run()
     with tempfile.TemporaryDirectory(prefix="quincepath-day-") as folder:
-        return _Day(script, Path(folder), chosen, words).run()
+        return _DayRun(script, Path(folder), chosen, command).run()
 
 
 __all__ = ["DayResult", "DayScript", "Trouble", "run_day"]
--- a/quincepath/lab/demo.py
+++ b/quincepath/lab/demo.py
@@ -1,4 +1,4 @@
-"""The embedded defaults: three replica sets of two shards, two holders each, and two classes of query."""
+"""Built-in demo configuration: three replica sets of two shards and two holders each, two query classes."""
 
 from pathlib import Path
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def shards_entry() -> dict[str, Any]:
-    """The shard map as a configuration names it."""
+    """The shard map as configuration values."""
     return {
         "label": "district",
         "unlabelled": "nowhere",
@@ -28,7 +28,7 @@
 
 
 def classes_entry() -> list[dict[str, Any]]:
-    """An any-n class and an all-parts class with a second step."""
+    """A class that needs 60% of its parts, and one that needs all and has a second step."""
     return [
         {
             "name": "fleet-glance", "target": "1500ms", "deadline": "3s", "need": "60%", "late_worth": 0.3,
@@ -39,16 +39,16 @@
 
 
 def make_cluster(seed: int, options: list[str], record: Path | None, roster: Path | None = None) -> Cluster:
-    """Six holders; not started."""
+    """A cluster of six holders, which are not started."""
     holders = []
     for group in sorted({group for group, _ in DISTRICTS.values()}):
-        shards = [name for name, (mine, _) in DISTRICTS.items() if mine == group]
+        shards = [name for name, (holder_group, _) in DISTRICTS.items() if holder_group == group]
         districts = [value for name in shards for value in DISTRICTS[name][1]]
         for number, zone in enumerate(ZONES):
             name = f"{group}{number}"
-            kept = record / f"holder-{name}.jsonl" if record else None
-            words = ["--seed", str(seed), *options]
-            holders.append(HolderProcess(name, zone, shards, districts, words, kept))
+            record_path = record / f"holder-{name}.jsonl" if record else None
+            arguments = ["--seed", str(seed), *options]
+            holders.append(HolderProcess(name, zone, shards, districts, arguments, record_path))
     return Cluster(holders, roster)
 
 
--- a/quincepath/lab/fair_plan.py
+++ b/quincepath/lab/fair_plan.py
@@ -1,4 +1,4 @@
-"""What a run of the world of turns is made of, and what came of it; lab/fair_world.py says how."""
+"""Parameters and results of a fair-queueing simulation; see lab/fair_simulation.py."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """``cost``: mean slot time (ns) of a query, drawn with a spread (sigma of the logarithm)."""
+    """``cost``: mean slot time (ns) of a query, log-normal; ``spread``: sigma of its logarithm."""
 
     name: str
     brokers: tuple[int, ...]
-    clients: int = 0  # closed loop, at each of its brokers
-    rate: float = 0.0  # open loop, queries a second in sum
+    clients: int = 0  # closed loop: clients at each of its brokers
+    rate: float = 0.0  # open loop: queries per second in total
     cost: int = SECOND
     spread: float = 0.3
     parts: int = 2
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One run: ``kill`` is (when, which broker); it is back at once, empty."""
+    """One run; times in ns. ``kill``: (time, number of a broker), which restarts at once without queries."""
 
     tenants: tuple[Tenant, ...]
     scheduler: Callable[[FairSettings, int], SlotScheduler]
@@ -40,7 +40,7 @@
     brokers: int = 20
     holders: int = 40
     holder_slots: int = 8
-    warmup: int = 10 * SECOND  # what was asked or refused before is not counted
+    warmup: int = 10 * SECOND  # queries and refusals before this time are not counted
     length: int = 30 * SECOND
     report_age: ReportAge | None = None
     report_interval: int = 200 * MS
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Query:
-    """One try after the other until it has run."""
+    """A client's query, repeated after refusals until it has run."""
 
     tenant: Tenant
     broker: int
@@ -62,22 +62,25 @@
 
 @dataclass(slots=True)
 class Result:
-    """What came of a run; times in ns."""
+    """Result of a run; times in ns."""
 
-    used: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))  # by window
-    backlogged: dict[str, Counter[int]] = field(
-        default_factory=lambda: defaultdict(Counter)
-    )  # looks at which it did
+    # Slot time by tenant and window.
+    used: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))
+    # Samples in which a tenant had waiting queries, by tenant and window.
+    backlogged: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))
     samples: Counter[int] = field(default_factory=Counter)
     waits: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     refused: Counter[str] = field(default_factory=Counter)
     late: int = 0
     answered: int = 0
-    idle: int = 0  # slots times ns while somebody waits
-    contended: int = 0  # all slots times ns while somebody waits
+    idle: int = 0  # idle slots times ns while a query waits
+    contended: int = 0  # all slots times ns while a query waits
 
     def jain(self, window: int, weights: dict[str, float]) -> float | None:
-        """Of weighted slot time among those that wanted more all the window; None below two of them."""
+        """Jain's fairness index of a window; None if fewer than two tenants were backlogged all of it.
+
+        The index is over the weighted slot time of the tenants that were backlogged.
+        """
         got = [
             self.used[name][window] / weights[name]
             for name, samples in self.backlogged.items()
@@ -88,4 +91,5 @@
         return sum(got) ** 2 / (len(got) * sum(one * one for one in got))
 
     def idle_share(self) -> float:
+        """Share of the slots that were idle while a query waited."""
         return self.idle / self.contended if self.contended else 0.0
--- a/quincepath/lab/load.py
+++ b/quincepath/lab/load.py
@@ -1,4 +1,4 @@
-"""A remote read client on the loop: sends queries, keeps what it saw, gives up when its time is up."""
+"""A remote read client on the event loop: sends queries, records results, gives up at its timeout."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -15,12 +15,12 @@
 from quincepath.standins.record import Ask, End, Writer
 
 LIMITS = Limits(body=256 << 20)
-SCOPE = "X-Scope-OrgID"  # by which a tenant names itself
+SCOPE = "X-Scope-OrgID"  # header that names the tenant
 
 
 @dataclass(slots=True, frozen=True)
 class QueryPlan:
-    """A query to send: its class by the rules of the configuration, shards it touches, its body."""
+    """A query to send: its class by the rules of the configuration, its shards and its body."""
 
     kind: str
     shards: list[int]
@@ -28,12 +28,12 @@
     request: ReadRequest
     patience: int  # ns
     headers: dict[str, str] = field(default_factory=dict)
-    stated_timeout: int = 0  # ns that the broker takes it to wait, where that is not its patience
+    stated_timeout: int = 0  # ns; the timeout known to the broker, 0: ``patience``
 
 
 @dataclass(slots=True, frozen=True)
 class QueryResult:
-    """What came of one query. ``status`` 0: connection lost, -1: gave up."""
+    """Result of one query. ``status`` 0: connection lost, -1: gave up."""
 
     plan: QueryPlan
     status: int
@@ -42,14 +42,14 @@
 
 
 class QuerySource:
-    """Seeded queries: any-n glances over all districts, reports over some. Same seed, same queries."""
+    """Random queries: glances over all districts, reports over some. The same seed gives the same queries."""
 
     def __init__(self, seed: int, districts: dict[str, int], patience: dict[str, int]) -> None:
         self.random = np.random.default_rng(seed)
         self.districts, self.patience = districts, patience
 
     def next(self, glances: float = 0.6, among: Sequence[str] = ()) -> QueryPlan:
-        """One query; about six glances to four reports. ``among``: of these districts only."""
+        """The next query; ``glances``: share of glances. ``among``: only these districts."""
         request = ReadRequest()
         query = request.queries.add()
         names = sorted(among or self.districts)
@@ -74,8 +74,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Line:
-    """One connection to the broker: one query at a time, kept open between."""
+class _Connection:
+    """A persistent connection to the broker; one query at a time."""
 
     stream: Stream | None = None
     reader: ResponseReader = field(default_factory=lambda: ResponseReader(LIMITS))
@@ -83,108 +83,108 @@
 
 
 class Client:
-    """Sends queries to one remote read address; ``record`` gets each end. Bounded by its caller."""
+    """Sends queries to one remote read address; ``record`` gets each result. The caller limits them."""
 
     def __init__(self, loop: Loop, url: str, record: Writer | None = None, broker: int = 0) -> None:
         parts = urlsplit(url)
         self.loop, self.record, self.broker = loop, record, broker
         self.address = (parts.hostname or "127.0.0.1", parts.port or 80)
         self.path = parts.path
-        self.idle: list[_Line] = []
+        self.idle: list[_Connection] = []
         self.open = 0
 
     def ask(self, name: str, plan: QueryPlan, done: Callable[[QueryResult], None]) -> None:
-        """Send one query; ``done`` is called once."""
+        """Send one query; ``done`` is called once with its result."""
         self.open += 1
         began = self.loop.clock()
         if self.record:
             ask = plan.headers.get("Idempotency-Key", "")
-            told = plan.stated_timeout or plan.patience
+            timeout = plan.stated_timeout or plan.patience
             tenant = plan.headers.get(SCOPE, "")
-            self.record.write(Ask(began, name, plan.kind, plan.shards, told, self.broker, ask, tenant))
-        over = False
+            self.record.write(Ask(began, name, plan.kind, plan.shards, timeout, self.broker, ask, tenant))
+        ended = False
 
         def end(status: int, response: Response | None) -> None:
-            nonlocal over
-            if over:
-                if self.record and status > 0:  # a second answer is what the audit is for
+            nonlocal ended
+            if ended:
+                if self.record and status > 0:  # a second answer is recorded for the audit
                     self.record.write(End(self.loop.clock(), name, status))
                 return
-            over = True
+            ended = True
             timer.cancel()
             self.open -= 1
             now = self.loop.clock()
             if self.record:
-                self.record.write(_end_line(now, name, status, response))
+                self.record.write(_end_record(now, name, status, response))
             done(QueryResult(plan, status, now - began, response))
 
-        def gave_up() -> None:
-            line.done = None
-            if line.stream is not None:
-                line.stream.close()
+        def on_timeout() -> None:
+            connection.done = None
+            if connection.stream is not None:
+                connection.stream.close()
             end(-1, None)
 
-        timer = self.loop.call_in(plan.patience + 250_000_000, gave_up)
+        timer = self.loop.call_in(plan.patience + 250_000_000, on_timeout)
         found = self.idle.pop() if self.idle else self._connect()
         if found is None:
             end(0, None)
             return
-        line = found
-        line.done = lambda response: end(response.status if response else 0, response)
+        connection = found
+        connection.done = lambda response: end(response.status if response else 0, response)
         headers = {**HEADERS, **VERSION_HEADER, "X-Request-Id": name, **plan.headers}
-        assert line.stream is not None
-        line.stream.write(request_bytes("POST", self.path, "broker", headers, plan.body))
+        assert connection.stream is not None
+        connection.stream.write(request_bytes("POST", self.path, "broker", headers, plan.body))
 
-    def _connect(self) -> _Line | None:
+    def _connect(self) -> _Connection | None:
         sock = self.loop.system.stream_socket()
         try:
-            sock.connect(self.address)  # loopback: at once or refused
+            sock.connect(self.address)  # on loopback it connects or is refused at once
         except OSError:
             sock.close()
             return None
-        line = _Line()
+        connection = _Connection()
 
-        def data(chunk: bytes) -> None:
+        def on_data(chunk: bytes) -> None:
             try:
-                response = line.reader.feed(chunk)
+                response = connection.reader.feed(chunk)
             except HttpError:
-                if line.stream is not None:
-                    line.stream.close()
-                lost("protocol error")
+                if connection.stream is not None:
+                    connection.stream.close()
+                on_close("protocol error")
                 return
-            if response is not None and line.done is not None:
-                done, line.done = line.done, None
+            if response is not None and connection.done is not None:
+                done, connection.done = connection.done, None
                 if response.keep_alive:
-                    self.idle.append(line)
-                elif line.stream is not None:
-                    line.stream.close()
+                    self.idle.append(connection)
+                elif connection.stream is not None:
+                    connection.stream.close()
                 done(response)
 
-        def lost(_why: str) -> None:
-            if line in self.idle:
-                self.idle.remove(line)
-            done, line.done = line.done, None
+        def on_close(_reason: str) -> None:
+            if connection in self.idle:
+                self.idle.remove(connection)
+            done, connection.done = connection.done, None
             if done is not None:
                 done(None)
 
-        line.stream = Stream(self.loop, sock, data, lost)
-        return line
+        connection.stream = Stream(self.loop, sock, on_data, on_close)
+        return connection
 
     def move(self, url: str) -> None:
-        """From now on ask at another address."""
+        """Send further queries to another address."""
         parts = urlsplit(url)
         self.address, self.path = (parts.hostname or "127.0.0.1", parts.port or 80), parts.path
         self.close()
 
     def close(self) -> None:
         """Close idle connections."""
-        for line in self.idle:
-            if line.stream is not None:
-                line.stream.close()
+        for connection in self.idle:
+            if connection.stream is not None:
+                connection.stream.close()
         self.idle.clear()
 
 
-def _end_line(now: int, name: str, status: int, response: Response | None) -> End:
+def _end_record(now: int, name: str, status: int, response: Response | None) -> End:
     if response is None:
         return End(now, name, status)
     inside, _, asked = response.headers.get("quincepath-parts", "0/0").partition("/")
--- a/quincepath/lab/map_simulation.py
+++ b/quincepath/lab/map_simulation.py
@@ -1,7 +1,7 @@
-"""Traffic and maps drawn by a seed, and what a map does to that traffic: queues of holders in virtual time.
+"""Random traffic and shard maps, and a simulation of the traffic under a map in virtual time.
 
-Knows nothing of the forecast's model: each holder is a queue of its own with a few slots, a part goes to the
-holder of its set that is free first, costs are drawn by part, a few parts are sent twice. Times in ns.
+Independent of the forecast's model: each holder is a queue with a few slots, a part goes to the holder of
+its replica set that is free first, costs are drawn per part, and a few parts are sent twice. Times in ns.
 """
 
 import heapq
@@ -19,8 +19,11 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryClass:
-    """Of ``share`` of the queries: ``least`` to ``most`` values (0: all), cost of a part in ns and bytes as
-    (fixed, by value), the target in ns."""
+    """A class of ``share`` of the queries.
+
+    Each reads ``min_values`` to ``max_values`` values (0: all). ``service`` (ns) and ``merged`` (bytes) are
+    the cost of a part as (fixed, per value); ``target`` is in ns.
+    """
 
     name: str
     share: float
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Traffic:
-    """Values with popularity (cumulative) and cost, queries a second."""
+    """Values with cumulative popularity and cost; ``rate``: queries per second."""
 
     values: tuple[str, ...]
     popular: tuple[float, ...]
@@ -50,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pair:
-    """A traffic and two maps; ``change`` says what was done to the first."""
+    """Traffic and two maps; ``change`` names the change that leads from the first to the second."""
 
     seed: int
     change: str
@@ -63,17 +66,17 @@
 
 @dataclass(slots=True)
 class SimulatedQuery:
-    """One query as it was: parts are (values, calls, service, took, bytes)."""
+    """One query of a run; a part is (values, calls, service time, elapsed time, bytes)."""
 
     at: int
     kind: QueryClass
     parts: list[tuple[tuple[str, ...], int, int, int, int]]
-    took: int
+    elapsed: int
 
 
 @dataclass(slots=True)
 class Run:
-    """What was: the queries, and by holder (set, index) its calls and its work in ns."""
+    """A run: its queries, and the calls and work (ns) of each holder, by (replica set, index)."""
 
     queries_run: list[SimulatedQuery] = field(default_factory=list)
     calls: dict[tuple[str, int], int] = field(default_factory=dict)
@@ -92,35 +95,35 @@
 
 
 def simulate(pair: Pair, version: MapVersion, queries: int, seed: int) -> Run:
-    """So many queries through a map."""
+    """Simulate ``queries`` queries under a map."""
     random, run, places = Random(seed), Run(), version.places()
     traffic = pair.traffic
-    free = {(g, n): [0] * pair.slots for g in version.sets() for n in range(pair.holders[g])}
-    run.calls, run.work = dict.fromkeys(free, 0), dict.fromkeys(free, 0)
+    free_at = {(g, n): [0] * pair.slots for g in version.sets() for n in range(pair.holders[g])}
+    run.calls, run.work = dict.fromkeys(free_at, 0), dict.fromkeys(free_at, 0)
     by_set = {g: [(g, n) for n in range(pair.holders[g])] for g in version.sets()}
     now = 0
     for _ in range(queries):
         now += int(random.expovariate(traffic.rate) * SECOND)
         kind = random.choices(CLASSES, [one.share for one in CLASSES])[0]
-        touched: dict[tuple[str, str], list[str]] = {}
+        values_by_shard: dict[tuple[str, str], list[str]] = {}
         for value in _values(traffic, kind, random):
-            touched.setdefault(places[value], []).append(value)
+            values_by_shard.setdefault(places[value], []).append(value)
         parts, last = [], 0
-        for (_shard, group), values in touched.items():
+        for (_shard, group), values in values_by_shard.items():
             size = sum(traffic.costs[value] for value in values)
             service = int((kind.service[0] + kind.service[1] * size) * random.lognormvariate(-0.08, 0.4))
             merged = int((kind.merged[0] + kind.merged[1] * size) * random.lognormvariate(-0.02, 0.2))
-            calls, took = 1 + (random.random() < 0.03), 0
-            for holder in sorted(by_set[group], key=lambda h: (max(free[h][0], now), random.random()))[
+            calls, elapsed = 1 + (random.random() < 0.03), 0
+            for holder in sorted(by_set[group], key=lambda h: (max(free_at[h][0], now), random.random()))[
                 :calls
             ]:
-                begin = max(now, free[holder][0])
-                heapq.heapreplace(free[holder], begin + service)
+                begin = max(now, free_at[holder][0])
+                heapq.heapreplace(free_at[holder], begin + service)
                 run.calls[holder] += 1
                 run.work[holder] += service
-                took = min(took or 1 << 62, begin + service - now + int(random.expovariate(1) * MS))
-            parts.append((tuple(values), calls, service, took, merged))
-            last = max(last, took)
+                elapsed = min(elapsed or 1 << 62, begin + service - now + int(random.expovariate(1) * MS))
+            parts.append((tuple(values), calls, service, elapsed, merged))
+            last = max(last, elapsed)
         run.queries_run.append(
             SimulatedQuery(now, kind, parts, last + MS + sum(part[4] for part in parts) * 4)
         )
@@ -128,8 +131,10 @@
     return run
 
 
-def _work(traffic: Traffic, version: MapVersion, random: Random, queries: int = 1500) -> dict[str, float]:
-    """Work a query that comes to each set, in ns, as a mean of some queries."""
+def _work_per_query(
+    traffic: Traffic, version: MapVersion, random: Random, queries: int = 1500
+) -> dict[str, float]:
+    """Mean work (ns) per query of each replica set, estimated from ``queries`` queries."""
     places, found = version.places(), dict.fromkeys(version.sets(), 0.0)
     for _ in range(queries):
         kind = random.choices(CLASSES, [one.share for one in CLASSES])[0]
@@ -142,7 +147,7 @@
     return found
 
 
-def _chunks(values: tuple[str, ...], count: int) -> Iterator[tuple[str, ...]]:
+def _split_values(values: tuple[str, ...], count: int) -> Iterator[tuple[str, ...]]:
     for index in range(min(count, len(values))):
         yield values[index::count]
 
@@ -161,16 +166,16 @@
 def apply_change(
     entries: tuple[MapEntry, ...], change: str, hot: tuple[str, ...], random: Random
 ) -> tuple[MapEntry, ...]:
-    """The map after a change."""
+    """The entries of the map after a change."""
     found = list(entries)
     at = random.randrange(len(found))
     name, group, values = found[at]
     sets = sorted({entry[1] for entry in entries})
     if change in ("split", "split to new sets"):
         count = random.choice((2, 2, 3, 4, 8))
-        pieces = list(_chunks(values, count))
-        homes = [f"n{n}" if change != "split" and n else group for n in range(len(pieces))]
-        found[at : at + 1] = [(f"{name}.{n}", homes[n], piece) for n, piece in enumerate(pieces)]
+        pieces = list(_split_values(values, count))
+        piece_sets = [f"n{n}" if change != "split" and n else group for n in range(len(pieces))]
+        found[at : at + 1] = [(f"{name}.{n}", piece_sets[n], piece) for n, piece in enumerate(pieces)]
     elif change == "move a shard":
         found[at] = (name, random.choice([other for other in sets if other != group] or sets), values)
     elif change == "hot values to one set":
@@ -183,31 +188,31 @@
         found = [entry for entry in found if entry[1] != group]
         found.append((name, group, tuple(v for entry in same for v in entry[2])))
     elif change == "spread":
-        every = [value for entry in entries for value in entry[2]]
-        random.shuffle(every)
+        all_values = [value for entry in entries for value in entry[2]]
+        random.shuffle(all_values)
         cut = len(entries)
-        found = [(n, g, tuple(every[index::cut])) for index, (n, g, _vs) in enumerate(entries)]
+        found = [(n, g, tuple(all_values[index::cut])) for index, (n, g, _vs) in enumerate(entries)]
     else:
-        taken = tuple(vs[-1] for _n, _g, vs in found if len(vs) > 1)
-        found = [(n, g, tuple(v for v in vs if v not in taken)) for n, g, vs in found]
-        found += [("fresh", "fresh", taken)] if taken else []
+        moved_values = tuple(vs[-1] for _n, _g, vs in found if len(vs) > 1)
+        found = [(n, g, tuple(v for v in vs if v not in moved_values)) for n, g, vs in found]
+        found += [("fresh", "fresh", moved_values)] if moved_values else []
     return tuple(found)
 
 
 def draw(seed: int) -> Pair:
-    """A pair. The fullest set of the first map has a load of 0.3 to 0.75."""
+    """A random pair. The busiest replica set of the first map has a load of 0.3 to 0.75."""
     random = Random(seed)
     sets, slots = random.randint(4, 10), 4
     shards = [(f"s{g}.{n}", f"g{g}") for g in range(sets) for n in range(random.randint(1, 3))]
     entries: list[MapEntry] = []
     values: list[str] = []
     for name, group in shards:
-        mine = tuple(f"v{len(values) + n}" for n in range(random.choice((2, 4, 8, 8, 16))))
-        values += mine
-        entries.append((name, group, mine))
+        shard_values = tuple(f"v{len(values) + n}" for n in range(random.choice((2, 4, 8, 8, 16))))
+        values += shard_values
+        entries.append((name, group, shard_values))
     ranked = random.sample(values, len(values))
-    power = random.uniform(0.4, 1.1)
-    weight = {value: (rank + 1) ** -power for rank, value in enumerate(ranked)}
+    exponent = random.uniform(0.4, 1.1)
+    weight = {value: (rank + 1) ** -exponent for rank, value in enumerate(ranked)}
     costs = {value: random.lognormvariate(-0.125, 0.5) for value in values}
     popular = tuple(accumulate(weight[value] for value in values))
     before = MapVersion(1, "district", tuple(entries), False)
@@ -215,7 +220,7 @@
     after = MapVersion(2, "district", apply_change(before.entries, change, tuple(ranked), random), False)
     holders = {group: random.randint(2, 3) for group in {**before.sets(), **after.sets()}}
     traffic = Traffic(tuple(values), popular, costs, 1.0)
-    work = _work(traffic, before, random)
-    fullest = max(work[g] / (holders[g] * slots) for g in work)
-    rate = random.uniform(0.3, 0.75) * SECOND / fullest
+    work = _work_per_query(traffic, before, random)
+    highest_load = max(work[g] / (holders[g] * slots) for g in work)
+    rate = random.uniform(0.3, 0.75) * SECOND / highest_load
     return Pair(seed, change, Traffic(traffic.values, popular, costs, rate), before, after, holders, slots)
--- a/quincepath/lab/openloop.py
+++ b/quincepath/lab/openloop.py
@@ -1,7 +1,8 @@
-"""The load tool: arrivals drawn ahead and kept to, whatever the answers take, so that no wait is left out.
+"""An open-loop load generator: the arrival schedule is drawn ahead and does not depend on the answers,
+so that no wait is left out of the results.
 
-A query's time counts from the moment at which it was due, not from when this client came to send it
-(otherwise a stall would hide the very queries that it hurt). Histograms are HDR, by the library.
+The latency of a query counts from its scheduled time, not from the time at which it was sent; otherwise a
+stall would hide the latency of the queries that it delays (coordinated omission). Histograms are HDR.
 """
 
 from collections import Counter
@@ -17,9 +18,9 @@
 from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.net.loop import Loop
 
-US = 1_000  # ns; histograms count microseconds
-RETRY_WAIT = 100_000_000  # ns before a retry that was given no advice
-LONGEST_US = 600_000_000
+US = 1_000  # ns; histograms are in microseconds
+RETRY_DELAY_NS = 100_000_000  # without an advised delay
+MAX_LATENCY_US = 600_000_000
 PERCENTILES = (50, 90, 99, 99.9)
 
 
@@ -36,7 +37,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     def plan(self) -> QueryPlan:
-        """The query to send; the same bytes each time."""
+        """The query to send, with the same bytes each time."""
         request = ReadRequest()
         query = request.queries.add(start_timestamp_ms=self.start_ms, end_timestamp_ms=self.end_ms)
         query.matchers.extend(self.matchers)
@@ -44,7 +45,7 @@
 
 
 def by_tenant(mixes: list[QueryMix], tenants: dict[str, float], header: str) -> list[QueryMix]:
-    """Each kind of query for each tenant, by the tenants' weights, named in ``header``."""
+    """Each kind of query for each tenant, weighted by tenant; ``header`` names the tenant."""
     return [
         replace(
             mix,
@@ -59,17 +60,17 @@
 
 @dataclass(slots=True)
 class Result:
-    """What came of a load, by kind of query. ``late_most``: how far it fell behind its schedule (ns)."""
+    """Result of a load, by kind of query. ``max_lag``: largest delay behind the schedule (ns)."""
 
     times: dict[str, HdrHistogram] = field(default_factory=dict)
     outcomes: dict[str, Counter[str]] = field(default_factory=dict)
     sent: int = 0
-    unsent: int = 0  # due while ``most_open`` were open: counted, never silently dropped
+    unsent: int = 0  # due while ``most_open`` queries were open; counted, not dropped silently
     max_lag: int = 0
     retried: int = 0
 
     def rows(self) -> list[dict[str, Any]]:
-        """Plain values for tables; times in ms."""
+        """Rows of plain values; times in ms."""
         found = []
         for name, histogram in self.times.items():
             row: dict[str, Any] = {"query": name, **dict(sorted(self.outcomes[name].items()))}
@@ -81,7 +82,7 @@
 
 
 class OpenLoop:
-    """One load against one address. Bounded by ``seconds`` and ``most_open``."""
+    """One load on one address, limited by ``seconds`` and ``most_open``."""
 
     def __init__(
         self,
@@ -98,7 +99,7 @@
         self.retrying = 0
         self.client = Client(loop, url)
         self.result = Result(
-            {mix.name: HdrHistogram(1, LONGEST_US, 3) for mix in mixes},
+            {mix.name: HdrHistogram(1, MAX_LATENCY_US, 3) for mix in mixes},
             {mix.name: Counter() for mix in mixes},
         )
         random = np.random.default_rng(seed)
@@ -114,7 +115,7 @@
         self._arm()
 
     def done(self) -> bool:
-        """Whether all is sent and ended."""
+        """Whether all queries are sent and have ended."""
         return self.next >= len(self.schedule) and not self.client.open and not self.retrying
 
     def _arm(self) -> None:
@@ -144,21 +145,21 @@
             if seen.status == 200:
                 self.result.outcomes[mix.name][headers.get("quincepath-answer", "unmarked")] += 1
                 took = max((self.loop.clock() - due) // US, 1)
-                self.result.times[mix.name].record_value(min(took, LONGEST_US))
+                self.result.times[mix.name].record_value(min(took, MAX_LATENCY_US))
                 return
             if tries < self.retries:
                 self.result.retried += 1
                 self.retrying += 1
-                wait = int(headers.get("quincepath-retry-after-ms", "0")) * 1000 * US or RETRY_WAIT
-                self.loop.call_in(wait, lambda: self._again(due, kind, name, tries + 1))
+                wait = int(headers.get("quincepath-retry-after-ms", "0")) * 1000 * US or RETRY_DELAY_NS
+                self.loop.call_in(wait, lambda: self._retry(due, kind, name, tries + 1))
                 return
-            bad = {0: "lost", -1: "gave up"}.get(seen.status, str(seen.status))
-            self.result.outcomes[mix.name][bad] += 1
+            failure = {0: "lost", -1: "gave up"}.get(seen.status, str(seen.status))
+            self.result.outcomes[mix.name][failure] += 1
 
         return ended
 
-    def _again(self, due: int, kind: int, name: str, tries: int) -> None:
-        """A retry under the same id, marked as one: it must not count as a new ask."""
+    def _retry(self, due: int, kind: int, name: str, tries: int) -> None:
+        """Retry under the same id, marked as a retry so that it does not count as a new ask."""
         self.retrying -= 1
         first = self.plans[kind]
         plan = replace(first, headers={**first.headers, "Retry-Attempt": str(tries)})
--- a/quincepath/lab/overload_simulation/brokers.py
+++ b/quincepath/lab/overload_simulation/brokers.py
@@ -14,21 +14,18 @@
 from quincepath.fleet.overload.trial_turns import next_turn
 from quincepath.lab.overload_simulation.plan import MS, SECOND, Plan, Strategy
 
-MAX_RETRY_TOKENS = 10.0  # saved up at most, as in the decision module
+# The retry budget, as in the decision module: the most that is saved up, and tokens added per first send.
+MAX_RETRY_TOKENS = 10.0
 TOKENS_PER_SEND, CONGESTED_TOKENS_PER_SEND = 0.25, 0.10
 LATENCY_GAIN = 0.25
-LATENCY_DECAY_NS = (
-    4 * SECOND
-)  # without answers, the excess of a latency over its base falls to 1/e in this time
+LATENCY_DECAY_NS = 4 * SECOND  # without answers, a latency's excess over its base falls to 1/e in this time
 PROBE_INTERVAL_NS = 4 * SECOND
 SUSPECT_AFTER_FAILURES = 1
 SILENCE_NS = 750 * MS
-MIN_LATE_SHARE, MAX_LATE_SHARE = (
-    0.3,
-    0.35,
-)  # of the target; with earlier resends, copies alone overload holders at 85% load
+# Of the target. With earlier resends, the copies alone overload holders at 85% load.
+MIN_LATE_SHARE, MAX_LATE_SHARE = 0.3, 0.35
 MAX_LATENCY_SHARE = 0.35  # of the target
-COLD_CORES = 1.75  # cores that a cold holder is filled as
+COLD_CORES = 1.75  # capacity in cores that is assumed of a cold holder
 
 
 class RowLayout:
@@ -95,9 +92,9 @@
 
     def record_latency(self, now: int, cell: int, elapsed: int) -> None:
         """Record the latency of one answer, or the time waited if none came by the target."""
-        state = min(elapsed, self.mean * 4)
-        self.deviation += 0.05 * (abs(state - self.mean) - self.deviation)
-        self.mean += 0.05 * (state - self.mean)
+        sample = min(elapsed, self.mean * 4)
+        self.deviation += 0.05 * (abs(sample - self.mean) - self.deviation)
+        self.mean += 0.05 * (sample - self.mean)
         latency = self.set_latency[cell]
         latency.mean += LATENCY_GAIN * (elapsed - latency.mean)
         latency.typical_in_flight += LATENCY_GAIN * (latency.in_flight - latency.typical_in_flight)
@@ -120,10 +117,10 @@
         found = []
         for cell in cells:
             latency = self.set_latency[cell]
-            idle = now - latency.updated_at
-            if idle > self.plan.target // 4 and latency.mean > self.base_latency:
+            age = now - latency.updated_at
+            if age > self.plan.target // 4 and latency.mean > self.base_latency:
                 latency.mean = self.base_latency + (latency.mean - self.base_latency) * math.exp(
-                    -idle / LATENCY_DECAY_NS
+                    -age / LATENCY_DECAY_NS
                 )
                 latency.updated_at = now
             growth = (latency.in_flight + 2) / (latency.typical_in_flight + 2)
--- a/quincepath/lab/record.py
+++ b/quincepath/lab/record.py
@@ -1,4 +1,4 @@
-"""Records of what passed, by the name they have in the laboratory; see ``quincepath.standins.record``."""
+"""Names of ``quincepath.standins.record`` for the laboratory."""
 
 from quincepath.standins.record import (
     SCHEMA,
--- a/quincepath/lab/report.py
+++ b/quincepath/lab/report.py
@@ -1,4 +1,4 @@
-"""A rehearsal as one HTML page that needs nothing else: plots by plotly, its script within the page."""
+"""A rehearsal as one self-contained HTML page with plots by plotly; the page includes its script."""
 
 import html
 import json
@@ -16,11 +16,11 @@
 from quincepath.standins.record import Ask, Bounds, End, Got, Line, Mark, Up
 
 SECOND = 1_000_000_000
-BANDS = ("#f4cccc", "#d9ead3", "#cfe2f3", "#fff2cc", "#ead1dc", "#d0e0e3")
+BAND_COLORS = ("#f4cccc", "#d9ead3", "#cfe2f3", "#fff2cc", "#ead1dc", "#d0e0e3")
 
 
-class _Day:
-    """The lines of a day by second."""
+class _DayRecords:
+    """The records of a day, by second."""
 
     def __init__(self, script: Script, lines: list[Line]) -> None:
         self.seconds = int(script.length // SECOND) + 1
@@ -57,10 +57,10 @@
         return int((at - BEGIN) // SECOND)
 
     def service(self) -> dict[str, tuple[list[float], list[float], list[float]]]:
-        """By class and second of the first try: share good, 50th and 99th percentile of the time (s)."""
+        """By class and second of the first try: share good, 50th and 99th percentile latency (s)."""
         asked: dict[str, np.ndarray[Any, Any]] = {n: np.zeros(self.seconds) for n in self.targets}
         good = {n: np.zeros(self.seconds) for n in self.targets}
-        took: dict[str, list[list[float]]] = {n: [[] for _ in range(self.seconds)] for n in self.targets}
+        latencies: dict[str, list[list[float]]] = {n: [[] for _ in range(self.seconds)] for n in self.targets}
         for tries in self.tries.values():
             first = tries[0]
             at = min(self.second(first.at), self.seconds - 1)
@@ -68,7 +68,7 @@
             for one in tries:
                 end = self.ends.get(one.query)
                 if end is not None and end.status == 200:
-                    took[first.kind][at].append((end.at - first.at) / SECOND)
+                    latencies[first.kind][at].append((end.at - first.at) / SECOND)
                     good[first.kind][at] += (
                         end.mark == "whole" and end.at - first.at <= self.targets[first.kind]
                     )
@@ -77,13 +77,13 @@
             share = [
                 float(g / a) if a else float("nan") for g, a in zip(good[name], asked[name], strict=True)
             ]
-            half = [float(np.percentile(t, 50)) if t else float("nan") for t in took[name]]
-            most = [float(np.percentile(t, 99)) if t else float("nan") for t in took[name]]
-            found[name] = (share, half, most)
+            median = [float(np.percentile(t, 50)) if t else float("nan") for t in latencies[name]]
+            p99 = [float(np.percentile(t, 99)) if t else float("nan") for t in latencies[name]]
+            found[name] = (share, median, p99)
         return found
 
     def bands(self) -> list[tuple[str, float, float]]:
-        """Troubles as (kind, begin, end) in seconds of the day."""
+        """Faults as (kind, start, end) in seconds of the day."""
         open_: dict[str, list[float]] = defaultdict(list)
         found = []
         for mark in self.marks:
@@ -98,40 +98,41 @@
 
 
 def figure(script: Script, lines: list[Line]) -> go.Figure:
-    """Service, times and load of holders over the day, troubles as bands behind."""
-    day = _Day(script, lines)
+    """Service, latency and load of the holders over the day, with faults as bands in the background."""
+    day = _DayRecords(script, lines)
     titles = ("Whole within the target", "Time to the answer, s", "Work sent to each holder, s a second")
-    shown = make_subplots(rows=3, cols=1, shared_xaxes=True, vertical_spacing=0.07, subplot_titles=titles,
+    plot = make_subplots(rows=3, cols=1, shared_xaxes=True, vertical_spacing=0.07, subplot_titles=titles,
                           row_heights=[0.27, 0.27, 0.46])  # fmt: skip
     x = list(range(day.seconds))
-    for number, (name, (share, half, most)) in enumerate(day.service().items()):
+    for number, (name, (share, median, p99)) in enumerate(day.service().items()):
         color = ("#1f4e79", "#b45f06", "#38761d", "#741b47")[number % 4]
-        shown.add_scatter(x=x, y=share, name=name, line={"color": color}, row=1, col=1)
-        shown.add_scatter(x=x, y=half, name=f"{name}, median", line={"color": color}, row=2, col=1)
-        shown.add_scatter(
-            x=x, y=most, name=f"{name}, 99%", line={"color": color, "dash": "dot"}, row=2, col=1
-        )
+        plot.add_scatter(x=x, y=share, name=name, line={"color": color}, row=1, col=1)
+        plot.add_scatter(x=x, y=median, name=f"{name}, median", line={"color": color}, row=2, col=1)
+        plot.add_scatter(x=x, y=p99, name=f"{name}, 99%", line={"color": color, "dash": "dot"}, row=2, col=1)
     holders = list(day.work)
-    shown.add_heatmap(x=x, y=holders, z=[day.work[name].tolist() for name in holders], colorscale="Viridis",
+    plot.add_heatmap(x=x, y=holders, z=[day.work[name].tolist() for name in holders], colorscale="Viridis",
                       colorbar={"len": 0.42, "y": 0.2}, row=3, col=1)  # fmt: skip
-    shown.add_scatter(
+    plot.add_scatter(
         x=[(up.at - BEGIN) / SECOND for up in day.ups], y=[up.holder for up in day.ups], mode="markers",
         name="started cold", marker={"symbol": "star", "size": 11, "color": "#ff5050"}, row=3, col=1,
     )  # fmt: skip
-    kinds = {kind: BANDS[n % len(BANDS)] for n, kind in enumerate(dict.fromkeys(b[0] for b in day.bands()))}
+    kinds = {
+        kind: BAND_COLORS[n % len(BAND_COLORS)]
+        for n, kind in enumerate(dict.fromkeys(b[0] for b in day.bands()))
+    }
     for kind, begin, end in day.bands():
         for row in (1, 2):
             note = {"annotation_text": kind, "annotation_position": "bottom left"} if row == 1 else {}
-            shown.add_vrect(x0=begin, x1=end, fillcolor=kinds[kind], opacity=0.5, layer="below", line_width=0,
+            plot.add_vrect(x0=begin, x1=end, fillcolor=kinds[kind], opacity=0.5, layer="below", line_width=0,
                             row=row, col=1, **note)  # fmt: skip
-    shown.update_yaxes(range=[0, 1.03], row=1, col=1)
-    shown.update_xaxes(title="seconds of the day", row=3, col=1)
-    shown.update_layout(height=640 + 12 * len(holders), template="simple_white", margin={"t": 40, "r": 20})
-    return shown
+    plot.update_yaxes(range=[0, 1.03], row=1, col=1)
+    plot.update_xaxes(title="seconds of the day", row=3, col=1)
+    plot.update_layout(height=640 + 12 * len(holders), template="simple_white", margin={"t": 40, "r": 20})
+    return plot
 
 
 def page(script: Script, outcomes: dict[str, tuple[Script, Outcome, list[Line]]]) -> str:
-    """The page's text: a table of figures, then the plots of each run."""
+    """The HTML text: a table of figures, then the plots of each run."""
     names = list(outcomes)
     figures = {name: outcome.figures() for name, (_, outcome, _) in outcomes.items()}
     rows = "".join(
@@ -160,6 +161,6 @@
 
 
 def write(path: Path, script: Script, outcomes: dict[str, tuple[Script, Outcome, list[Line]]]) -> None:
-    """Write ``index.html`` into a folder, made where it is missing."""
+    """Write ``index.html`` into a folder, which is created if it is missing."""
     path.mkdir(parents=True, exist_ok=True)
     (path / "index.html").write_text(page(script, outcomes), encoding="utf-8")
--- a/quincepath/lab/virtual_loop.py
+++ b/quincepath/lab/virtual_loop.py
@@ -1,7 +1,8 @@
-"""Loops whose clock stands while any socket has something to say, and jumps to the next timer when none has.
+"""Event loops in virtual time: the clock stops while a socket is ready, else it jumps to the next timer.
 
-``VirtualLoop`` has real sockets of loopback: seconds of waiting take none, but the kernel's order and the
-machine's load show. ``ExactLoop`` has an in-memory network, and the same run repeats byte for byte.
+``VirtualLoop`` uses real sockets on loopback: waiting takes no real time, but the kernel's order of
+events and the machine's load affect the run. ``ExactLoop`` uses an in-memory network: a run repeats byte
+for byte.
 """
 
 import selectors
@@ -11,11 +12,11 @@
 from quincepath.net.system import System
 
 SECOND = 1_000_000_000
-KERNEL = 0.001  # seconds of real time that loopback gets to bring what was sent, before the clock may jump
+LOOPBACK_WAIT_S = 0.001  # real time for loopback to deliver sent data before the clock may jump
 
 
 class VirtualLoop(Loop):
-    """Time passes only when nothing else happens."""
+    """Advances its clock only when no socket is ready."""
 
     def __init__(self, system: System | None = None) -> None:
         self.at = 1_000 * SECOND
@@ -28,11 +29,11 @@
         return ready
 
     def _ready(self) -> list[tuple[selectors.SelectorKey, int]]:
-        return self._selector.select(0) or self._selector.select(KERNEL)
+        return self._selector.select(0) or self._selector.select(LOOPBACK_WAIT_S)
 
 
 class ExactLoop(VirtualLoop):
-    """Virtual time over an in-memory network: nothing of the machine enters, all chance comes of ``seed``."""
+    """Virtual time over an in-memory network: independent of the machine; ``seed`` gives all randomness."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(MemoryNetwork(seed, lambda: self.at))
--- a/tests/fleet/overload/test_simulation.py
+++ b/tests/fleet/overload/test_simulation.py
@@ -13,8 +13,8 @@
 SETTLED = scenes.STEP_AT + 5 * SECOND
 
 
-def play(plan: Plan, way: Strategy = Strategy.FLEET, seed: int = 1) -> Record:
-    return Simulation(plan, way, seed).run()
+def play(plan: Plan, strategy: Strategy = Strategy.FLEET, seed: int = 1) -> Record:
+    return Simulation(plan, strategy, seed).run()
 
 
 def short(plan: Plan) -> Plan:
@@ -44,9 +44,8 @@
     record = play(plan)
     cells = record.shed_by_set
     assert cells[0] > 1000
-    alone = {
-        cell: count for cell, count in cells.items() if cell > 0
-    }  # shed for another set, or together with set 0
+    # Shed for another set, or together with set 0.
+    alone = {cell: count for cell, count in cells.items() if cell > 0}
     tries = {cell: record.admitted_by_set[cell] for cell in range(1, 8)}
     assert all(alone.get(cell, 0) < 0.3 * tries[cell] for cell in tries)
     assert cells.get(-1, 0) < 0.02 * sum(record.tries)
@@ -84,7 +83,7 @@
     assert sum(record.further) <= scenes.BUDGET_RATIO * sum(record.first) + scenes.BUDGET_FREE * 28
 
 
-def test_a_planted_hash_per_broker_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_bug_of_a_hash_per_broker_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     from tests.fleet.overload.test_core import test_all_brokers_give_a_query_the_same_priority as check
 
     def per_broker_priority(self: OverloadControl, now: int, arrival: Arrival) -> float:
@@ -95,7 +94,7 @@
         check()
 
 
-def test_a_planted_use_of_low_coverage_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_bug_of_using_low_coverage_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     from tests.fleet.overload.test_core import test_totals_with_low_coverage_change_no_threshold as check
 
     monkeypatch.setattr(core, "confidence", lambda now, totals, settings: 1.0 if totals else 0.0)
--- a/tests/limits/fair/test_fleet.py
+++ b/tests/limits/fair/test_fleet.py
@@ -16,14 +16,14 @@
 USUAL = tuple(Tenant(f"usual {n}", ALL, clients=4) for n in range(4))
 
 
-def news(random: Random) -> int | None:
+def report_age(random: Random) -> int | None:
     return None if random.random() < 0.2 else random.randrange(200 * MS, 800 * MS)
 
 
 def play(tenants: tuple[Tenant, ...], scheduler: type = FairQueueing, kill: tuple[int, int] | None = None,
-         heard: bool = True) -> Result:  # fmt: skip
+         with_reports: bool = True) -> Result:  # fmt: skip
     plan = Plan(tenants, scheduler, SETTINGS, brokers=5, holders=10, length=20 * SECOND,
-                report_age=news if heard else None, kill=kill)  # fmt: skip
+                report_age=report_age if with_reports else None, kill=kill)  # fmt: skip
     simulation = Simulation(plan, 3)
     found = simulation.run()
     for one in simulation.schedulers:
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("at", [ALL, (0,)])
 def test_a_tenant_that_asks_for_a_hundred_times_its_share_gains_nothing(at: tuple[int, ...]) -> None:
-    """At all brokers or at one; a quiet tenant hardly waits. First-come and even shares are less fair."""
+    """At all brokers or at one; a tenant with little load hardly waits. Other schedulers are less fair."""
     tenants = (*USUAL, Tenant("busy", at, clients=400), Tenant("quiet", ALL, rate=2))
     found = play(tenants)
     assert jain(found, tenants) > 0.95 and found.idle_share() < 0.02
@@ -55,13 +55,15 @@
 def test_a_tenant_at_one_broker_gets_its_share_with_remote_usage_and_not_without() -> None:
     tenants = (*USUAL[:3], *(Tenant(f"at {n}", (n,), clients=40) for n in range(3)))
     assert jain(play(tenants), tenants) > 0.95
-    assert jain(play(tenants, heard=False), tenants) < 0.8
+    assert jain(play(tenants, with_reports=False), tenants) < 0.8
 
 
 def test_weights_hold_over_all_brokers() -> None:
     settings = FairSettings(slots=10, quick_slots=2, weights={"heavy": 3.0})
     tenants = (*USUAL[:2], Tenant("heavy", ALL, clients=8, weight=3.0))
-    plan = Plan(tenants, FairQueueing, settings, brokers=5, holders=10, length=20 * SECOND, report_age=news)
+    plan = Plan(
+        tenants, FairQueueing, settings, brokers=5, holders=10, length=20 * SECOND, report_age=report_age
+    )
     found = Simulation(plan, 3).run()
     assert jain(found, tenants) > 0.95
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The command line as a process: the demo's contract, a broker's stop, a short scripted day and its audit."""
+"""The command line as a process: the demo's output, stopping a broker, a short scripted day and its audit."""
 
 import json
 import os
@@ -46,7 +46,7 @@
     return found
 
 
-def test_demo_serves_its_contract_and_leaves_no_child() -> None:
+def test_demo_serves_its_endpoints_and_leaves_no_child_process() -> None:
     words = [*COMMAND, "demo", "--seed", "4"]
     with subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None and process.stderr is not None
@@ -82,7 +82,7 @@
     assert not [pid for pid in own if Path(f"/proc/{pid}").exists()]
 
 
-def test_demo_on_a_taken_port_says_so_and_leaves_no_child() -> None:
+def test_demo_on_a_used_port_fails_and_leaves_no_child_process() -> None:
     import socket
 
     with socket.create_server(("127.0.0.1", 0)) as taken:
@@ -105,21 +105,21 @@
         (["day", str(ROOT / "pyproject.toml")], "pyproject.toml:8: not YAML"),
     ],
 )
-def test_bad_input_ends_with_a_clear_line(words: list[str], wanted: str) -> None:
+def test_invalid_input_ends_with_a_clear_message(words: list[str], wanted: str) -> None:
     run = subprocess.run([*COMMAND, *words], capture_output=True, text=True, timeout=30)
     assert run.returncode in (1, 2) and wanted in run.stderr and "Traceback" not in run.stderr
 
 
-def test_short_bad_day_breaks_no_rule_and_the_record_can_be_judged_again(tmp_path: Path) -> None:
+def test_short_day_with_faults_breaks_no_rule_and_its_record_can_be_audited_again(tmp_path: Path) -> None:
     record = tmp_path / "day"
     result = run_day(DayScript.model_validate(SHORT_DAY), record)
     assert result.report.findings == []
     assert result.asked > 200 and sum(result.report.ended.values()) == result.asked
-    # A broker that refuses all would break no rule: most queries must be served, too.
+    # A broker that refuses everything breaks no rule, so most queries must also be served.
     assert result.good > 0.5
     run = subprocess.run([*COMMAND, "audit", str(record)], capture_output=True, text=True)
     assert run.returncode == 0 and "no rule broken" in run.stdout
-    # The same record with one answer taken out is rejected.
+    # The audit rejects the same record without one of its answers.
     shutil.copytree(record, tmp_path / "doctored")
     path = tmp_path / "doctored" / "clients.jsonl"
     lines = path.read_bytes().splitlines(keepends=True)
@@ -129,15 +129,15 @@
     assert run.returncode == 1 and "rule 1: clients.jsonl:" in run.stdout
 
 
-def test_scripts_in_examples_are_sound() -> None:
+def test_example_scripts_are_valid() -> None:
     scripts = list((ROOT / "examples").glob("*day*.yaml"))
     assert scripts
     for path in scripts:
         assert load(path, DayScript).troubles
 
 
-def test_stopped_process_answers_each_query_once_when_it_goes_on(tmp_path: Path) -> None:
-    """SIGSTOP for 2 s in the middle of queries: on real processes, what the virtual clock shows elsewhere."""
+def test_stopped_process_answers_each_query_once_after_it_continues(tmp_path: Path) -> None:
+    """SIGSTOP for 2 s during queries, on real processes; other tests cover it in virtual time."""
     words = [*COMMAND, "demo", "--seed", "4"]
     with subprocess.Popen(words, stdout=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None
--- a/tests/test_documented.py
+++ b/tests/test_documented.py
@@ -11,7 +11,6 @@
 EXCEPTED = {
     "benchmarks/*.py",
     "quincepath/broker/service/*.py",
-    "quincepath/lab/*.py",
     "quincepath/lab/fleet/*.py",
     "quincepath/lab/fleet/run/*.py",
     "tests/**",
