--- a/benchmarks/capacity/quality.py
+++ b/benchmarks/capacity/quality.py
@@ -91,17 +91,17 @@
             MODULE: Aggregator,
         }
         self._world = Emulation(_script(brokers), seed, make_module=makers[way])
-        tally = self._world.run()
-        asked = sum(tally.asked.values())
-        self.p99_seconds = float(np.percentile(np.array(tally.took), 99))
-        self.in_time = sum(tally.good.values()) / max(asked, 1)
+        statistics = self._world.run()
+        asked = sum(statistics.asked.values())
+        self.p99_seconds = float(np.percentile(np.array(statistics.latencies_s), 99))
+        self.in_time = sum(statistics.good.values()) / max(asked, 1)
         self._world = None  # its record is large
 
     def _queue(self, node: NodeId) -> float:
         """Jobs that the node has now, from all brokers."""
         assert self._world is not None
         fleet = self._world.fleet
-        return float(fleet.servers[fleet.names[node]].held())
+        return float(fleet.servers[fleet.names[node]].job_count())
 
 
 Plays = dict[str, dict[int, list[Play]]]  # by way and size, one a seed
--- a/tests/test_fleet_drains.py
+++ b/tests/test_fleet_drains.py
@@ -17,7 +17,7 @@
 from quincepath.lab.demo import demo_config, make_cluster
 from quincepath.lab.process import ChildProcess
 from quincepath.standins.record import Got, read
-from tests.test_config import SOUND
+from tests.test_config import VALID_CONFIG
 from tests.test_fleet_processes import FLEET, ask, free_ports, phases, until
 
 MS = 1_000_000
@@ -199,7 +199,7 @@
 )
 def test_invalid_voters_and_limits_are_refused_with_their_path(more: str, text: str) -> None:
     with pytest.raises(ConfigError) as error:
-        parse(SOUND + FLEET + more, Config, "f.yaml")
+        parse(VALID_CONFIG + FLEET + more, Config, "f.yaml")
     assert text in str(error.value)
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -29,7 +29,7 @@
 from quincepath.lab.fleet.verdict import EXCUSED_FOR, SECOND, Watcher
 from quincepath.lab.process import ChildProcess
 from quincepath.standins.record import Halt, Mark, read
-from tests.test_config import SOUND
+from tests.test_config import VALID_CONFIG
 
 HALVES = [["b0", "b1", "b2"], ["b3", "b4", "b5", "b6"]]
 MAX_WAIT_S = 60.0  # for a condition
@@ -232,8 +232,8 @@
         "from quincepath.config.load import parse\n"
         "from quincepath.config.schema import Config\n"
         "from quincepath.net.loop import Loop\n"
-        "from tests.test_config import SOUND\n"
-        "broker = Broker(parse(SOUND, Config, 'f'), Loop())\n"
+        "from tests.test_config import VALID_CONFIG\n"
+        "broker = Broker(parse(VALID_CONFIG, Config, 'f'), Loop())\n"
         "off = ('quincepath.fleet', 'quincepath.store')\n"
         "print(broker.fleet, [m for m in sys.modules if m.startswith(off)])"
     )
@@ -254,7 +254,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "message"),
     [
-        ("name: b2", "name: b1", "'b1' stands twice"),
+        ("name: b2", "name: b1", "'b1' is listed twice"),
         ("127.0.0.1:7002", "127.0.0.1:7001", "share 127.0.0.1:7001"),
         ("127.0.0.1:7002", "example.org:7002", "expected ADDRESS:PORT with an IPv4 address"),
         ("127.0.0.1:7002", "127.0.0.1:70000", "expected ADDRESS:PORT"),
@@ -268,16 +268,16 @@
 )
 def test_invalid_fleet_section_is_rejected_with_place_and_value(old: str, new: str, message: str) -> None:
     with pytest.raises(ConfigError) as error:
-        parse(SOUND + FLEET.replace(old, new), Config, "f.yaml")
+        parse(VALID_CONFIG + FLEET.replace(old, new), Config, "f.yaml")
     assert message in str(error.value) and "f.yaml:" in str(error.value)
 
 
 def test_configuration_digest_ignores_the_identity_of_the_broker() -> None:
-    one = parse(SOUND + FLEET, Config, "f")
+    one = parse(VALID_CONFIG + FLEET, Config, "f")
     other = parse(
-        SOUND + FLEET.replace("b0", "b9") + "broker: {number: 2, brokers: 4, zone: x}\n", Config, "f"
+        VALID_CONFIG + FLEET.replace("b0", "b9") + "broker: {number: 2, brokers: 4, zone: x}\n", Config, "f"
     )
-    more = parse(SOUND + FLEET + "broker: {number: 1, brokers: 4}\n", Config, "f")
-    wider = parse(SOUND + FLEET + "broker: {number: 1, brokers: 5}\n", Config, "f")
+    more = parse(VALID_CONFIG + FLEET + "broker: {number: 1, brokers: 4}\n", Config, "f")
+    wider = parse(VALID_CONFIG + FLEET + "broker: {number: 1, brokers: 5}\n", Config, "f")
     assert config_digest(other) == config_digest(more)
     assert len({config_digest(config) for config in (one, more, wider)}) == 3
