--- a/quincepath/lab/emulator/process_troubles.py
+++ b/quincepath/lab/emulator/process_troubles.py
@@ -19,8 +19,8 @@
 from quincepath.lab.emulator.world import RESTART_DELAY_NS
 from quincepath.lab.load import Client
 from quincepath.net.loop import Loop
-from quincepath.standins.chance import Source
 from quincepath.standins.leaf import Faults
+from quincepath.standins.random_streams import RandomStream
 from quincepath.standins.record import Halt, Mark, Writer
 
 MS = 1_000_000
@@ -72,14 +72,14 @@
         self.down: set[str] = set()
         self.last_fault_id = 0
         for place, entry in enumerate(self.script.troubles):
-            draw = Source(run.seed, f"trouble {place}")
+            draw = RandomStream(run.seed, f"trouble {place}")
             self.loop.call_at(run.begin + entry.at, self._begin(entry, draw))
         self._check_holders()
 
-    def _begin(self, entry: TroubleEntry, draw: Source) -> Callable[[], None]:
+    def _begin(self, entry: TroubleEntry, draw: RandomStream) -> Callable[[], None]:
         def start() -> None:
             self.mark(f"begins: {entry.kind}")
-            act: Callable[[TroubleEntry, Source], None] = getattr(self, f"_{entry.kind}")
+            act: Callable[[TroubleEntry, RandomStream], None] = getattr(self, f"_{entry.kind}")
             act(entry, draw)
 
         return start
@@ -90,10 +90,10 @@
 
     # --- helpers ---
 
-    def _pick_holders(self, entry: TroubleEntry, draw: Source) -> list[HolderProcess]:
+    def _pick_holders(self, entry: TroubleEntry, draw: RandomStream) -> list[HolderProcess]:
         return [self.run.by_name[name] for name in draw.pick(list(self.run.by_name), entry.holders)]
 
-    def _pick_brokers(self, entry: TroubleEntry, draw: Source) -> list[int]:
+    def _pick_brokers(self, entry: TroubleEntry, draw: RandomStream) -> list[int]:
         names = [f"broker{broker.number}" for broker in self.run.brokers]
         return [int(name[6:]) for name in draw.pick(names, entry.brokers)]
 
@@ -128,7 +128,7 @@
         finally:
             connection.close()
 
-    def _apply_to_holders(self, entry: TroubleEntry, draw: Source, faults: Faults) -> None:
+    def _apply_to_holders(self, entry: TroubleEntry, draw: RandomStream, faults: Faults) -> None:
         for holder in self._pick_holders(entry, draw):
             self._apply_for(holder, entry.last, faults)
 
@@ -140,43 +140,43 @@
 
     # --- holders ---
 
-    def _hang(self, entry: TroubleEntry, draw: Source) -> None:
+    def _hang(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._apply_to_holders(entry, draw, Faults(fault="hang"))
 
-    def _slow(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slow(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._apply_to_holders(entry, draw, Faults(slow=entry.times))
 
-    def _slowdown(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slowdown(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self.run.by_name.values():
             self._apply_for(holder, entry.last, Faults(slow=entry.times))
 
-    def _errors(self, entry: TroubleEntry, draw: Source) -> None:
+    def _errors(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._apply_to_holders(entry, draw, Faults(fault="errors", share=entry.share))
 
-    def _class_errors(self, entry: TroubleEntry, draw: Source) -> None:
+    def _class_errors(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._apply_to_holders(
             entry, draw, Faults(fault="errors", share=entry.share, metric=self._metric_name(entry))
         )
 
-    def _lost_answers(self, entry: TroubleEntry, draw: Source) -> None:
+    def _lost_answers(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self._apply_to_holders(entry, draw, Faults(lose=entry.share))
 
-    def _slow_handshakes(self, entry: TroubleEntry, draw: Source) -> None:
+    def _slow_handshakes(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """The system takes connections by itself: what is slow is that the holder begins to read them."""
         self._apply_to_holders(entry, draw, Faults(handshake_ms=entry.pause / MS))
 
-    def _one_sided(self, entry: TroubleEntry, draw: Source) -> None:
+    def _one_sided(self, entry: TroubleEntry, draw: RandomStream) -> None:
         numbers = self._pick_brokers(entry, draw)
         self._apply_to_holders(entry, draw, Faults(deaf_to=numbers))
 
-    def _pauses(self, entry: TroubleEntry, draw: Source) -> None:
+    def _pauses(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             at = int(draw() * entry.every)
             while at < entry.last:
                 self._apply_later(at, holder, entry.pause, Faults(paused=True))
                 at += int(entry.every * draw.between(0.8, 1.2))
 
-    def _preemption(self, entry: TroubleEntry, draw: Source) -> None:
+    def _preemption(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             at = int(draw() * entry.every / 2)
             while at < entry.last:
@@ -186,31 +186,31 @@
     def _apply_later(self, wait: int, holder: HolderProcess, last: int, faults: Faults) -> None:
         self.loop.call_in(wait, lambda: self._apply_for(holder, last, faults))
 
-    def _ageing(self, entry: TroubleEntry, draw: Source) -> None:
+    def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             for step in range(AGEING_STEPS):
                 slower = Faults(slow=entry.times ** (1 / AGEING_STEPS))
                 self._apply_later(entry.last * step // AGEING_STEPS, holder, 0, slower)
             self.loop.call_in(entry.last, lambda h=holder: self._stop_for(h, entry.every))  # type: ignore[misc]
 
-    def _kill(self, entry: TroubleEntry, draw: Source) -> None:
+    def _kill(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             self._stop_for(holder, entry.last)
 
     _restart = _kill
 
-    def _silence(self, entry: TroubleEntry, draw: Source) -> None:
+    def _silence(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             self._stop_for(holder, entry.last, silent=True)
 
-    def _flapping(self, entry: TroubleEntry, draw: Source) -> None:
+    def _flapping(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             at = int(draw() * entry.every / 2)
             while at < entry.last:
                 self.loop.call_in(at, lambda h=holder: self._stop_for(h, entry.every // 3))  # type: ignore[misc]
                 at += entry.every
 
-    def _zone_loss(self, entry: TroubleEntry, draw: Source) -> None:
+    def _zone_loss(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self.run.by_name.values():
             if holder.zone == entry.zone:
                 self._stop_for(holder, entry.last, silent=True)
@@ -219,7 +219,7 @@
                 if broker.zone == entry.zone:
                     self._kill_broker(broker.number, entry.last)
 
-    def _drain(self, entry: TroubleEntry, draw: Source) -> None:
+    def _drain(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
             holder.phase = "draining"
             self.run.roster_files.publish(holder.name)
@@ -230,7 +230,7 @@
             holder.phase = "ready"
             self.run.roster_files.publish(holder.name)
 
-    def _deploy(self, entry: TroubleEntry, draw: Source) -> None:
+    def _deploy(self, entry: TroubleEntry, draw: RandomStream) -> None:
         chosen = self._pick_holders(entry, draw)
         for wave in range(self.script.fleet.replicas):
             for holder in chosen:
@@ -289,7 +289,7 @@
 
     # --- brokers and their lists ---
 
-    def _broker_stall(self, entry: TroubleEntry, draw: Source) -> None:
+    def _broker_stall(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._pick_brokers(entry, draw):
             broker, now = self.run.brokers[number], time.monotonic_ns()
             if broker.alive:
@@ -297,7 +297,7 @@
                 broker.signal(signal.SIGSTOP)
                 self.loop.call_in(entry.last, lambda b=broker: b.signal(signal.SIGCONT))  # type: ignore[misc]
 
-    def _broker_crash(self, entry: TroubleEntry, draw: Source) -> None:
+    def _broker_crash(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._pick_brokers(entry, draw):
             self._kill_broker(number, entry.last)
 
@@ -332,7 +332,7 @@
             broker.halted = None
             self.run.writer.write(Halt(since, number, time.monotonic_ns(), True))
 
-    def _list_late(self, entry: TroubleEntry, draw: Source) -> None:
+    def _list_late(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._pick_brokers(entry, draw):
             roster = self.run.roster_files.rosters[number]
             roster.lag_factor *= entry.times
@@ -345,14 +345,14 @@
 
         return restore
 
-    def _list_frozen(self, entry: TroubleEntry, draw: Source) -> None:
+    def _list_frozen(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._pick_brokers(entry, draw):
             self.run.roster_files.freeze(number)
             self.loop.call_in(entry.last, lambda n=number: self.run.roster_files.unfreeze(n))  # type: ignore[misc]
 
     # --- clients ---
 
-    def _burst(self, entry: TroubleEntry, draw: Source) -> None:
+    def _burst(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self.run.rate_factor *= entry.times
 
         def end() -> None:
@@ -360,7 +360,7 @@
 
         self.loop.call_in(entry.last, end)
 
-    def _impatience(self, entry: TroubleEntry, draw: Source) -> None:
+    def _impatience(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self.run.patience_divisor = entry.times
 
         def end() -> None:
@@ -368,7 +368,7 @@
 
         self.loop.call_in(entry.last, end)
 
-    def _retry_storm(self, entry: TroubleEntry, draw: Source) -> None:
+    def _retry_storm(self, entry: TroubleEntry, draw: RandomStream) -> None:
         self.run.immediate_retries = True
 
         def end() -> None:
@@ -376,7 +376,7 @@
 
         self.loop.call_in(entry.last, end)
 
-    def _heavy_tail(self, entry: TroubleEntry, draw: Source) -> None:
+    def _heavy_tail(self, entry: TroubleEntry, draw: RandomStream) -> None:
         kind, heavy = self._class_index(entry), self.run.heavy_factors
         heavy[kind] = (entry.share, entry.times)
 
@@ -385,7 +385,7 @@
 
         self.loop.call_in(entry.last, end)
 
-    def _poison(self, entry: TroubleEntry, draw: Source) -> None:
+    def _poison(self, entry: TroubleEntry, draw: RandomStream) -> None:
         kind, poison = self._class_index(entry), self.run.poison_shares
         poison[kind] = entry.share
 
--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -18,6 +18,7 @@
 from quincepath.lab.cluster import Cluster, HolderProcess
 from quincepath.lab.emulator.process_troubles import ProcessTroubleInjector
 from quincepath.lab.emulator.processes import BrokerProcess, RosterFiles
+from quincepath.lab.emulator.chance import RandomStream, draw_query, machines
 from quincepath.lab.emulator.script import Script
 from quincepath.lab.emulator.workload import Source, draw_machines, draw_query
 from quincepath.lab.load import Client, QueryPlan, Seen
@@ -48,13 +49,13 @@
         self.brokers = [BrokerProcess(n, zones[n % len(zones)], folder) for n in range(script.brokers)]
         self.roster_files: RosterFiles
         self.clients: list[Client] = []
-        self.query_draws = Source(seed, "queries")
-        self.client_draws = Source(seed, "clients")
-        self.burst_draws = Source(seed, "burst")
-        self.tell_draws = Source(seed, "tell")
+        self.query_draws = RandomStream(seed, "queries")
+        self.client_draws = RandomStream(seed, "clients")
+        self.burst_draws = RandomStream(seed, "burst")
+        self.tell_draws = RandomStream(seed, "tell")
         self.heavy_factors: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
         self.poison_shares: dict[int, float] = {}  # class: share of queries
-        self.heavy_draws, self.poison_draws = Source(seed, "heavy"), Source(seed, "poison")
+        self.heavy_draws, self.poison_draws = RandomStream(seed, "heavy"), RandomStream(seed, "poison")
         self.unreachable_tries = 0
         self.all_ended = False  # whether all queries had their ends when the run did
         self.max_lateness = 0  # ns by which this process fell behind its schedule
@@ -70,7 +71,7 @@
     def _holders(self) -> list[HolderProcess]:
         fleet = self.script.fleet
         works = ",".join(f"class_{n}={entry.work / MS}" for n, entry in enumerate(self.script.classes))
-        kinds = draw_machines(fleet, Source(self.seed, "kinds"))
+        kinds = draw_machines(fleet, RandomStream(self.seed, "kinds"))
         options = [
             "--works",
             works,
@@ -156,7 +157,7 @@
         """The figures of the day; ``report`` is the audit's."""
         try:
             self.cluster.start()
-            names, lag = list(self.by_name), Source(self.seed, "list")
+            names, lag = list(self.by_name), RandomStream(self.seed, "list")
             low, high = self.script.discovery.lag
             self.roster_files = RosterFiles(
                 self.loop,
@@ -193,8 +194,8 @@
         return {
             "good": round(self.good / max(self.asked, 1), 4),
             "tries_a_query": round(self.tries / max(self.asked, 1), 4),
-            "attempts_a_part": round(report.attempts_a_part(), 4),
-            "answers": report.ended,
+            "attempts_a_part": round(report.attempts_per_part(), 4),
+            "answers": report.outcomes,
             "unreachable": self.unreachable_tries,
             "late_most_s": round(self.max_lateness / SECOND, 3),
             # Rules are judged by what clients saw in time: a machine that cannot keep up proves nothing.
@@ -249,7 +250,7 @@
     # --- clients ---
 
     def _schedule(self) -> None:
-        draw = Source(self.seed, "arrivals").generator
+        draw = RandomStream(self.seed, "arrivals").generator
         self.begin = self.loop.clock()
         at, times = float(100 * MS), []
         while True:
--- a/quincepath/lab/emulator/workload.py
+++ b/quincepath/lab/emulator/workload.py
@@ -5,12 +5,12 @@
 import numpy as np
 
 from quincepath.lab.emulator.script import FleetEntry, MachineKind, TrafficClass
-from quincepath.standins.chance import Source
+from quincepath.standins.random_streams import RandomStream
 
-__all__ = ["DrawnQuery", "Source", "draw_query", "draw_machines", "part_work"]
+__all__ = ["DrawnQuery", "RandomStream", "draw_query", "draw_machines", "part_work"]
 
 
-def draw_machines(fleet: FleetEntry, draw: Source) -> dict[str, MachineKind]:
+def draw_machines(fleet: FleetEntry, draw: RandomStream) -> dict[str, MachineKind]:
     """The kind of machine of each holder, by the kinds' shares."""
     total = sum(kind.share for kind in fleet.kinds)
     found = {}
@@ -35,7 +35,7 @@
     shards: list[int]
 
 
-def draw_query(draw: Source, classes: list[TrafficClass], shards: int) -> DrawnQuery:
+def draw_query(draw: RandomStream, classes: list[TrafficClass], shards: int) -> DrawnQuery:
     """A query by the classes' shares, at shards in a row."""
     left, kind = draw() * sum(entry.share for entry in classes), 0
     while left >= classes[kind].share and kind < len(classes) - 1:
--- a/quincepath/lab/emulator/world/holders.py
+++ b/quincepath/lab/emulator/world/holders.py
@@ -71,7 +71,7 @@
             self._crash(server, State.DOWN)
             self.call_after(RESTART_DELAY_NS, lambda: self.restart(server))
             return
-        due = server.next_end()
+        due = server.next_completion()
         if due is None or self._scheduled_checks.get(server.name, 1 << 62) <= due:
             return
         self._scheduled_checks[server.name] = due
@@ -90,7 +90,7 @@
             if job.cancelled:
                 continue
             self._record_reply(server, call, 200, True)
-            if server.troubles.lose and server.draw() < server.troubles.lose:
+            if server.faults.lose and server.draw() < server.faults.lose:
                 continue
             self._send_back(
                 broker, server, generation, self._delay_to(broker, server), self._ok_reply(broker, call)
@@ -141,6 +141,6 @@
             return
         server.restart(self.now)
         self._down.discard(server.name)
-        kind = server.kind
+        kind = server.config
         self.sink(Up(self.now, server.name, kind.cold, kind.ramp, kind.cores * kind.speed * 1e9))
         self.publish(server.name, Phase.READY, self.now)
--- a/quincepath/lab/emulator/world/sending.py
+++ b/quincepath/lab/emulator/world/sending.py
@@ -63,13 +63,13 @@
             if server.state is State.SILENT:
                 return
             back = self._delay_to(broker, server)
-            if server.state is not State.UP or server.connections >= server.kind.table:
+            if server.state is not State.UP or server.connections >= server.config.max_connections:
                 self._send_back(broker, server, generation, back, on_refused)
                 return
             server.connections += 1
             call.connection.counted = True
             call.connection.incarnation = server.incarnation
-            self._send_back(broker, server, generation, back + server.troubles.handshake, on_connected)
+            self._send_back(broker, server, generation, back + server.faults.handshake, on_connected)
 
         self.call_after(
             self.script.limits.connect_timeout, lambda: self._run_timer(broker, generation, on_dial_timeout)
