--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -18,9 +18,8 @@
 from quincepath.lab.cluster import Cluster, HolderProcess
 from quincepath.lab.emulator.process_troubles import ProcessTroubleInjector
 from quincepath.lab.emulator.processes import BrokerProcess, RosterFiles
-from quincepath.lab.emulator.chance import RandomStream, draw_query, machines
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.workload import Source, draw_machines, draw_query
+from quincepath.lab.emulator.workload import RandomStream, draw_machines, draw_query
 from quincepath.lab.load import Client, QueryPlan, Seen
 from quincepath.net.loop import Loop
 from quincepath.standins.data import END_MS, STEP_MS
--- a/quincepath/lab/emulator/world/state.py
+++ b/quincepath/lab/emulator/world/state.py
@@ -8,10 +8,9 @@
 import numpy as np
 
 from quincepath.interface import Effect, Entry, Limits, Phase, QueryClass, Rules, Settings
-from quincepath.lab.emulator.chance import RandomStream, machines
 from quincepath.lab.emulator.script import Script, TrafficClass
 from quincepath.lab.emulator.server import Fleet, Server, ServerConfig
-from quincepath.lab.emulator.workload import Source, draw_machines
+from quincepath.lab.emulator.workload import RandomStream, draw_machines
 from quincepath.lab.emulator.world.entities import Broker
 from quincepath.standins.record import Bounds, ClassRules, Head, Line, Mark
 
