--- a/quincepath/lab/emulator/__init__.py
+++ b/quincepath/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory in virtual time: modelled holders, network, list and clients around real drivers."""
+"""Emulated holders, network, discovery and clients around the real broker drivers."""
--- a/quincepath/lab/emulator/fault_search.py
+++ b/quincepath/lab/emulator/fault_search.py
@@ -1,4 +1,4 @@
-"""Fault search: scripts drawn from ranges, the worst kept and cut down to the troubles that matter. Pure."""
+"""Random fault search: draws scripts from ranges and minimizes the troubles of the worst ones. Pure."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -11,13 +11,14 @@
 from quincepath.lab.emulator.world import ContractViolation
 
 TROUBLE_KINDS = sorted(get_args(TroubleKind))
-MIN_KEPT_LOSS = 0.8  # a cut script must lose so much of what the whole one loses, to count as the same find
-LENGTH_S = 14  # seconds of a drawn day
+# Share of the full script's badness that a smaller script must reach to count as the same failure.
+MIN_KEPT_LOSS = 0.8
+LENGTH_S = 14  # of a drawn run
 
 
 @dataclass(slots=True, frozen=True)
 class SearchResult:
-    """A drawn day: its number, script and outcome; ``contract`` says where the program itself failed."""
+    """One drawn run; ``contract`` describes a contract violation, if the program itself failed."""
 
     number: int
     script: Script
@@ -26,23 +27,23 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a rule or a contract broke, or a holder fell over."""
+        """Whether an audit rule or a contract was violated, or a holder collapsed under load."""
         return self.outcome is None or self.outcome.broken
 
     @property
     def good(self) -> float:
-        """Share served whole in time; 0 where the program failed."""
+        """Share of queries answered whole within the target; 0 after a contract violation."""
         return 0.0 if self.outcome is None else self.outcome.good
 
     def badness(self) -> float:
-        """What is lost; a broken rule or a fallen holder outweighs all but a broken contract."""
+        """Loss of the run: a rule violation or collapsed holder outweighs all but a contract violation."""
         if self.outcome is None:
             return 1000.0
         return 10.0 * len(self.outcome.report.findings) + 10.0 * len(self.outcome.fell) + 1 - self.good
 
 
 def draw_script(number: int, large: bool = False) -> Script:
-    """A day by its number: fleet, traffic and one to four troubles, overlapping as they fall."""
+    """Draw a script by its number: fleet, traffic and one to four troubles, which may overlap."""
     random = np.random.default_rng([91, number])
 
     def between(low: float, high: float) -> float:
@@ -50,7 +51,7 @@
 
     sets, replicas = (int(random.integers(40, 56)), 2) if large else (int(random.integers(2, 6)), 2)
     brokers = int(random.integers(23, 33)) if large else int(random.integers(2, 9))
-    load = between(0.25, 0.6)  # of the cores, when all are sound
+    load = between(0.25, 0.6)  # share of the cores, when all holders are healthy
     work_ms = between(10, 40)
     shards = sets * 2
     parts = min(shards, 12 if large else 5)
@@ -120,7 +121,7 @@
 
 
 def run_script(number: int, script: Script, run: Callable[[Script], Outcome] = rehearse) -> SearchResult:
-    """Run one day. A broken contract is a find like any other: the search goes on."""
+    """Run one script. A contract violation is a result like any other: the search continues."""
     try:
         return SearchResult(number, script, run(script))
     except ContractViolation as error:
@@ -128,13 +129,13 @@
 
 
 def search_faults(numbers: Iterator[int] | range, large: bool = False) -> Iterator[SearchResult]:
-    """Run drawn days, one after the other."""
+    """Draw and run scripts one after the other."""
     for number in numbers:
         yield run_script(number, draw_script(number, large))
 
 
 def minimize(result: SearchResult, run: Callable[[Script], Outcome] = rehearse) -> SearchResult:
-    """Leave out troubles, one at a time, as long as what is left loses nearly as much."""
+    """Remove troubles one at a time as long as the remaining script is nearly as bad."""
     best = result
     improved = True
     while improved and len(best.script.troubles) > 1:
--- a/quincepath/lab/emulator/from_day.py
+++ b/quincepath/lab/emulator/from_day.py
@@ -1,7 +1,8 @@
-"""A drawn day of the operators' bench as an incident script: its size, traffic and kinds of trouble.
+"""Converts a day file of the operators' bench into an incident script: size, traffic and troubles.
 
-Not a copy of the bench's model: kinds, times, places and the strengths whose meaning is plain are taken over;
-what has no counterpart here is named, never dropped silently. Times in a day file are microseconds.
+The bench's model is not reproduced: kinds, times, places and the strengths whose meaning is unambiguous are
+converted; what has no counterpart here is listed in the notes, never dropped silently. Times in a day file
+are microseconds.
 """
 
 import json
@@ -33,13 +34,13 @@
     "vanish": "silence",
     "zone_loss": "zone_loss",
 }
-KINDS_WITH_FACTOR = {"slow", "ageing", "burst"}  # whose size is how many times as slow or as much
-KINDS_WITH_SHARE = {"neighbour", "class_fail", "fast_errors"}  # whose size is a share
+KINDS_WITH_FACTOR = {"slow", "ageing", "burst"}  # their size is a factor of slowness or amount
+KINDS_WITH_SHARE = {"neighbour", "class_fail", "fast_errors"}  # their size is a share
 
 
 @dataclass(slots=True, frozen=True)
 class ConvertedDay:
-    """The script, and a line for each thing that was left out or taken over in part."""
+    """The script, and a note for each thing that was left out or converted in part."""
 
     script: Script
     notes: list[str]
@@ -50,7 +51,7 @@
 
 
 def _holders(day: dict[str, Any], replicas: int) -> list[str]:
-    """The script's name of each server of the day: by cell, then by place in it; '' where it has none."""
+    """Holder name of each server of the day file: by cell, then by index in it; '' if the script has none."""
     seen: dict[int, int] = {}
     names = []
     for server in day["servers"]:
@@ -87,7 +88,7 @@
         found["share"] = min(size, 1.0)
         found["times"] = max(extra, 1.0)
     elif size:
-        notes.append(f"{entry['kind']} at {entry['at'] / 1e6:.1f} s: size {size:.3g} is not taken over")
+        notes.append(f"{entry['kind']} at {entry['at'] / 1e6:.1f} s: size {size:.3g} is not converted")
     if entry["kind"] == "neighbour" and extra:
         found["every"] = f"{extra:.3f}s"
     if kind in ("class_errors", "poison", "heavy_tail"):
@@ -106,14 +107,14 @@
     try:
         return _convert(day, path)
     except (KeyError, IndexError, TypeError) as error:
-        raise ConfigError([f"{path}: not a drawn day of the bench: {type(error).__name__} {error}"]) from None
+        raise ConfigError([f"{path}: not a day file of the bench: {type(error).__name__} {error}"]) from None
 
 
 def _convert(day: dict[str, Any], path: Path) -> ConvertedDay:
     notes: list[str] = []
     fam, cells = day["fam"], day["fam"]["cells"]
     if day.get("family") != "fanout" or fam.get("reach", 1) != 1:
-        raise ConfigError([f"{path}: expected a day of a fan-out service whose shards have one cell each"])
+        raise ConfigError([f"{path}: expected the day of a fan-out service whose shards have one cell each"])
     replicas = max(round(len(day["servers"]) / cells), 1)
     names = _holders(day, replicas)
     if missing := len(names) - sum(bool(name) for name in names):
--- a/quincepath/lab/emulator/process_troubles.py
+++ b/quincepath/lab/emulator/process_troubles.py
@@ -1,6 +1,6 @@
-"""What each kind of trouble does to processes on loopback: the counterpart of ``troubles`` in virtual time.
+"""Applies each kind of trouble to processes on loopback: the counterpart of ``troubles`` in virtual time.
 
-Troubles of one holder may overlap: what is in force at it is the sum of those that have begun and not ended.
+Troubles of one holder may overlap: its faults combine all troubles that have begun and not ended.
 """
 
 import signal
@@ -24,13 +24,12 @@
 from quincepath.standins.record import Halt, Mark, Writer
 
 MS = 1_000_000
-POLL_INTERVAL_NS = (
-    50 * MS
-)  # between looks for holders that ended by themselves, and for processes that come up
+# Between checks for holders that exited by themselves and for processes that are starting.
+POLL_INTERVAL_NS = 50 * MS
 
 
 def combine_faults(active: list[Faults]) -> Faults:
-    """The sum of faults: times multiply, the larger share counts, the latest fault of a call is met."""
+    """Combine faults: factors multiply, the larger share wins, and so does the latest fault of calls."""
     combined = Faults()
     for one in active:
         combined.slow *= one.slow
@@ -44,7 +43,7 @@
 
 
 class TroubleTarget(Protocol):
-    """What troubles act on: the run's processes, lists and clients, and how clients ask (``SocketRun``)."""
+    """What troubles act on: processes, roster files, clients and client behaviour (``SocketRun``)."""
 
     script: Script
     seed: int
@@ -55,24 +54,24 @@
     brokers: list[BrokerProcess]
     clients: list[Client]
     roster_files: RosterFiles
-    restarted: set[str]  # holders that were started again
-    rate_factor: float  # times the usual rate of queries
-    patience_divisor: float  # clients have so many times less patience
-    immediate_retries: bool  # whether clients come back at once
-    heavy_factors: dict[int, tuple[float, float]]  # class: share of queries, times the work
-    poison_shares: dict[int, float]  # class: share of queries
+    restarted: set[str]  # holders that were relaunched
+    rate_factor: float  # multiplies the usual query rate
+    patience_divisor: float  # divides the patience of clients
+    immediate_retries: bool  # whether clients retry without a delay
+    heavy_factors: dict[int, tuple[float, float]]  # by class: share of queries, factor of work
+    poison_shares: dict[int, float]  # by class: share of queries
 
 
 class ProcessTroubleInjector:
-    """Puts a script's troubles into a run on sockets, at their times on its loop."""
+    """Injects a script's troubles into a run on sockets, at their times on its loop."""
 
     def __init__(self, run: TroubleTarget) -> None:
         self.run, self.loop, self.script = run, run.loop, run.script
         self.active_faults: dict[str, dict[int, Faults]] = defaultdict(dict)
         self.down: set[str] = set()
         self.last_fault_id = 0
-        for place, entry in enumerate(self.script.troubles):
-            draw = RandomStream(run.seed, f"trouble {place}")
+        for index, entry in enumerate(self.script.troubles):
+            draw = RandomStream(run.seed, f"trouble {index}")
             self.loop.call_at(run.begin + entry.at, self._begin(entry, draw))
         self._check_holders()
 
@@ -85,7 +84,7 @@
         return start
 
     def mark(self, what: str) -> None:
-        """Note something of the script."""
+        """Write a mark into the clients' record."""
         self.run.writer.write(Mark(time.monotonic_ns(), what))
 
     # --- helpers ---
@@ -98,7 +97,7 @@
         return [int(name[6:]) for name in draw.pick(names, entry.brokers)]
 
     def _apply_for(self, holder: HolderProcess, last: int, faults: Faults) -> None:
-        """Let faults act on a holder; a process that is started anew meanwhile is without them."""
+        """Apply faults to a holder for a time; a process that is relaunched meanwhile starts without them."""
         self.last_fault_id += 1
         fault_id = self.last_fault_id
         self.active_faults[holder.name][fault_id] = faults
@@ -112,7 +111,7 @@
             self.loop.call_in(last, end)
 
     def _send_faults(self, holder: HolderProcess) -> None:
-        """Tell the process. Off the loop for about a millisecond: a live holder answers at once."""
+        """Send the process its faults. Blocks the loop for about 1 ms: a live holder answers at once."""
         if holder.name in self.down or holder.process is None:
             return
         connection = HTTPConnection("127.0.0.1", holder.port, timeout=2)
@@ -162,7 +161,7 @@
         self._apply_to_holders(entry, draw, Faults(lose=entry.share))
 
     def _slow_handshakes(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """The system takes connections by itself: what is slow is that the holder begins to read them."""
+        """The kernel accepts connections by itself, so the holder delays its first read instead."""
         self._apply_to_holders(entry, draw, Faults(handshake_ms=entry.pause / MS))
 
     def _one_sided(self, entry: TroubleEntry, draw: RandomStream) -> None:
@@ -244,10 +243,10 @@
             wait = self.script.discovery.lag[1] + DEPLOY_DRAIN_NS
             self.loop.call_in(wait, lambda: self._stop_for(holder, entry.pause))
 
-    # --- processes that end and come back ---
+    # --- stopping and relaunching processes ---
 
     def _stop_for(self, holder: HolderProcess, last: int, silent: bool = False) -> None:
-        """End a holder's process, or stop it as it stands: then its connections stay and nothing comes."""
+        """Kill a holder's process, or suspend it: then its connections stay open and silent."""
         if holder.name in self.down or holder.process is None:
             return
         self.down.add(holder.name)
@@ -276,7 +275,7 @@
         self.run.roster_files.publish(holder.name)
 
     def _check_holders(self) -> None:
-        """Holders that a poisoned query took down come back after a while; fallen ones stay down."""
+        """Relaunch holders that a poisoned query killed; those that collapsed under load stay down."""
         for holder in self.run.by_name.values():
             if (
                 holder.name not in self.down
@@ -287,7 +286,7 @@
                 self._stop_for(holder, RESTART_DELAY_NS)
         self.loop.call_in(POLL_INTERVAL_NS, self._check_holders)
 
-    # --- brokers and their lists ---
+    # --- brokers and their roster files ---
 
     def _broker_stall(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for number in self._pick_brokers(entry, draw):
@@ -320,12 +319,12 @@
         broker.wait()
         self.record_downtime(number)
         self.run.clients[number].move(broker.url)
-        # What its list missed comes with the list's next news, as in virtual time.
+        # Its roster file catches up after the usual lag, as in virtual time.
         lag = int(self.run.roster_files.lag() * self.run.roster_files.rosters[number].lag_factor)
         self.loop.call_in(lag, lambda: self.run.roster_files.catch_up(number))
 
     def record_downtime(self, number: int) -> None:
-        """Note for the audit from when to when a broker was dead: now, at the latest."""
+        """Record for the audit when a broker was down: until now, at the latest."""
         broker = self.run.brokers[number]
         if broker.halted is not None:
             since, _ = broker.halted
--- a/quincepath/lab/emulator/processes.py
+++ b/quincepath/lab/emulator/processes.py
@@ -1,4 +1,4 @@
-"""Broker processes of a rehearsal over loopback, and the list of holders that each of them reads."""
+"""Broker processes of a rehearsal over loopback, and the roster file that each of them reads."""
 
 import time
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 
 
 class BrokerProcess(Child):
-    """One broker: its configuration file, its process while it runs, and where it serves."""
+    """One broker: its configuration file, its process while it runs, and its URL."""
 
     def __init__(self, number: int, zone: str, folder: Path) -> None:
         super().__init__(f"broker {number}", folder / f"broker{number}.log")
         self.number, self.zone, self.folder = number, zone, folder
         self.url = ""
         self.alive = False
-        self.halted: tuple[int, int] | None = None  # when it was killed and for how long; until it is back
+        self.halted: tuple[int, int] | None = None  # (killed at, for ns) while it is down
 
     @property
     def config(self) -> Path:
@@ -29,42 +29,42 @@
         return self.folder / f"broker{self.number}.yaml"
 
     def launch(self) -> None:
-        """Start the process; ``wait`` or ``ready`` tell when it serves."""
+        """Start the process; ``wait`` and ``ready`` report when it serves."""
         self.start(["--log-level", "error", "serve", "-c", str(self.config)])
 
     def wait(self) -> None:
-        """Until it serves. Raises ``StartError``."""
+        """Wait until it serves. Raises ``StartError``."""
         self.url = self.first_line("remote_read")
         self.alive = True
 
     def kill(self) -> None:
-        """At once, as if its machine had gone."""
+        """Kill it at once, as if its machine had failed."""
         self.alive = False
         super().kill()
 
     def stop(self) -> None:
-        """Ask it to end; kill it if it does not."""
+        """Terminate it; kill it if it does not exit."""
         self.alive = False
         super().stop()
 
 
 @dataclass(slots=True)
 class _RosterFile:
-    """What one broker's list says, and how news get into it."""
+    """Contents of one broker's roster file, and how it is updated."""
 
     path: Path
     entries: dict[str, dict[str, Any]]
     version: int = 0
-    lag_factor: float = 1.0  # times the usual
-    next_update_at: int = 0  # news keep their order
+    lag_factor: float = 1.0  # multiplies the usual lag
+    next_update_at: int = 0  # earliest time of the next update: updates keep their order
     updates_frozen: bool = False
     missed_updates: dict[str, None] = field(default_factory=dict)
 
 
 class RosterFiles:
-    """A roster file for each broker, each behind the truth by a lag of its own.
+    """A roster file for each broker, each updated with a lag of its own.
 
-    ``truth`` gives a holder's entry as it is now, or None where it is gone. ``lag`` draws a time (ns).
+    ``actual_entry`` returns a holder's current entry, or None if it is gone. ``lag`` draws a time (ns).
     """
 
     def __init__(
@@ -84,7 +84,7 @@
             self._write(roster)
 
     def publish(self, name: str) -> None:
-        """The truth about a holder has changed; each broker's list says so in its own time."""
+        """Announce that a holder's entry has changed; each roster file follows after its own lag."""
         for broker, roster in zip(self.brokers, self.rosters, strict=True):
             roster.next_update_at = max(
                 roster.next_update_at, self.loop.clock() + int(self.lag() * roster.lag_factor)
@@ -92,16 +92,16 @@
             self.loop.call_at(roster.next_update_at, lambda b=broker: self._apply_update(b, name))  # type: ignore[misc]
 
     def freeze(self, number: int) -> None:
-        """Nothing new gets into this broker's list."""
+        """Suspend updates of this broker's roster file."""
         self.rosters[number].updates_frozen = True
 
     def unfreeze(self, number: int) -> None:
-        """What was missed comes as it is now."""
+        """Resume updates; missed ones are written with current entries."""
         self.rosters[number].updates_frozen = False
         self.catch_up(number)
 
     def catch_up(self, number: int) -> None:
-        """Write down what this broker's list missed while it was frozen or its broker dead."""
+        """Write what this broker's roster file missed while it was frozen or its broker down."""
         roster = self.rosters[number]
         if roster.updates_frozen:
             return
@@ -125,7 +125,7 @@
 
     @staticmethod
     def _write(roster: _RosterFile) -> None:
-        """Replace the file at once."""
+        """Replace the file atomically."""
         roster.version += 1
         temporary = roster.path.with_suffix(".new")
         with temporary.open("w") as file:
--- a/quincepath/lab/emulator/query_trace.py
+++ b/quincepath/lab/emulator/query_trace.py
@@ -1,7 +1,7 @@
-"""The story of one query: its record lines, and what its broker knew, did and why, told by running again.
+"""Trace of one query: its record lines and its broker's knowledge and decisions, by replaying the run.
 
-A run is a function of script and seed, so nothing of a broker's state is recorded: the run is repeated with
-ears at the one query, and checked against the recording line by line up to the moment asked for.
+A run is a function of script and seed, so no broker state is recorded: the run is repeated with a tracing
+module around the query's broker, and compared with the recording line by line up to the requested time.
 """
 
 from collections.abc import Iterable
@@ -30,11 +30,11 @@
 
 
 class QueryTraceError(ValueError):
-    """The query is not in the recording, or the recording is of another program."""
+    """The query is not in the recording, or another program version made the recording."""
 
 
 class _TracingModule:
-    """An ``Aggregator`` that notes what concerns one query; the driver's ids tell which it is."""
+    """An ``Aggregator`` that traces one query, which it recognizes by the driver's ids."""
 
     def __init__(self, inner: Aggregator, trace: "_Trace") -> None:
         self.inner, self.trace = inner, trace
@@ -50,14 +50,14 @@
                 self.shard_of[event.id] = event.shard
             elif isinstance(event, Outcome) and event.part in self.shard_of:
                 what = f"shard {self.shard_of[event.part]} attempt {event.attempt}: {event.result.name}"
-                self.trace.add(now, f"learns: {what} after {event.elapsed / MS:.1f} ms")
+                self.trace.add(now, f"receives: {what} after {event.elapsed / MS:.1f} ms")
         actions = self.inner.handle(now, batch)
         for action in actions:
             self._trace_action(now, action)
         return actions
 
     def _find_query(self, now: int, batch: list[Event]) -> None:
-        """The query among those that arrive now: the one whose parts are at the shards it touches."""
+        """Identify the query among those that arrive now by the shards of its parts."""
         for event in batch:
             if not isinstance(event, Query) or self.query:
                 continue
@@ -66,7 +66,7 @@
                 self.query = event.id
                 open_queries = len(self.inner.queries)
                 self.trace.add(
-                    now, f"broker {self.trace.ask.broker} takes it, with {open_queries} others open"
+                    now, f"broker {self.trace.ask.broker} accepts it with {open_queries} others open"
                 )
 
     def _trace_action(self, now: int, action: Action) -> None:
@@ -75,19 +75,19 @@
                 known = self.inner.nodes[node]
                 kind = self.inner.parts[part].query.kind
                 others = ", ".join(
-                    f"{n.name} {n.load(now, kind)} out, {n.slowdown(now):.1f} times the usual"
+                    f"{n.name} {n.load(now, kind)} in flight, {n.slowdown(now):.1f} times the usual time"
                     for n in self.inner._replicas(self.shard_of[part]) if n is not known
                 )  # fmt: skip
-                sent = (
-                    f"sends shard {self.shard_of[part]} to {known.name} (with it {known.load(now, kind)} out"
+                sent = f"sends shard {self.shard_of[part]} to {known.name} ({known.load(now, kind)} in flight"
+                self.trace.add(
+                    now, f"{sent}; alternatives: {others or 'none'}), time-out {timeout / MS:.0f} ms"
                 )
-                self.trace.add(now, f"{sent}; instead: {others or 'none'}), time-out {timeout / MS:.0f} ms")
             case Cancel(part, attempt) if part in self.shard_of:
                 self.trace.add(now, f"cancels shard {self.shard_of[part]} attempt {attempt}")
             case Answer(qid, full) if qid == self.query:
                 self.trace.add(now, f"answers, {'whole' if full else 'partial'}")
             case Refuse(qid, retry_in) if qid == self.query:
-                self.trace.add(now, f"refuses, come back in {retry_in / MS:.0f} ms")
+                self.trace.add(now, f"refuses, retry after {retry_in / MS:.0f} ms")
             case Fail(qid) if qid == self.query:
                 self.trace.add(now, "fails it")
 
@@ -98,7 +98,7 @@
         self.lines: list[tuple[int, str]] = []
 
     def may_arrive(self, now: int) -> bool:
-        """Whether the query may arrive at its broker about now."""
+        """Whether the query may arrive at its broker at this time."""
         return self.ask.at <= now <= self.ask.at + self.ask.patience
 
     def add(self, now: int, text: str) -> None:
@@ -108,7 +108,7 @@
 def trace_query(
     script: Script, seed: int, recorded: list[Line], query: str, until: int | None = None
 ) -> list[str]:
-    """Lines of the story up to ``until`` (ns of the record's clock). Raises ``StoryError``."""
+    """Trace lines up to ``until`` (ns of the record's clock). Raises ``QueryTraceError``."""
     ask = next((line for line in recorded if isinstance(line, Ask) and line.query == query), None)
     if ask is None:
         raise QueryTraceError(f"no query {query!r} in the recording")
@@ -124,18 +124,18 @@
     for number, (expected, now) in enumerate(zip(recorded, replayed, strict=False), 1):
         if expected != now:
             raise QueryTraceError(
-                f"line {number} differs when run again: {expected} / {now}: another program made it"
+                f"line {number} differs on replay: {expected} / {now}; made by another program version"
             )
     for line in replayed:
         match line:
             case Got() if line.query == query:
                 trace.add(line.at, f"{line.holder} has shard {line.shard} attempt {line.attempt}")
             case Said() if line.query == query:
-                good = "good" if line.good else "no use"
-                trace.add(line.at, f"{line.holder} says {line.status} for shard {line.shard}, {good}")
+                good = "good" if line.good else "unusable"
+                trace.add(line.at, f"{line.holder} answers {line.status} for shard {line.shard}, {good}")
             case End() if line.query == query:
                 trace.add(
-                    line.at, f"client hears {line.status} {line.mark} {line.parts_in}/{line.parts_asked}"
+                    line.at, f"client receives {line.status} {line.mark} {line.parts_in}/{line.parts_asked}"
                 )
             case Ask() if line.query == query:
                 trace.add(
--- a/quincepath/lab/emulator/recording.py
+++ b/quincepath/lab/emulator/recording.py
@@ -1,8 +1,8 @@
-"""Recordings: the script, its seed and every record line, compact, each frame with length and checksum.
+"""Recording files: the script, its seed and all record lines, as frames with length and checksum.
 
-A file is a magic word, then frames: four bytes of length, four of CRC-32 of the payload, the payload in
-msgpack. The first frame is the head. A file that ends in the middle of a frame, or whose frame does not
-match its checksum, is read up to there, and said so.
+A file is a magic number, then frames: four bytes of length, four of CRC-32 of the payload, the payload in
+msgpack. The first frame is the head. A file that ends inside a frame, or with a frame that does not match its
+checksum, is read up to there, and the damage is reported.
 """
 
 import struct
@@ -19,11 +19,11 @@
 MAGIC = b"QPREC\x01\r\n"
 VERSION = 1
 FRAME_HEADER = struct.Struct(">II")
-MAX_FRAME_BYTES = 1 << 24  # bytes of one frame: a length beyond it is damage, not data
+MAX_FRAME_BYTES = 1 << 24  # a longer length field is damage, not data
 
 
 class RecordingHead(msgspec.Struct, frozen=True):
-    """What was run: the script's text, its seed, the program's version."""
+    """Script text, seed and program version of the run."""
 
     version: int
     script: str
@@ -32,11 +32,11 @@
 
 
 class RecordingError(ValueError):
-    """Not a recording, or one of another version; the text names the file."""
+    """Not a recording, or one of another format version; the message names the file."""
 
 
 class RecordingWriter:
-    """Writes a recording; ``write`` is the sink of a rehearsal."""
+    """Writes a recording; ``write`` serves as the sink of a rehearsal."""
 
     def __init__(self, path: Path, script: str, seed: int, program: str) -> None:
         self._file: IO[bytes] = path.open("wb")
@@ -45,7 +45,7 @@
         self._write_frame(self._encoder.encode(RecordingHead(VERSION, script, seed, program)))
 
     def write(self, line: Line) -> None:
-        """Append one line."""
+        """Append one record line."""
         self._write_frame(self._encoder.encode(line))
 
     def _write_frame(self, payload: bytes) -> None:
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Recording:
-    """What could be read. ``damage`` is empty, or says where reading stopped and why."""
+    """The readable content. ``damage`` is empty, or states where and why reading stopped."""
 
     head: RecordingHead
     lines: list[Line]
@@ -71,12 +71,12 @@
     number = 0
     while at < len(data):
         if at + FRAME_HEADER.size > len(data):
-            yield f"{name}: cut inside the length of frame {number}, at byte {at}"
+            yield f"{name}: truncated inside the length of frame {number}, at byte {at}"
             return
         size, checksum = FRAME_HEADER.unpack_from(data, at)
         payload = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + size]
         if size > MAX_FRAME_BYTES or len(payload) < size:
-            yield f"{name}: cut inside frame {number}, at byte {at}"
+            yield f"{name}: truncated inside frame {number}, at byte {at}"
             return
         if zlib.crc32(payload) != checksum:
             yield f"{name}: frame {number} at byte {at} does not match its checksum"
@@ -87,17 +87,17 @@
 
 
 def read_recording(path: Path) -> Recording:
-    """Read up to the end or the first damage. Raises ``RecordingError`` where not even the head is there."""
+    """Read up to the end or the first damage. Raises ``RecordingError`` if the head is not readable."""
     try:
         data = path.read_bytes()
     except OSError as error:
         raise RecordingError(f"{path}: cannot be read: {error.strerror}") from None
     if not data.startswith(MAGIC):
-        raise RecordingError(f"{path}: not a recording of this program")
+        raise RecordingError(f"{path}: not a recording (wrong magic number)")
     frames = _frames(data, path.name)
     first = next(frames, f"{path.name}: empty")
     if isinstance(first, str):
-        raise RecordingError(f"{path}: no head: {first}")
+        raise RecordingError(f"{path}: no readable head: {first}")
     head = msgspec.msgpack.decode(first, type=RecordingHead)
     if head.version != VERSION:
         raise RecordingError(f"{path}: version {head.version}, this program reads {VERSION}")
--- a/quincepath/lab/emulator/rehearsal.py
+++ b/quincepath/lab/emulator/rehearsal.py
@@ -1,4 +1,4 @@
-"""A rehearsal: a script run to its end, its record judged, its figures in one place."""
+"""Runs a script to its end, audits its record and computes its figures."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 from quincepath.policy import Aggregator
 from quincepath.standins.record import Line, Said
 
-WINDOW_S = 10  # seconds of the worst stretch
+WINDOW_S = 10  # length of the window whose worst share is reported
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """What a rehearsal came to. Shares are of queries whole within the target; retries count to the first."""
+    """Result of a rehearsal. Shares are of queries answered whole within the target, from their first try."""
 
     report: Report
     good: float
@@ -30,18 +30,18 @@
     median_s: float
     p99_s: float
     fell: list[str]
-    fullest: dict[str, float]  # cold holders: fullest window as a share of what makes them fall
+    fullest: dict[str, float]  # cold holders: fullest load window as a share of the one that collapses them
     down_most: int
-    bad_answers: int  # parts that holders failed or turned away
+    bad_answers: int  # parts that holders failed or rejected
     events: int
 
     @property
     def broken(self) -> bool:
-        """Whether a rule broke, or a holder fell over."""
+        """Whether a rule was violated or a holder collapsed under load."""
         return bool(self.report.findings or self.fell)
 
     def figures(self) -> dict[str, Any]:
-        """The figures alone, rounded, for tables."""
+        """The rounded figures, for tables."""
         return {
             "good": round(self.good, 4),
             "worst_10s": round(self.worst_window, 4),
@@ -67,7 +67,7 @@
     make_module: MakeModule = Aggregator,
     until: int | None = None,
 ) -> Outcome:
-    """Run a script; ``sink`` gets each line as well. ``until``: stop after so many ns of the day."""
+    """Run a script; ``sink`` also receives each record line. ``until``: stop after so many ns of the run."""
     lines: list[Line] = []
 
     def record_line(line: Line) -> None:
--- a/quincepath/lab/emulator/script.py
+++ b/quincepath/lab/emulator/script.py
@@ -1,4 +1,4 @@
-"""Incident scripts: the fleet, the traffic and the troubles of a rehearsal, as YAML with checks."""
+"""Schema of incident scripts: fleet, traffic and troubles of a rehearsal, in YAML."""
 
 from typing import Annotated, Literal
 
@@ -17,7 +17,7 @@
 
 
 class MachineKind(Model):
-    """A kind of machine; ``share`` of the holders are of it."""
+    """A kind of machine; ``share`` is its weight among the holders."""
 
     name: Name = "std"
     share: float = Field(1.0, gt=0)
@@ -26,7 +26,7 @@
 
 
 class FleetEntry(Model):
-    """Replica sets of holders that hold the same shards, spread over zones."""
+    """Replica sets, whose holders hold the same shards and are spread over zones."""
 
     sets: int = Field(3, ge=1, le=200)
     replicas: int = Field(2, ge=1, le=10)
@@ -42,18 +42,18 @@
 
     @property
     def holders(self) -> int:
-        """How many there are."""
+        """Number of holders."""
         return self.sets * self.replicas
 
 
 class TrafficClass(Model):
-    """A class of query and what its parts cost. ``parts`` is the least and most shards that it touches."""
+    """A query class and the cost of its parts. ``parts``: least and most shards that a query touches."""
 
     name: Name
     share: float = Field(gt=0)
     parts: tuple[int, int] = (1, 4)
     work: Duration
-    spread: float = Field(0.4, ge=0, le=3)  # of the work, as the sigma of a log-normal
+    spread: float = Field(0.4, ge=0, le=3)  # of the work: sigma of a log-normal distribution
     target: Duration
     deadline: Duration
     need: Share = 1.0
@@ -64,22 +64,22 @@
 
 
 class Traffic(Model):
-    """Clients of all brokers together. ``rate`` is new queries a second."""
+    """The clients of all brokers. ``rate`` is new queries per second."""
 
     rate: float = Field(gt=0, le=20_000)
     retries: int = Field(2, ge=0, le=10)
-    wait: Duration = 200 * MS  # before a retry, doubled each time
-    patience: tuple[float, float] = (0.6, 1.0)  # of the deadline, until a try is given up
-    honour: Share = 0.8  # of clients that keep to Retry-After
-    marks: bool = True  # a client's tries carry one key
-    tell: Share = (
-        1.0  # of clients that tell how long they wait; of others the broker takes the class's deadline
-    )
-    desks: int = Field(1, ge=1, le=1000)  # to which queries belong in turn; each is a client to admission
+    wait: Duration = 200 * MS  # before the first retry, doubled each time
+    patience: tuple[float, float] = (0.6, 1.0)  # share of the deadline until a try is given up
+    honour: Share = 0.8  # share of clients that follow Retry-After
+    marks: bool = True  # all tries of a client carry the same idempotency key
+    # Share of clients that send their timeout; for the others the broker uses the deadline of the class.
+    tell: Share = 1.0
+    # Queries are assigned to desks in turn; admission sees each desk as a client.
+    desks: int = Field(1, ge=1, le=1000)
 
 
 class Network(Model):
-    """One way times; ``jitter`` is the mean of an exponential on top, as a share."""
+    """One-way delays; ``jitter`` is the mean of an exponential addition, as a share of the delay."""
 
     same_zone: Duration = 200_000
     cross_zone: Duration = MS
@@ -87,14 +87,14 @@
 
 
 class Discovery(Model):
-    """How far each broker's list runs behind the truth: drawn between the two."""
+    """Lag of each broker's member list: drawn between the two values."""
 
     lag: tuple[Duration, Duration] = (300 * MS, 900 * MS)
 
 
 class TroubleEntry(Model):
-    """One trouble. ``holders`` and ``brokers``: names, or a share drawn by the seed. What else counts depends
-    on the kind: ``share`` of jobs, answers or queries, ``times`` as long or as much, ``every`` how often."""
+    """One trouble. ``holders`` and ``brokers``: names, or a share drawn by the seed. Other fields depend on
+    the kind: ``share`` of jobs, answers or queries, ``times`` is a factor, ``every`` a period."""
 
     kind: TroubleKind
     at: Duration
@@ -110,7 +110,7 @@
 
 
 class Script(Model):
-    """A whole rehearsal."""
+    """The script of one rehearsal."""
 
     about: str
     seed: int = 1
@@ -122,7 +122,7 @@
     network: Network = Network()
     discovery: Discovery = Discovery()
     limits: LimitsEntry = LimitsEntry()
-    # Drawn queries stand for different ones, though their bytes may be equal; virtual time shares no runs.
+    # Queries represent different ones, though their bytes may be equal: none share a run in virtual time.
     asks: AsksEntry = AsksEntry(share_equal=False)
     rules: RulesEntry = RulesEntry()
     troubles: list[TroubleEntry] = []
@@ -142,13 +142,17 @@
             for known, given in ((holders, trouble.holders), (brokers, trouble.brokers)):
                 if isinstance(given, list) and not set(given) <= known:
                     unknown = ", ".join(sorted(set(given) - known))
-                    raise ValueError(f"{where}: no {unknown}; there are {', '.join(sorted(known)[:8])} ...")
+                    raise ValueError(
+                        f"{where}: unknown name {unknown}; known names: {', '.join(sorted(known)[:8])} ..."
+                    )
             if trouble.of_class is not None and trouble.of_class not in names:
                 raise ValueError(
-                    f"{where}: of_class {trouble.of_class!r}; there are {', '.join(sorted(names))}"
+                    f"{where}: unknown of_class {trouble.of_class!r}; expected {', '.join(sorted(names))}"
                 )
             if trouble.kind == "zone_loss" and trouble.zone not in self.fleet.zones:
-                raise ValueError(f"{where}: zone {trouble.zone!r}; there are {', '.join(self.fleet.zones)}")
+                raise ValueError(
+                    f"{where}: unknown zone {trouble.zone!r}; expected {', '.join(self.fleet.zones)}"
+                )
             if trouble.kind in ("class_errors", "heavy_tail", "poison") and trouble.of_class is None:
                 raise ValueError(f"{where}: of_class is missing")
             if trouble.at >= self.length:
@@ -156,5 +160,5 @@
         return self
 
     def holder_names(self) -> list[str]:
-        """``s0r0`` is the first replica of the first set."""
+        """Names of all holders; ``s0r0`` is the first replica of the first set."""
         return [f"s{s}r{r}" for s in range(self.fleet.sets) for r in range(self.fleet.replicas)]
--- a/quincepath/lab/emulator/server.py
+++ b/quincepath/lab/emulator/server.py
@@ -1,4 +1,4 @@
-"""The model of a holder, by the name it has in the emulator; see ``quincepath.standins.model``."""
+"""Re-exports the model of a holder from ``quincepath.standins.model``."""
 
 from quincepath.standins.model import SECOND, Fleet, Job, Server, ServerConfig, ServerFaults, State
 
--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -1,6 +1,7 @@
-"""An incident script over loopback: the same model in holder processes, real broker processes, clients here.
+"""Runs an incident script over loopback: emulated holder processes, real broker processes, clients in here.
 
-Queries are drawn as in virtual time, from the same sources; troubles act on the processes (``staging``).
+Queries are drawn as in virtual time, from the same random streams; troubles act on the processes
+(``process_troubles``).
 """
 
 from collections import Counter
@@ -29,12 +30,12 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 AUDIT_SLACK_NS = 300 * MS
-MAX_LATENESS_NS = SECOND  # behind its schedule by more, a run says nothing of the brokers
-ONE_STEP_MINUTES, TWO_STEPS_MINUTES, RECENT_MINUTES = 20, 60, 30  # minutes of time range
+MAX_LATENESS_NS = SECOND  # further behind its schedule, a run is void
+ONE_STEP_MINUTES, TWO_STEPS_MINUTES, RECENT_MINUTES = 20, 60, 30  # of time range
 
 
 class SocketRun:
-    """One run. ``play`` starts all processes, plays the day in real time, ends them and audits."""
+    """One run: starts all processes, runs the script in real time, stops them and audits the record."""
 
     def __init__(self, script: Script, seed: int, folder: Path) -> None:
         self.script, self.seed, self.folder = script, seed, folder
@@ -52,19 +53,19 @@
         self.client_draws = RandomStream(seed, "clients")
         self.burst_draws = RandomStream(seed, "burst")
         self.tell_draws = RandomStream(seed, "tell")
-        self.heavy_factors: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
-        self.poison_shares: dict[int, float] = {}  # class: share of queries
+        self.heavy_factors: dict[int, tuple[float, float]] = {}  # by class: share of queries, factor of work
+        self.poison_shares: dict[int, float] = {}  # by class: share of queries
         self.heavy_draws, self.poison_draws = RandomStream(seed, "heavy"), RandomStream(seed, "poison")
         self.unreachable_tries = 0
-        self.all_ended = False  # whether all queries had their ends when the run did
-        self.max_lateness = 0  # ns by which this process fell behind its schedule
+        self.all_ended = False  # whether all queries had ended when the run did
+        self.max_lateness = 0  # ns by which this process was behind its schedule
         self.rate_factor = self.patience_divisor = 1.0
         self.immediate_retries = False
         self.asked = self.good = self.tries = self.open_queries = 0
         self.restarted: set[str] = set()
 
     def district(self, shard: int) -> str:
-        """The label value of a shard."""
+        """Label value of a shard."""
         return f"d{shard}.example.org"
 
     def _holders(self) -> list[HolderProcess]:
@@ -87,7 +88,7 @@
             "--fall-multiple",
             str(self.script.rules.fall_multiple),
         ]
-        found = []
+        holders = []
         for s in range(fleet.sets):
             numbers = [s + k * fleet.sets for k in range(fleet.shards)]
             for r in range(fleet.replicas):
@@ -97,8 +98,8 @@
                 districts = [self.district(n) for n in numbers]
                 machine = ["--cores", str(kinds[name].cores), "--speed", str(kinds[name].speed)]
                 shards = [f"d{n}" for n in numbers]
-                found.append(HolderProcess(name, zone, shards, districts, [*options, *machine], record))
-        return found
+                holders.append(HolderProcess(name, zone, shards, districts, [*options, *machine], record))
+        return holders
 
     def _config(self, number: int) -> dict[str, Any]:
         fleet, rules, limits = self.script.fleet, self.script.rules, self.script.limits
@@ -153,7 +154,7 @@
         }
 
     def run(self) -> dict[str, Any]:
-        """The figures of the day; ``report`` is the audit's."""
+        """Run the script and return its figures."""
         try:
             self.cluster.start()
             names, lag = list(self.by_name), RandomStream(self.seed, "list")
@@ -182,7 +183,7 @@
         return self._figures(audit(records), sorted(mark for mark in marks if "fell over" in mark))
 
     def _actual_entry(self, name: str) -> dict[str, Any] | None:
-        """A holder's entry as the list should have it now; None where it is gone."""
+        """Current roster entry of a holder; None if it is gone."""
         troubles = self.troubles
         if troubles is not None and name in troubles.down:
             return None
@@ -197,7 +198,7 @@
             "answers": report.outcomes,
             "unreachable": self.unreachable_tries,
             "late_most_s": round(self.max_lateness / SECOND, 3),
-            # Rules are judged by what clients saw in time: a machine that cannot keep up proves nothing.
+            # Rules are audited by the times that clients saw: a machine that cannot keep up proves nothing.
             "void": not self.all_ended or self.max_lateness > MAX_LATENESS_NS,
             "fell": fell,
             "findings": [str(finding) for finding in report.findings],
@@ -300,7 +301,7 @@
         query.matchers.add(type=LabelMatcher.EQ, name="__name__", value=f"class_{kind}")
         pattern = "|".join(self.district(n).replace(".", r"\.") for n in shards)
         query.matchers.add(type=LabelMatcher.RE, name="district", value=pattern)
-        if incident:  # all series pass it: none has this label
+        if incident:  # matches all series: none has this label
             query.matchers.add(type=LabelMatcher.NEQ, name=INCIDENT, value=incident)
         headers = {"X-Quincepath-Timeout": f"{patience}ns"}
         return QueryPlan(entry.name, shards, encode(request), request, patience, headers)
@@ -314,7 +315,7 @@
             self.open_queries -= 1
             return
         alive = [client for client, broker in zip(self.clients, self.brokers, strict=True) if broker.alive]
-        if not alive:  # nobody takes the connection: the client comes back by itself
+        if not alive:  # connection refused everywhere: the client retries by itself
             self.unreachable_tries += 1
             if tries >= traffic.retries:
                 self.open_queries -= 1
@@ -361,7 +362,7 @@
 
 
 def _asks_settings(asks: AsksEntry) -> dict[str, Any]:
-    """The entry as a file would hold it."""
+    """The entry as it stands in a configuration file."""
     values = asks.model_dump()
     for name in ("remember", "linger", "unmarked_within"):
         values[name] = f"{values[name]}ns"
--- a/quincepath/lab/emulator/troubles.py
+++ b/quincepath/lab/emulator/troubles.py
@@ -1,4 +1,4 @@
-"""What each kind of trouble does to an emulation, and how it ends; all by the script's seed."""
+"""Applies each kind of trouble to an emulation and ends it, drawing from the script's seed."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,16 +9,16 @@
 from quincepath.standins.random_streams import RandomStream
 
 AGEING_STEPS = 10
-DEPLOY_DRAIN_NS = 500_000_000  # ns that a deployed holder drains before its process ends
+DEPLOY_DRAIN_NS = 500_000_000  # a deployed holder drains this long before its process ends
 
 
 class TroubleInjector:
-    """Puts a script's troubles into an emulation."""
+    """Injects a script's troubles into an emulation."""
 
     def __init__(self, world: Emulation) -> None:
         self.world = world
-        for place, entry in enumerate(world.script.troubles):
-            draw = world.source(f"trouble {place}")
+        for index, entry in enumerate(world.script.troubles):
+            draw = world.source(f"trouble {index}")
             world.call_at(world.begin + entry.at, self._begin(entry, draw))
 
     def _begin(self, entry: TroubleEntry, draw: RandomStream) -> Callable[[], None]:
@@ -47,7 +47,7 @@
         begin: Callable[[ServerFaults], None],
         end: Callable[[ServerFaults], None],
     ) -> None:
-        """Change servers now and back later; a server that was restarted meanwhile is left alone."""
+        """Change servers now and undo it later, except on servers restarted meanwhile."""
         for server in servers:
             server.advance(self.world.now)
             begin(server.faults)
@@ -89,7 +89,7 @@
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _slowdown(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """All holders at once: something that they share is slow."""
+        """Slow down all holders at once, as a slow shared dependency does."""
         self._slow(entry.model_copy(update={"holders": list(self.world.fleet.servers)}), draw)
 
     def _lost_answers(self, entry: TroubleEntry, draw: RandomStream) -> None:
@@ -123,7 +123,7 @@
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _pauses(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Each stands still for ``pause`` every ``every``, at times of its own."""
+        """Pause each server for ``pause`` about every ``every``, at its own times."""
 
         def begin(troubles: ServerFaults) -> None:
             troubles.paused = True
@@ -139,7 +139,7 @@
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _preemption(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Another program takes ``share`` of the machine, on and off."""
+        """Another program takes ``share`` of the machine intermittently."""
 
         def begin(troubles: ServerFaults) -> None:
             troubles.steal = min(entry.share, 0.95)
@@ -156,7 +156,7 @@
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Slower step by step, up to ``times``, then its process dies and comes back cold."""
+        """Slow down stepwise up to ``times``; then the process dies and restarts cold."""
 
         def no_change(troubles: ServerFaults) -> None:
             pass
@@ -187,7 +187,7 @@
             self.world.call_after(last, lambda: self.world.restart(server))
 
     def _flapping(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Up and down: dead for a third of ``every``, back cold, dead again."""
+        """Down for a third of each ``every``, then up again, cold."""
         until = self.world.now + entry.last
         for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
@@ -202,7 +202,7 @@
         for name, server in fleet.servers.items():
             if fleet.zones[name] == zone:
                 self._stop_for(server, entry.last, silent=True)
-        if entry.share >= 1:  # with its brokers
+        if entry.share >= 1:  # its brokers fail as well
             for broker in self.world.brokers:
                 if broker.zone == zone:
                     self.world.halt(broker, entry.last, kill=True)
@@ -220,7 +220,7 @@
         return restore
 
     def _deploy(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """In waves, replica by replica, ``every`` apart: drained, ended, back cold."""
+        """Restart in waves, replica by replica, ``every`` apart: drain, stop, start cold."""
         chosen = self._pick_servers(entry, draw)
         for wave in range(self.world.script.fleet.replicas):
             for server in chosen:
@@ -239,7 +239,7 @@
         return start
 
     def _one_sided(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """What these holders send to these brokers is lost; what the brokers send arrives."""
+        """Lose what these holders send to these brokers; what the brokers send arrives."""
         brokers = self._pick_brokers(entry, draw)
         pairs = {(b.number, s.name) for s in self._pick_servers(entry, draw) for b in brokers}
         self.world.blocked_links |= pairs
@@ -249,7 +249,7 @@
 
         self.world.call_after(entry.last, restore_links)
 
-    # --- brokers and the list ---
+    # --- brokers and membership ---
 
     def _broker_stall(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for broker in self._pick_brokers(entry, draw):
@@ -315,7 +315,7 @@
         world.call_after(entry.last, end)
 
     def _retry_storm(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Clients come back at once, whatever they are told."""
+        """Clients retry at once, whatever Retry-After says."""
         world = self.world
         world.impatient_retries = True
 
--- a/quincepath/lab/emulator/workload.py
+++ b/quincepath/lab/emulator/workload.py
@@ -1,4 +1,4 @@
-"""The machines and the queries that chance draws: the same in virtual time and on sockets."""
+"""Random machines and queries, drawn the same way in virtual time and on sockets."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 
 def draw_machines(fleet: FleetEntry, draw: RandomStream) -> dict[str, MachineKind]:
-    """The kind of machine of each holder, by the kinds' shares."""
+    """Draw the kind of machine of each holder, by the kinds' shares."""
     total = sum(kind.share for kind in fleet.kinds)
     found = {}
     for s in range(fleet.sets):
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DrawnQuery:
-    """One client's query: the position of its class, the shards that it touches."""
+    """One client's query: the index of its class, and the shards that it touches."""
 
     kind: int
     shards: list[int]
 
 
 def draw_query(draw: RandomStream, classes: list[TrafficClass], shards: int) -> DrawnQuery:
-    """A query by the classes' shares, at shards in a row."""
+    """Draw a query by the classes' shares; its shards are consecutive."""
     left, kind = draw() * sum(entry.share for entry in classes), 0
     while left >= classes[kind].share and kind < len(classes) - 1:
         left -= classes[kind].share
@@ -48,7 +48,7 @@
 
 
 def part_work(generator: np.random.Generator, entry: TrafficClass, count: int) -> list[float]:
-    """Work (ns) of the parts of one query: log-normal around the class's mean."""
+    """Work (ns) of the parts of one query: log-normal with the class's mean."""
     normal = generator.standard_normal(count)
     spread = entry.spread
     return [float(entry.work * np.exp(spread * n - spread * spread / 2)) for n in normal]
--- a/quincepath/lab/emulator/world/__init__.py
+++ b/quincepath/lab/emulator/world/__init__.py
@@ -1,9 +1,10 @@
-"""The whole emulation: a heap of events in virtual time around real drivers. No socket, no wall clock.
+"""Event-driven emulation in virtual time around real drivers. No sockets, no wall clock.
 
 A run is a function of script and seed. Everything that the audit needs goes to ``sink`` as record lines;
-times are ns. A run is one class in layers, each of which knows only those under it: ``day``; ``turns`` of
-brokers; on these ``clients``, ``news`` and ``calls``; ``holders`` on news and calls; ``sending`` on holders;
-``emulation`` on all. ``ContractBroken`` is raised where driver and module disagree: a defect of the program.
+times are ns. A run is one class in layers, each of which knows only those below it: ``state``;
+``broker_scheduling``; on these ``clients``, ``membership`` and ``calls``; ``holders`` on membership and
+calls; ``sending`` on holders; ``emulation`` on all. ``ContractViolation`` is raised where driver and decision
+module disagree: a defect of the program.
 """
 
 from quincepath.lab.emulator.world.emulation import ContractViolation, Emulation, MakeModule
--- a/quincepath/lab/emulator/world/broker_scheduling.py
+++ b/quincepath/lab/emulator/world/broker_scheduling.py
@@ -1,4 +1,4 @@
-"""When a broker gets its turn: what comes to one that stands still waits, and is found at once after it."""
+"""Schedules brokers: input to a stalled broker is deferred and delivered at once when it resumes."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -8,10 +8,10 @@
 
 
 class BrokerScheduling(EmulationState, ABC):
-    """Turns of brokers, for all that comes in at one."""
+    """Delivers input and timers to brokers, and schedules their steps."""
 
     def _deliver(self, broker: Broker, generation: int, call: Callable[[], None]) -> None:
-        """Something came in at a broker's sockets: now, or when it is no longer stalled."""
+        """Deliver socket input to a broker: now, or when it is no longer stalled."""
         if broker.generation == generation and broker.alive:
             if self.now < broker.stalled_until:
                 broker.deferred_io.append(call)
@@ -26,7 +26,7 @@
                 call()
 
     def resume(self, broker: Broker) -> None:
-        """After a stall all that came meanwhile is found at once: sockets first, then timers."""
+        """Deliver everything deferred during a stall: sockets first, then timers."""
         if self.now < broker.stalled_until or not broker.alive:
             return
         deferred = [*broker.deferred_io, *broker.deferred_timers]
@@ -36,7 +36,7 @@
         self._schedule_step(broker)
 
     def _schedule_step(self, broker: Broker) -> None:
-        """Have the broker step in this instant, after all that happens in it."""
+        """Schedule a step at the current time, after all events already queued for it."""
         if broker.step_scheduled_at != self.now:
             broker.step_scheduled_at = self.now
             generation = broker.generation
@@ -44,4 +44,4 @@
 
     @abstractmethod
     def _step(self, broker: Broker) -> None:
-        """One turn of a broker: its orders are carried out."""
+        """Step a broker and carry out its orders."""
--- a/quincepath/lab/emulator/world/calls.py
+++ b/quincepath/lab/emulator/world/calls.py
@@ -1,4 +1,4 @@
-"""How a call ends at its broker: answered, lost, out of time or given up; its connection is kept or not."""
+"""Ends calls at the broker: answered, lost, timed out or cancelled; keeps or closes the connection."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class Calls(BrokerScheduling):
-    """The broker's end of every call that is out."""
+    """The broker's side of calls in flight."""
 
     def _delay_to(self, broker: Broker, server: Server) -> int:
         return self.one_way_delay(broker.zone, self.fleet.zones[server.name])
@@ -19,14 +19,14 @@
     def _send_back(
         self, broker: Broker, server: Server, generation: int, wait: int, call: Callable[[], None]
     ) -> None:
-        """Something goes from a holder to a broker, unless that direction is cut."""
+        """Send something from a holder to a broker, unless that direction is blocked."""
         if (broker.number, server.name) not in self.blocked_links:
             self.call_after(wait, lambda: self._deliver(broker, generation, call))
 
     def _receive_reply(self, broker: Broker, call: Call, result: Result) -> None:
-        """The holder's word is at the broker."""
+        """Handle the holder's reply at the broker."""
         if call.connection.closed:
-            return  # nobody listens any more
+            return  # the broker has closed it meanwhile
         if result is Result.RESET:
             self._fail_call(broker, call, result)
             return
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -1,4 +1,4 @@
-"""Clients: when they come, what they ask, how long they wait, and when they come back."""
+"""Emulated clients: arrivals, queries, patience and retries."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -16,16 +16,16 @@
 from quincepath.standins.record import Ask as AskLine
 from quincepath.standins.record import End
 
-GIVE_UP_GRACE_NS = 50 * MS  # past its time a client stops listening
-SECOND_STEP_WORK_SHARE = 0.5  # of a first step's part
+GIVE_UP_GRACE_NS = 50 * MS  # after its timeout, until a client closes the connection
+SECOND_STEP_WORK_SHARE = 0.5  # relative to a part of the first step
 HTTP_STATUS = {Verdict.ANSWERED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 502}
 
 
 class Clients(BrokerScheduling):
-    """Each query of the day, from its first try to its last word."""
+    """All queries of a run, from the first try to the final answer."""
 
     def _arrivals(self) -> None:
-        """Draw the whole day's arrivals ahead: they don't wait for answers."""
+        """Schedule all arrivals of the run: they don't wait for answers (open loop)."""
         draw = self.source("arrivals").generator
         at = float(self.begin + 100 * MS)
         number = 0
@@ -68,7 +68,7 @@
         alive = [broker for broker in self.brokers if broker.alive]
         if left <= 10 * MS:
             return
-        if not alive:  # nobody takes the connection: the client comes back by itself
+        if not alive:  # connection refused everywhere: the client retries by itself
             self.statistics.outcomes["unreachable"] += 1
             client.tries += 1
             if client.tries <= self.script.traffic.retries:
@@ -119,7 +119,7 @@
                 broker.tries[handle] = attempt
                 self._schedule_step(broker)
             case _:
-                raise AssertionError(f"{result}: keys of clients here are their own")
+                raise AssertionError(f"{result}: unexpected, since each client has a key of its own")
 
     def _ask(self, attempt: Try) -> Ask:
         client = attempt.client
@@ -145,7 +145,7 @@
         )  # fmt: skip
 
     def _time_out_try(self, attempt: Try, broker: Broker, generation: int) -> None:
-        """Its time is up and it has heard nothing: the connection is closed."""
+        """Close the connection of a client whose time is up without an answer."""
         if attempt.ended:
             return
         self._end_try(attempt, End(self.now, attempt.name, -1))
--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -1,4 +1,4 @@
-"""The emulation as a whole: brokers that start, step, stand still or die, and the run from begin to end."""
+"""The complete emulation: brokers start, step, stall and crash; the run from start to end."""
 
 import heapq
 import zlib
@@ -22,11 +22,11 @@
 
 
 class ContractViolation(AssertionError):
-    """Driver and module disagreed: a defect of the program, whatever the day; the text says where."""
+    """Driver and decision module disagreed: a defect of the program, whatever the script."""
 
 
 class Emulation(Clients, Sending):
-    """One run. ``run`` plays it to its end; ``sink`` gets each record line in order."""
+    """One run of a script. ``sink`` receives each record line in order."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
             self._start_broker(broker)
 
     def run(self, until: int | None = None) -> RunStatistics:
-        """Play to the end, or to a moment (ns since the begin) in it."""
+        """Run to the end, or to ``until`` (ns since the start)."""
         self._arrivals()
         stop = self.end + self.max_deadline() + 2 * SECOND
         if until is not None:
@@ -54,7 +54,7 @@
         return self.statistics
 
     def _start_broker(self, broker: Broker) -> None:
-        """Start a broker with nothing but its last list."""
+        """Start a broker with nothing but its last known member list."""
         broker.generation += 1
         seed = zlib.crc32(f"{self.seed} {broker.number} {broker.generation}".encode())
         settings = self.settings[broker.number]
@@ -67,7 +67,7 @@
         broker.pools, broker.calls, broker.tries = {}, {}, {}
         known = broker.known_members or {entry.node: entry for entry in self.actual_entries.values()}
         broker.known_members = dict(known)
-        # What changed while it was dead, or was on its way when it died, comes with the list's next news.
+        # Changes made while it was down, or in transit when it crashed, come with the next update.
         broker.missed_updates = [
             name for name, entry in self.actual_entries.items() if known.get(entry.node) != entry
         ]
@@ -88,7 +88,7 @@
                 case TryAnswer():
                     self._deliver_answer(broker, order)
                 case Breach(name, detail):
-                    raise ContractViolation(f"broker {broker.number}: contract broken: {name}: {detail}")
+                    raise ContractViolation(f"broker {broker.number}: contract violated: {name}: {detail}")
                 case LogLine(text):
                     self.mark(f"broker{broker.number}: {text}")
         due = broker.dispatcher.next_due()
@@ -103,7 +103,7 @@
             self._schedule_step(broker)
 
     def halt(self, broker: Broker, last: int, kill: bool) -> None:
-        """Stop a broker for a time, or kill it and start it anew after that time."""
+        """Stall a broker for a time, or kill it and restart it after that time."""
         if not broker.alive:
             return
         until = self.now + last
--- a/quincepath/lab/emulator/world/entities.py
+++ b/quincepath/lab/emulator/world/entities.py
@@ -1,4 +1,4 @@
-"""Who takes part in a day, beside the holders: brokers, clients, tries, and calls on their connections."""
+"""Entities of a run besides holders: brokers, clients, tries, and calls on their connections."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -18,13 +18,13 @@
     server: Server
     incarnation: int
     closed: bool = False
-    counted: bool = False  # in the holder's table
+    counted: bool = False  # among the holder's open connections
     idle_since: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call that is out."""
+    """One call in flight."""
 
     node: NodeId
     orders: tuple[AttemptOrder, ...]
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Pool:
-    """Connections of one broker to one holder."""
+    """Connection pool of one broker to one holder."""
 
     idle: list[Connection] = field(default_factory=list)
     open: int = 0
@@ -67,7 +67,7 @@
     served: bool = False
 
     def name(self) -> str:
-        """Of this try, for recordings."""
+        """Name of the current try, for recordings."""
         return f"c{self.number}.{self.tries}"
 
 
@@ -83,7 +83,7 @@
 
 
 class Broker:
-    """A broker: the driver and module as they are, around them pools of the model's connections."""
+    """A broker: the real driver and decision module, with pools of emulated connections."""
 
     def __init__(self, number: int, zone: int) -> None:
         self.number, self.zone = number, zone
--- a/quincepath/lab/emulator/world/holders.py
+++ b/quincepath/lab/emulator/world/holders.py
@@ -1,4 +1,4 @@
-"""The holder's end of a call, and the lives of holders: what arrives, what is answered, who falls."""
+"""The holder's side of calls, and the life cycle of holders: requests, replies, crashes, restarts."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,14 @@
 from quincepath.lab.emulator.world.state import SECOND
 from quincepath.standins.record import Got, Said, Up
 
-RESTART_DELAY_NS = 3 * SECOND  # a holder that a poisoned query took down is back then
+RESTART_DELAY_NS = 3 * SECOND  # downtime of a holder that a poisoned query has crashed
 
 
 class Holders(Calls, MembershipFeed):
-    """Servers at work. What a holder says reaches a broker by ``_back``."""
+    """Emulated servers. Their replies reach a broker by ``_send_back``."""
 
     def _receive_request(self, broker: Broker, generation: int, call: Call) -> None:
-        """The request is at the holder, whatever its broker has thought of since."""
+        """Handle a request at the holder, whatever the broker has decided since it sent it."""
         server = call.connection.server
         if server.state is State.SILENT:
             return
@@ -65,7 +65,7 @@
             self.sink(Said(self.now, server.name, o.query_name, o.shard, o.step, o.attempt, status, good))
 
     def _schedule_check(self, server: Server) -> None:
-        """Look at the server again when something is due there; at most one look is pending."""
+        """Schedule a check for when the server has something due; at most one check is pending."""
         if server.poisoned():
             self.mark(f"{server.name} taken down by a poisoned query")
             self._crash(server, State.DOWN)
@@ -84,7 +84,7 @@
         self.call_at(due, check)
 
     def _advance(self, server: Server) -> None:
-        """Carry the server on to now; what ended is answered."""
+        """Advance the server to the current time and answer completed jobs."""
         for _, job in server.advance(self.now):
             broker, generation, call = job.tag
             if job.cancelled:
@@ -102,7 +102,7 @@
         return lambda: self._receive_reply(broker, call, Result.OK)
 
     def _crash(self, server: Server, state: State) -> None:
-        """A process ends: what it held is lost; unless its machine is gone, its peers are told by resets."""
+        """End a process: its jobs are lost; unless its machine is gone too, peers see connection resets."""
         for job in server.stop(self.now, state):
             broker, generation, call = job.tag
             if state is not State.SILENT:
@@ -130,13 +130,13 @@
         return lambda: self._receive_reply(broker, call, Result.RESET)
 
     def kill(self, server: Server, silent: bool = False) -> None:
-        """End a server's process, or its machine."""
+        """Kill a server's process, or (silent) its machine."""
         if server.state is State.UP:
             server.advance(self.now)
             self._crash(server, State.SILENT if silent else State.DOWN)
 
     def restart(self, server: Server) -> None:
-        """Start it anew, cold; a fallen one stays down."""
+        """Restart it cold; one that collapsed under load stays down."""
         if server.state in (State.UP, State.FALLEN):
             return
         server.restart(self.now)
--- a/quincepath/lab/emulator/world/membership.py
+++ b/quincepath/lab/emulator/world/membership.py
@@ -1,4 +1,4 @@
-"""The list of holders: what is true of them, and when each broker hears of it."""
+"""Membership of holders: their actual state, and when each broker is informed of it."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,10 @@
 
 
 class MembershipFeed(BrokerScheduling):
-    """One source of news for each broker, with a lag of its own; it may freeze."""
+    """Sends each broker membership updates with its own lag; a feed may be frozen."""
 
     def publish(self, name: str, phase: Phase, since: int | None = None) -> None:
-        """The truth about a holder has changed; each broker hears of it in its own time."""
+        """Change a holder's entry; each broker is informed after its own lag."""
         before = self.actual_entries[name]
         self.actual_entries[name] = self._member_entry(name, phase, before.since if since is None else since)
         for broker in self.brokers:
@@ -25,9 +25,8 @@
     def _membership_update(self, broker: Broker, name: str, entry: Entry) -> Callable[[], None]:
         def notify() -> None:
             if broker.updates_frozen or not broker.alive:
-                broker.missed_updates.append(
-                    name
-                )  # told as it is then, when the list moves or the broker is back
+                # Sent with the state at that time when the feed is unfrozen or the broker is back.
+                broker.missed_updates.append(name)
                 return
 
             def apply() -> None:
@@ -41,7 +40,7 @@
         return notify
 
     def unfreeze(self, broker: Broker) -> None:
-        """A frozen list moves again: what was missed comes as it is now."""
+        """Resume a frozen feed: missed updates are sent with the current state."""
         broker.updates_frozen = False
         self._catch_up(broker)
 
--- a/quincepath/lab/emulator/world/sending.py
+++ b/quincepath/lab/emulator/world/sending.py
@@ -1,4 +1,4 @@
-"""How a call leaves: on an idle connection of the pool, or on one that is dialled for it."""
+"""Sends calls: on an idle connection of the pool, or on a newly dialled one."""
 
 from quincepath.lab.emulator.server import State
 from quincepath.lab.emulator.world.entities import Broker, Call, Connection, Pool
@@ -8,7 +8,7 @@
 
 
 class Sending(Holders):
-    """From the order of a broker to the holder's door."""
+    """From a broker's order to the arrival at the holder."""
 
     def _start_call(self, broker: Broker, order: StartCall) -> None:
         pool = broker.pools.setdefault(order.node, Pool())
--- a/quincepath/lab/emulator/world/state.py
+++ b/quincepath/lab/emulator/world/state.py
@@ -1,4 +1,4 @@
-"""The day: virtual time, sources of chance, the holders and what is true of them, the head of the record."""
+"""State of a run: virtual clock, random streams, holders and their entries, head of the record."""
 
 import heapq
 from collections import Counter, defaultdict
@@ -16,14 +16,14 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-RUN_START_NS = SECOND  # the clock when a day begins
-AUDIT_SLACK_NS = 20 * MS  # for the audit: the longest way from a broker to a client or holder, and more
+RUN_START_NS = SECOND  # virtual time at which a run starts
+AUDIT_SLACK_NS = 20 * MS  # for the audit: exceeds the longest delay from a broker to a client or holder
 TICK_NS = 5 * MS
 
 
 @dataclass(slots=True)
 class RunStatistics:
-    """What a run came to."""
+    """Totals of a run."""
 
     asked: Counter[str] = field(default_factory=Counter)
     good: Counter[str] = field(default_factory=Counter)
@@ -37,7 +37,7 @@
 
 
 class EmulationState:
-    """What stands before anything moves. Events of equal times come in the order of their making."""
+    """Initial state and event queue. Events of equal times run in the order of their creation."""
 
     def __init__(
         self,
@@ -57,12 +57,11 @@
         self._last_handle = 0
         self._scheduled_checks: dict[str, int] = {}
         self._down: set[str] = set()
-        self.blocked_links: set[tuple[int, str]] = (
-            set()
-        )  # (broker, holder): what the holder sends there is lost
+        # (broker, holder): what the holder sends to the broker is lost.
+        self.blocked_links: set[tuple[int, str]] = set()
         self.rate_factor = 1.0
-        self.heavy_factors: dict[int, tuple[float, float]] = {}  # class: share of queries, times the work
-        self.poison_shares: dict[int, float] = {}  # class: share of queries
+        self.heavy_factors: dict[int, tuple[float, float]] = {}  # by class: share of queries, factor of work
+        self.poison_shares: dict[int, float] = {}  # by class: share of queries
         self.patience_factor = 1.0
         self.impatient_retries = False
         self.zones = {name: number for number, name in enumerate(script.fleet.zones)}
@@ -76,35 +75,35 @@
         self._write_head()
 
     def source(self, name: str) -> RandomStream:
-        """The source of chance of this name."""
+        """The random stream of this name."""
         if name not in self._sources:
             self._sources[name] = RandomStream(self.seed, name)
         return self._sources[name]
 
     def call_at(self, when: int, call: Callable[[], None]) -> None:
-        """Run ``call`` at a time; equal times in the order of their making."""
+        """Run ``call`` at a time; equal times in the order of creation."""
         self._count += 1
         heapq.heappush(self._events, (max(when, self.now), self._count, call))
 
     def call_after(self, wait: float, call: Callable[[], None]) -> None:
-        """Run ``call`` after so many ns."""
+        """Run ``call`` after ``wait`` ns."""
         self.call_at(self.now + int(wait), call)
 
     def mark(self, what: str) -> None:
-        """Note something of the script."""
+        """Write a mark into the record."""
         self.sink(Mark(self.now, what))
 
     def one_way_delay(self, from_zone: int, to_zone: int) -> int:
-        """One way between zones, with jitter."""
+        """Draw the one-way delay between two zones, with jitter."""
         network = self.script.network
         delay = network.same_zone if from_zone == to_zone else network.cross_zone
         return int(delay * (1 + network.jitter * -np.log1p(-self.source("network")())))
 
     def max_deadline(self) -> int:
-        """The longest that any client waits in all its tries."""
+        """The longest that any client waits over all its tries."""
         return max(entry.deadline for entry in self.script.classes)
 
-    # --- setting up ---
+    # --- setup ---
 
     def _make_fleet(self) -> Fleet:
         entry, fleet = self.script.fleet, Fleet()
--- a/tests/exact/plays.py
+++ b/tests/exact/runs.py
@@ -1,8 +1,7 @@
-"""One play of each world in virtual time, and its record as bytes.
+"""One run of each simulation in virtual time, and its record as bytes.
 
-``python -m tests.exact.plays WORLD FOLDER`` plays one; the record is written to FOLDER/record. It is told in
-the order in which things stand in memory, nothing is sorted for it: where a set's order or an address enters
-a play, it shows.
+``python -m tests.exact.runs NAME FOLDER`` runs one and writes its record to FOLDER/record. Records keep the
+order of memory, nothing is sorted for them: a dependency on the order of a set or on an address shows.
 """
 
 import json
@@ -28,37 +27,37 @@
 from tests.fleet.test_inside import DAY
 
 ROOT = Path(__file__).parents[2]
-Play = Callable[[Path], bytes]
+Run = Callable[[Path], bytes]
 LINE = b"\n"
 
 
 def inside(script: FleetScript, folder: Path) -> bytes:
-    """Brokers, storage nodes and clients on one loop: figures, and every line of the audit's records."""
+    """Brokers, storage nodes and clients on one loop: figures and all record lines of the audit."""
     figures = InsideRun(script, None, folder).play()
     records = [path.name.encode() + LINE + path.read_bytes() for path in sorted(folder.glob("*.jsonl"))]
     return LINE.join([json.dumps(figures).encode(), *records])
 
 
 def all_faults_of_load(folder: Path) -> bytes:
-    """Nodes killed, hung and stopped, a broker killed and one that leaves."""
+    """Nodes killed, hung and stopped; one broker killed, one leaving."""
     return inside(FleetScript.model_validate(DAY), folder)
 
 
 def overload_with_kills(folder: Path) -> bytes:
-    """A script of the examples, cut short: three times the load while brokers are killed and come back."""
+    """A shortened example script: three times the load while brokers are killed and restarted."""
     script = load(ROOT / "examples/fleet/overload/summers-killed.yaml", FleetScript)
     return inside(script.model_copy(update={"length": 20 * SECOND}), folder)
 
 
 def fleet_view(folder: Path) -> bytes:
-    """Views of a fleet over lossy links: each change of belief."""
+    """Fleet membership over lossy links: every change of a view."""
     world = Virtual(load(ROOT / "examples/fleet/bad-links.yaml", FleetScript))
     world.keep_changes = True
     return repr((world.run().figures(), world.changes)).encode()
 
 
 def emulator(folder: Path) -> bytes:
-    """Brokers' decisions over nodes in trouble: each line of the recording."""
+    """Brokers over faulty nodes in the emulator: every line of the recording."""
     lines: list[str] = []
     script = load(ROOT / "examples/incidents/holders-hang.yaml", Script)
     outcome = rehearse(script, sink=lambda line: lines.append(repr(line)), until=20 * SECOND)
@@ -66,7 +65,7 @@
 
 
 def ledger(folder: Path) -> bytes:
-    """Load totals of 20 brokers over a network that loses, doubles and delays."""
+    """Load totals of 20 brokers over a network that loses, duplicates and delays messages."""
     network = Network(loss=0.1, doubled=0.1, late=0.1)
     world = LedgerWorld(20, 1, lambda name, now: 100.0, network)
     found = []
@@ -77,7 +76,7 @@
 
 
 def overload(folder: Path) -> bytes:
-    """Twenty brokers under five times the load."""
+    """Overload control of 20 brokers under five times the load."""
     plan = replace(scenes.step(scenes.base(20, 20), 5.0), length=18 * SECOND)
     return repr(World(plan, Way.ONE, 1).run()).encode()
 
@@ -100,16 +99,16 @@
     return repr([map_world.play(pair, version, 500, 5) for version in (pair.before, pair.after)]).encode()
 
 
-WORLDS: dict[str, Play] = {
-    play.__name__: play
-    for play in (all_faults_of_load, overload_with_kills, fleet_view, emulator, ledger, overload, fair, maps)
+RUNS: dict[str, Run] = {
+    run.__name__: run
+    for run in (all_faults_of_load, overload_with_kills, fleet_view, emulator, ledger, overload, fair, maps)
 }
 
 
 def main(words: list[str]) -> None:
-    """Play one world into a folder."""
+    """Run one simulation and write its record to a folder."""
     name, folder = words
-    (Path(folder) / "record").write_bytes(WORLDS[name](Path(folder)))
+    (Path(folder) / "record").write_bytes(RUNS[name](Path(folder)))
 
 
 if __name__ == "__main__":
--- a/tests/exact/test_exact.py
+++ b/tests/exact/test_exact.py
@@ -1,6 +1,6 @@
-"""Virtual time is exact: a play gives the same record byte for byte, whatever else the machine does.
+"""Runs in virtual time are reproducible: records are equal byte for byte, whatever the load of the machine.
 
-Each play is a process of its own, with another seed of Python's hashes, alone and then several at once.
+Each run has its own process with another hash seed of Python, first alone, then several at once.
 """
 
 import os
@@ -17,51 +17,53 @@
 from quincepath.lab.memory_network import MemoryNetwork
 from quincepath.lab.memory_network.selector import MemorySelector
 from quincepath.lab.virtual_loop import VirtualLoop
-from tests.exact.plays import ROOT, WORLDS, all_faults_of_load
+from tests.exact.runs import ROOT, RUNS, all_faults_of_load
 from tests.fleet.test_inside import DAY
 
-AT_ONCE = dict.fromkeys(WORLDS, 2) | {"all_faults_of_load": 8}
-LONGEST = 180.0  # seconds until a play is given up
+PARALLEL_RUNS = dict.fromkeys(RUNS, 2) | {"all_faults_of_load": 8}
+RUN_TIMEOUT_S = 180.0
 
 
-def start(world: str, folder: Path, hash_seed: int) -> subprocess.Popen[bytes]:
+def start(run: str, folder: Path, hash_seed: int) -> subprocess.Popen[bytes]:
     folder.mkdir()
     return subprocess.Popen(
-        [sys.executable, "-m", "tests.exact.plays", world, str(folder)],
+        [sys.executable, "-m", "tests.exact.runs", run, str(folder)],
         cwd=ROOT,
         env={**os.environ, "PYTHONHASHSEED": str(hash_seed)},
         stdout=subprocess.DEVNULL,
     )
 
 
-def records(world: str, folder: Path, first: int, count: int) -> list[bytes]:
-    """What so many plays at once wrote; their hash seeds begin at ``first``."""
-    folders = [folder / f"play {first + n}" for n in range(count)]
-    plays = [start(world, one, first + n) for n, one in enumerate(folders)]
+def records(run: str, folder: Path, first: int, count: int) -> list[bytes]:
+    """Records of ``count`` parallel runs; their hash seeds start at ``first``."""
+    folders = [folder / f"run {first + n}" for n in range(count)]
+    processes = [start(run, one, first + n) for n, one in enumerate(folders)]
     try:
-        assert [play.wait(LONGEST) for play in plays] == [0] * count
+        assert [process.wait(RUN_TIMEOUT_S) for process in processes] == [0] * count
     finally:
-        for play in plays:
-            if play.poll() is None:
-                play.kill()
-                play.wait()
+        for process in processes:
+            if process.poll() is None:
+                process.kill()
+                process.wait()
     return [(one / "record").read_bytes() for one in folders]
 
 
-@pytest.mark.parametrize("world", WORLDS)
-def test_a_play_is_the_same_byte_for_byte_alone_and_several_at_once(world: str, tmp_path: Path) -> None:
-    [alone] = records(world, tmp_path, 0, 1)
+@pytest.mark.parametrize("run", RUNS)
+def test_records_are_equal_byte_for_byte_alone_and_in_parallel(run: str, tmp_path: Path) -> None:
+    [alone] = records(run, tmp_path, 0, 1)
     assert len(alone) > 2000
-    for number, record in enumerate(records(world, tmp_path, 1, AT_ONCE[world])):
-        assert record == alone, f"play {number + 1}: first difference at byte {differs_at(record, alone)}"
+    for number, record in enumerate(records(run, tmp_path, 1, PARALLEL_RUNS[run])):
+        assert record == alone, (
+            f"run {number + 1}: first difference at byte {first_difference(record, alone)}"
+        )
 
 
-def differs_at(one: bytes, other: bytes) -> int:
+def first_difference(one: bytes, other: bytes) -> int:
     pairs = zip(one, other, strict=False)
     return next((place for place, (a, b) in enumerate(pairs) if a != b), min(len(one), len(other)))
 
 
-def test_a_play_is_the_same_twice_in_one_process_and_another_with_another_seed(tmp_path: Path) -> None:
+def test_a_run_repeats_within_one_process_and_differs_with_another_seed(tmp_path: Path) -> None:
     found = []
     for name, seed in (("a", 1), ("b", 1), ("c", 2)):
         (tmp_path / name).mkdir()
@@ -70,31 +72,33 @@
     assert found[0] == found[1] != found[2]
 
 
-def test_planted_entropy_of_the_machine_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeded_system_entropy_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemoryNetwork, "entropy", lambda self, count: os.urandom(count))
-    assert len({all_faults_of_load(made(tmp_path / str(n))) for n in range(3)}) > 1
+    assert len({all_faults_of_load(make_folder(tmp_path / str(n))) for n in range(3)}) > 1
 
 
-def test_a_planted_order_of_readiness_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    plain, select = all_faults_of_load(made(tmp_path / "plain")), MemorySelector.select
+def test_a_seeded_change_of_the_readiness_order_is_detected(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    plain, select = all_faults_of_load(make_folder(tmp_path / "plain")), MemorySelector.select
     monkeypatch.setattr(MemorySelector, "select", lambda *values: select(*values)[::-1])
-    assert all_faults_of_load(made(tmp_path / "turned")) != plain
+    assert all_faults_of_load(make_folder(tmp_path / "turned")) != plain
 
 
-def made(folder: Path) -> Path:
+def make_folder(folder: Path) -> Path:
     folder.mkdir()
     return folder
 
 
-def test_the_run_inside_one_process_opens_no_socket_and_no_selector_of_the_system(
+def test_a_run_inside_one_process_opens_no_system_socket_or_selector(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def opened(*values: object, **more: object) -> None:
-        raise AssertionError("the operating system was asked")
+        raise AssertionError("the operating system was called")
 
     monkeypatch.setattr(socket, "socket", opened)
     monkeypatch.setattr(selectors, "DefaultSelector", opened)
     monkeypatch.setattr(os, "urandom", opened)
     all_faults_of_load(tmp_path)
-    with pytest.raises(AssertionError, match="was asked"):
+    with pytest.raises(AssertionError, match="was called"):
         VirtualLoop()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The laboratory in virtual time: replays alike, troubles act and vanish, fresh holders stand, rules hold."""
+"""The emulator: runs are reproducible, troubles act and end, cold holders survive, audit rules hold."""
 
 import hashlib
 import os
@@ -70,11 +70,11 @@
     return [(at - now) / MS for at, _ in holder.advance(until)]
 
 
-def test_jobs_are_served_side_by_side_on_the_cores_and_wait_beyond() -> None:
+def test_jobs_run_in_parallel_on_the_cores_and_queue_beyond() -> None:
     assert times(server(cores=2), [job() for _ in range(5)]) == pytest.approx([10, 10, 20, 20, 30], abs=0.01)
 
 
-def test_speed_slowness_and_neighbours_stretch_what_runs() -> None:
+def test_speed_and_slowness_stretch_running_jobs() -> None:
     assert times(server(speed=0.5), [job()]) == pytest.approx([20], abs=0.01)
     holder = server()
     holder.offer(100 * SECOND, job(10))
@@ -85,7 +85,7 @@
     )
 
 
-def test_a_pause_holds_what_runs_and_goes_on_after() -> None:
+def test_a_pause_suspends_running_jobs_and_resumes_them() -> None:
     holder = server()
     holder.offer(100 * SECOND, job(10))
     holder.advance(100 * SECOND + 4 * MS)
@@ -98,13 +98,13 @@
     )
 
 
-def test_a_cold_server_starts_at_its_share_and_warms_along_the_ramp() -> None:
+def test_a_cold_server_starts_at_its_cold_share_and_warms_along_the_ramp() -> None:
     holder = server(warm=False, cold=0.2, ramp=10 * SECOND)
     assert [round(holder.warmth((100 + s) * SECOND), 2) for s in (0, 5, 10, 20)] == [0.2, 0.6, 1.0, 1.0]
     assert times(holder, [job(10)])[0] == pytest.approx(50, rel=0.02)
 
 
-def test_the_room_is_bounded_and_cancelled_or_expired_work_is_not_begun() -> None:
+def test_the_queue_is_bounded_and_cancelled_or_expired_jobs_are_not_started() -> None:
     holder = server(cores=1, queue_limit=2)
     first, second, third = job(), job(), job(expires=100 * SECOND + 5 * MS)
     said = [holder.offer(100 * SECOND, one) for one in (first, second, third, job())]
@@ -113,7 +113,7 @@
     assert [one for _, one in holder.advance(101 * SECOND)] == [first]
 
 
-def test_a_cold_server_pushed_past_its_multiple_falls_a_warm_one_does_not() -> None:
+def test_a_cold_server_loaded_beyond_its_multiple_collapses_and_a_warm_one_does_not() -> None:
     cold = server(warm=False, cold=0.2, fall_multiple=2.0, overload_for=2 * SECOND, cores=2)
     able = 2 * 0.2 * 2 * SECOND * 2.0 / MS  # ms of work in a window
     pushed = [cold.offer(100 * SECOND, job(able / 10)) for _ in range(11)]
@@ -123,7 +123,7 @@
     assert {warm.offer(100 * SECOND, job(able / 10)) for _ in range(50)} == {"queued"}
 
 
-def test_a_stopped_server_gives_back_what_it_held_and_starts_empty() -> None:
+def test_a_stopped_server_returns_its_jobs_and_restarts_empty() -> None:
     holder = server(cores=1)
     held = [job(), job()]
     for one in held:
@@ -133,7 +133,7 @@
     assert holder.job_count() == 0 and holder.state is State.UP and holder.incarnation == 1
 
 
-# --- replays ---
+# --- reproducibility ---
 
 DIGEST = """
 import hashlib, msgspec, sys
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=[path.stem for path in EXAMPLES])
-def test_a_script_gives_the_same_record_in_processes_of_other_hash_seeds(path: Path) -> None:
+def test_a_script_gives_the_same_record_in_processes_with_different_hash_seeds(path: Path) -> None:
     until = 4 * SECOND if path.stem == "large" else 14 * SECOND
     runs = [
         subprocess.Popen(
@@ -165,7 +165,7 @@
     assert first == second and len(first) == 65
 
 
-def test_another_seed_is_another_day() -> None:
+def test_another_seed_gives_another_record() -> None:
     def digest(seed: int) -> str:
         found = hashlib.sha256()
         rehearse(small(), seed, lambda line: found.update(msgspec.msgpack.encode(line)))
@@ -174,7 +174,7 @@
     assert digest(1) == digest(1) != digest(2)
 
 
-# --- each kind of trouble acts, and only while it is there ---
+# --- each kind of trouble acts, and only while it lasts ---
 
 
 def figure(script: Script, read: Callable[[Outcome], float]) -> float:
@@ -233,19 +233,19 @@
 
 
 @pytest.mark.parametrize(("trouble", "read"), ACTS, ids=[str(trouble["kind"]) for trouble, _ in ACTS])
-def test_a_trouble_moves_its_figure_and_is_gone_without_it(
+def test_a_trouble_changes_its_figure_only_while_it_lasts(
     trouble: dict[str, Any], read: Callable[[Outcome], float]
 ) -> None:
     entry = {"at": "2s", "last": "4s", **trouble}
     calm = figure(small(), read)
     assert figure(small(entry), read) > calm * 1.02 + 1e-9
-    # The same trouble at the very end of the day has nothing left to act on.
+    # The same trouble at the very end of the run has no queries left to affect.
     late = {**entry, "at": "7999ms", "last": "1ms"}
     if trouble["kind"] not in ("ageing", "deploy", "kill", "silence", "zone_loss", "restart", "broker_crash"):
         assert figure(small(late), read) <= calm * 1.25 + 1e-9
 
 
-LEAVE_BEHIND: list[dict[str, Any]] = [
+RECOVERING_TROUBLES: list[dict[str, Any]] = [
     {"kind": "kill", "holders": ["s0r0"]},
     {"kind": "restart", "holders": ["s0r0"], "last": "300ms"},
     {"kind": "silence", "holders": ["s0r0"]},
@@ -259,7 +259,7 @@
 
 
 def tail(script: Script) -> tuple[float, float, float]:
-    """Of the queries asked from 14 s on: share whole, median and the 90th percentile in seconds."""
+    """Of queries asked after 14 s: share whole, median and 90th percentile of the latency in seconds."""
     lines: list[Line] = []
     rehearse(script, 5, lines.append)
     begin = min(line.at for line in lines if isinstance(line, Ask))
@@ -271,20 +271,22 @@
 
 
 @cache
-def calm_tail() -> tuple[float, float, float]:
+def baseline_tail() -> tuple[float, float, float]:
     return tail(small(length="19s"))
 
 
-@pytest.mark.parametrize("trouble", LEAVE_BEHIND, ids=[str(one["kind"]) for one in LEAVE_BEHIND])
-def test_what_troubles_leave_behind_is_gone_after_the_return(trouble: dict[str, Any]) -> None:
-    """Dead and cold ones come back: late in the day its figures are those of a day without the trouble."""
-    calm = calm_tail()
+@pytest.mark.parametrize(
+    "trouble", RECOVERING_TROUBLES, ids=[str(one["kind"]) for one in RECOVERING_TROUBLES]
+)
+def test_figures_recover_after_a_trouble_has_ended(trouble: dict[str, Any]) -> None:
+    """Late in the run, after failed holders are back and warm, figures match a run without the trouble."""
+    calm = baseline_tail()
     after = tail(small({"at": "2s", "last": "2s", **trouble}, length="19s"))
     assert calm[0] == 1.0 and after[0] >= 0.99
     assert after[1] <= calm[1] * 1.3 and after[2] <= calm[2] * 1.6
 
 
-def test_a_late_or_frozen_list_is_heard_of_later() -> None:
+def test_a_late_or_frozen_list_delays_membership_updates() -> None:
     def first_told(*troubles: dict[str, Any]) -> float:
         lines: list[Line] = []
         drain = {"kind": "drain", "at": "2s", "last": "2s", "holders": ["s0r0"]}
@@ -296,15 +298,15 @@
     assert first_told({"kind": "list_frozen", "at": "1s", "last": "2s"}) >= 4.0 - 1e-6
 
 
-def test_slow_handshakes_and_one_sided_links_touch_only_whom_they_should() -> None:
+def test_slow_handshakes_and_one_sided_links_affect_only_their_targets() -> None:
     slow = {"kind": "slow_handshakes", "at": "0s", "last": "8s", "holders": 1.0, "pause": "400ms"}
-    assert rehearse(small(slow), 5).good < 0.1  # no connection was open yet: none can be had
+    assert rehearse(small(slow), 5).good < 0.1  # no connection was open yet, and none can be opened
     script = small(
         {"kind": "one_sided", "at": "2s", "last": "5s", "holders": ["s0r0", "s0r1"], "brokers": ["broker0"]}
     )
     lines: list[Line] = []
     rehearse(script, 5, lines.append)
-    first: dict[str, Ask] = {}  # of each ask: a later try may come with too little time, wherever it goes
+    first: dict[str, Ask] = {}  # of each ask: a later try may have too little time left at any broker
     for line in lines:
         if isinstance(line, Ask):
             first.setdefault(line.ask, line)
@@ -313,7 +315,7 @@
     assert {brokers[end.query] for end in ends if end.status != 200} == {0}
 
 
-def test_a_retry_storm_brings_clients_back_at_once() -> None:
+def test_a_retry_storm_makes_clients_retry_at_once() -> None:
     script = small({"kind": "slowdown", "at": "2s", "last": "4s", "times": 12})
     storm = small(
         {"kind": "slowdown", "at": "2s", "last": "4s", "times": 12}, {"kind": "retry_storm", "at": "2s"}
@@ -327,7 +329,7 @@
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=[path.stem for path in EXAMPLES])
-def test_no_example_breaks_a_rule_or_makes_a_fresh_holder_fall(path: Path) -> None:
+def test_no_example_violates_a_rule_or_collapses_a_cold_holder(path: Path) -> None:
     outcome = rehearse(load(path, Script))
     assert outcome.report.findings == [] and outcome.fell == []
     assert max(outcome.fullest.values(), default=0.0) < 0.9
@@ -335,7 +337,7 @@
 
 def restart_under_load(brokers: int, seed: int) -> Script:
     return small(
-        # Both replicas of the only set: all that is asked can go to cold holders only.
+        # Both replicas of the only set, so all queries go to cold holders.
         {"kind": "restart", "at": "1s", "last": "300ms", "holders": ["s0r0", "s0r1"]},
         brokers=brokers,
         seed=seed,
@@ -348,15 +350,15 @@
 
 
 @pytest.mark.parametrize("brokers", [2, 9, 40])
-def test_fresh_holders_stand_whatever_the_number_of_brokers(brokers: int) -> None:
+def test_cold_holders_survive_with_any_number_of_brokers(brokers: int) -> None:
     for seed in range(3):
         outcome = rehearse(restart_under_load(brokers, seed))
         assert outcome.fell == [] and not outcome.report.findings
         assert 0 < max(outcome.fullest.values()) < 1
 
 
-def test_a_planted_bug_is_caught_by_the_same_check() -> None:
-    """Credit not divided by the brokers: each fills the cold holder as if it were alone."""
+def test_the_same_check_detects_a_seeded_bug() -> None:
+    """Load limits not divided by the number of brokers: each loads a cold holder as if it were alone."""
 
     def undivided(settings: Settings, seed: int) -> Aggregator:
         return Aggregator(replace(settings, instances=1, me=0), seed)
@@ -365,21 +367,24 @@
     assert any(outcome.fell for outcome in outcomes)
 
 
-# --- scripts, recordings, stories ---
+# --- scripts, recordings, query traces ---
 
 
 @pytest.mark.parametrize(
     ("change", "wanted"),
     [
-        ({"troubles": [{"kind": "hang", "at": "1s", "holders": ["s9r9"]}]}, "troubles[0] (hang): no s9r9"),
+        (
+            {"troubles": [{"kind": "hang", "at": "1s", "holders": ["s9r9"]}]},
+            "troubles[0] (hang): unknown name s9r9",
+        ),
         ({"troubles": [{"kind": "explode", "at": "1s"}]}, "troubles[0].kind"),
         ({"troubles": [{"kind": "poison", "at": "1s"}]}, "of_class is missing"),
         ({"troubles": [{"kind": "hang", "at": "9s"}]}, "begins at or after the end"),
-        ({"troubles": [{"kind": "zone_loss", "at": "1s", "zone": "moon"}]}, "zone 'moon'"),
+        ({"troubles": [{"kind": "zone_loss", "at": "1s", "zone": "moon"}]}, "unknown zone 'moon'"),
         ({"classes": [{**CLASSES[0], "parts": [1, 9]}]}, "most parts <= 3 shards"),
     ],
 )
-def test_scripts_are_checked_by_place(change: dict[str, Any], wanted: str) -> None:
+def test_script_errors_name_the_place(change: dict[str, Any], wanted: str) -> None:
     text = StringIO()
     YAML(typ="safe").dump({**SMALL, **change}, text)
     with pytest.raises(ConfigError) as caught:
@@ -401,7 +406,7 @@
     return script, lines
 
 
-def test_a_recording_is_read_back_and_damage_is_told_with_what_was_before_it(tmp_path: Path) -> None:
+def test_a_recording_is_read_back_and_up_to_reported_damage(tmp_path: Path) -> None:
     path = tmp_path / "day.qprec"
     _, lines = record(path)
     found = read_recording(path)
@@ -410,7 +415,7 @@
     for cut in (len(whole) - 1, len(whole) // 2, len(whole) - 30):
         path.write_bytes(whole[:cut])
         found = read_recording(path)
-        assert "cut inside" in found.damage and found.lines == lines[: len(found.lines)] != []
+        assert "truncated inside" in found.damage and found.lines == lines[: len(found.lines)] != []
     flipped = bytearray(whole)
     flipped[len(whole) // 2] ^= 4
     path.write_bytes(flipped)
@@ -422,25 +427,34 @@
             read_recording(path)
 
 
-def test_a_story_tells_what_the_broker_knew_and_did_and_stops_at_the_moment(tmp_path: Path) -> None:
+def test_a_query_trace_shows_the_decisions_of_the_broker_and_stops_at_the_requested_time(
+    tmp_path: Path,
+) -> None:
     script, lines = record(tmp_path / "day.qprec")
     ends = [line for line in lines if isinstance(line, End) and line.at > 2.2 * SECOND]
     failed = {line.query for line in lines if isinstance(line, Said) and line.status == 500}
     end = next(line for line in ends if line.query in failed)
-    story = trace_query(script, 5, lines, end.query)
-    text = "\n".join(story)
-    for piece in ("client asks", "takes it, with", "sends shard", "ERROR", "answers, whole", "client hears"):
+    trace = trace_query(script, 5, lines, end.query)
+    text = "\n".join(trace)
+    for piece in (
+        "client asks",
+        "accepts it with",
+        "sends shard",
+        "ERROR",
+        "answers, whole",
+        "client receives",
+    ):
         assert piece in text, text
     early = trace_query(script, 5, lines, end.query, until=end.at - 1)
-    assert len(early) < len(story) and "client hears" not in "\n".join(early)
+    assert len(early) < len(trace) and "client receives" not in "\n".join(early)
     with pytest.raises(QueryTraceError, match="no query"):
         trace_query(script, 5, lines, "nobody")
-    with pytest.raises(QueryTraceError, match="differs when run again"):
+    with pytest.raises(QueryTraceError, match="differs on replay"):
         trace_query(script, 6, lines, end.query)
 
 
-def test_a_dead_broker_hears_nothing_and_is_told_what_it_missed_when_it_is_back() -> None:
-    """Found by the fault search (day 2141): news that came while it was dead was in its list all the same."""
+def test_a_broker_that_is_down_gets_missed_membership_updates_after_its_restart() -> None:
+    """Found by the fault search (script 2141): updates sent while a broker was down entered its list."""
     script = small(
         {"kind": "kill", "at": "1s", "last": "2500ms", "holders": ["s0r0"]},
         {"kind": "broker_crash", "at": "3s", "last": "1s", "brokers": ["broker0"]},
@@ -450,5 +464,5 @@
     outcome = rehearse(script, 5, lines.append)
     told = [(line.phase, line.at) for line in lines if isinstance(line, Told) and line.broker == 0]
     assert [phase for phase, _ in told] == ["gone", "ready"]
-    assert told[1][1] > 5 * SECOND  # back at 4 s of the day, and the list takes its time
+    assert told[1][1] > 5 * SECOND  # restarted at 4 s of the run, plus the lag of its list
     assert outcome.report.findings == []
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -117,13 +117,13 @@
     code, out, _ = run("replay", str(kept))
     assert code == 0 and "ask" in out and "made by" in out
     code, out, _ = run("replay", str(kept), "--query", "c5.0")
-    assert code == 0 and "client asks" in out and "client hears" in out
+    assert code == 0 and "client asks" in out and "client receives" in out
     assert run("replay", str(kept), "--query", "nobody")[0] == 2
     assert run("replay", str(kept), "--at", "later")[0] == 2
     assert run("replay", str(script))[0] == 2
     kept.write_bytes(kept.read_bytes()[:-7])
     code, out, err = run("replay", str(kept))
-    assert code == 0 and "cut inside frame" in err
+    assert code == 0 and "truncated inside frame" in err
 
 
 def test_rehearse_keeps_to_a_pace_and_says_how_it_goes(script: Path) -> None:
@@ -168,7 +168,7 @@
 
     def run_only_hangs(one: Script) -> Outcome:
         if any(entry.kind == "hang" for entry in one.troubles):
-            raise ContractViolation("broker 0: contract broken")
+            raise ContractViolation("broker 0: contract violated")
         return rehearse(one)
 
     find = run_script(7, script, run_only_hangs)
