--- a/quincepath/lab/emulator/from_day.py
+++ b/quincepath/lab/emulator/from_day.py
@@ -50,14 +50,14 @@
     return f"{max(int(value), 1)}us"
 
 
-def _holders(day: dict[str, Any], replicas: int) -> list[str]:
+def _holder_names(day: dict[str, Any], replicas: int) -> list[str]:
     """Holder name of each server of the day file: by cell, then by index in it; '' if the script has none."""
     seen: dict[int, int] = {}
     names = []
     for server in day["servers"]:
-        place = seen.get(server["cell"], 0)
-        seen[server["cell"]] = place + 1
-        names.append(f"s{server['cell']}r{place}" if place < replicas else "")
+        index = seen.get(server["cell"], 0)
+        seen[server["cell"]] = index + 1
+        names.append(f"s{server['cell']}r{index}" if index < replicas else "")
     return names
 
 
@@ -65,37 +65,37 @@
     entry: dict[str, Any], day: dict[str, Any], names: list[str], notes: list[str]
 ) -> dict[str, Any]:
     kind = SCRIPT_KINDS[entry["kind"]]
-    found: dict[str, Any] = {
+    trouble: dict[str, Any] = {
         "kind": kind,
         "at": _us_text(entry["at"]),
         "last": _us_text(entry["len"]),
     }
     size, extra = float(entry.get("size", 0)), float(entry.get("extra", 0))
     if kind == "broker_crash":
-        found["brokers"] = [f"broker{n}" for n in entry["on"]] or 1.0
+        trouble["brokers"] = [f"broker{n}" for n in entry["on"]] or 1.0
     elif kind != "zone_loss":
-        found["holders"] = [names[n] for n in entry["on"] if n < len(names) and names[n]] or 1.0
+        trouble["holders"] = [names[n] for n in entry["on"] if n < len(names) and names[n]] or 1.0
     if entry["kind"] in KINDS_WITH_FACTOR:
-        found["times"] = max(size, 0.01)
+        trouble["times"] = max(size, 0.01)
     elif entry["kind"] in KINDS_WITH_SHARE:
-        found["share"] = min(size, 1.0)
+        trouble["share"] = min(size, 1.0)
     elif kind == "list_late":
         usual = day["discovery"]["notice"] / US_PER_SECOND
-        found["times"] = 1 + size / max(usual, 0.1)
+        trouble["times"] = 1 + size / max(usual, 0.1)
     elif kind == "zone_loss":
-        found["zone"] = day["zones"][entry["which"]]
+        trouble["zone"] = day["zones"][entry["which"]]
     elif kind in ("poison", "heavy_tail"):
-        found["share"] = min(size, 1.0)
-        found["times"] = max(extra, 1.0)
+        trouble["share"] = min(size, 1.0)
+        trouble["times"] = max(extra, 1.0)
     elif size:
         notes.append(f"{entry['kind']} at {entry['at'] / 1e6:.1f} s: size {size:.3g} is not converted")
     if entry["kind"] == "neighbour" and extra:
-        found["every"] = f"{extra:.3f}s"
+        trouble["every"] = f"{extra:.3f}s"
     if kind in ("class_errors", "poison", "heavy_tail"):
-        found["of_class"] = day["classes"][entry["which"]]["name"]
+        trouble["of_class"] = day["classes"][entry["which"]]["name"]
     if entry.get("how") == "silence" and kind == "class_errors":
         notes.append(f"class_fail at {entry['at'] / 1e6:.1f} s: fails with errors here, in silence there")
-    return found
+    return trouble
 
 
 def from_day(path: Path) -> ConvertedDay:
@@ -116,18 +116,18 @@
     if day.get("family") != "fanout" or fam.get("reach", 1) != 1:
         raise ConfigError([f"{path}: expected the day of a fan-out service whose shards have one cell each"])
     replicas = max(round(len(day["servers"]) / cells), 1)
-    names = _holders(day, replicas)
+    names = _holder_names(day, replicas)
     if missing := len(names) - sum(bool(name) for name in names):
         notes.append(f"{missing} servers beyond {replicas} a cell are left out")
     shards = max(fam["shards"] // cells, 1)
     classes = []
     for entry, ask in zip(day["classes"], fam["asks"], strict=True):
-        most = min(ask["parts"], cells * shards)
+        max_parts = min(ask["parts"], cells * shards)
         classes.append(
             {
                 "name": entry["name"],
                 "share": entry["share"],
-                "parts": [most, most],
+                "parts": [max_parts, max_parts],
                 "work": _us_text(entry["work"]),
                 "spread": entry["cv"],
                 "target": _us_text(entry["aim"]),
--- a/quincepath/lab/emulator/process_troubles.py
+++ b/quincepath/lab/emulator/process_troubles.py
@@ -96,7 +96,7 @@
         names = [f"broker{broker.number}" for broker in self.run.brokers]
         return [int(name[6:]) for name in draw.pick(names, entry.brokers)]
 
-    def _apply_for(self, holder: HolderProcess, last: int, faults: Faults) -> None:
+    def _apply_for(self, holder: HolderProcess, duration: int, faults: Faults) -> None:
         """Apply faults to a holder for a time; a process that is relaunched meanwhile starts without them."""
         self.last_fault_id += 1
         fault_id = self.last_fault_id
@@ -107,8 +107,8 @@
             if self.active_faults[holder.name].pop(fault_id, None) is not None:
                 self._send_faults(holder)
 
-        if last:
-            self.loop.call_in(last, end)
+        if duration:
+            self.loop.call_in(duration, end)
 
     def _send_faults(self, holder: HolderProcess) -> None:
         """Send the process its faults. Blocks the loop for about 1 ms: a live holder answers at once."""
@@ -182,8 +182,8 @@
                 self._apply_later(at, holder, entry.every // 2, Faults(steal=min(entry.share, 0.95)))
                 at += int(entry.every * draw.between(0.8, 1.2))
 
-    def _apply_later(self, wait: int, holder: HolderProcess, last: int, faults: Faults) -> None:
-        self.loop.call_in(wait, lambda: self._apply_for(holder, last, faults))
+    def _apply_later(self, wait: int, holder: HolderProcess, duration: int, faults: Faults) -> None:
+        self.loop.call_in(wait, lambda: self._apply_for(holder, duration, faults))
 
     def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for holder in self._pick_holders(entry, draw):
@@ -245,7 +245,7 @@
 
     # --- stopping and relaunching processes ---
 
-    def _stop_for(self, holder: HolderProcess, last: int, silent: bool = False) -> None:
+    def _stop_for(self, holder: HolderProcess, duration: int, silent: bool = False) -> None:
         """Kill a holder's process, or suspend it: then its connections stay open and silent."""
         if holder.name in self.down or holder.process is None:
             return
@@ -256,7 +256,7 @@
         else:
             holder.kill()
         self.run.roster_files.publish(holder.name)
-        self.loop.call_in(last, lambda: self._relaunch(holder))
+        self.loop.call_in(duration, lambda: self._relaunch(holder))
 
     def _relaunch(self, holder: HolderProcess) -> None:
         if holder.process is not None:
@@ -300,12 +300,12 @@
         for number in self._pick_brokers(entry, draw):
             self._kill_broker(number, entry.last)
 
-    def _kill_broker(self, number: int, last: int) -> None:
+    def _kill_broker(self, number: int, duration: int) -> None:
         broker = self.run.brokers[number]
         if broker.alive:
             broker.kill()
-            broker.halted = (time.monotonic_ns(), last)
-            self.loop.call_in(last, lambda: self._relaunch_broker(number))
+            broker.halted = (time.monotonic_ns(), duration)
+            self.loop.call_in(duration, lambda: self._relaunch_broker(number))
 
     def _relaunch_broker(self, number: int) -> None:
         self.run.brokers[number].launch()
--- a/quincepath/lab/emulator/script.py
+++ b/quincepath/lab/emulator/script.py
@@ -122,7 +122,7 @@
     network: Network = Network()
     discovery: Discovery = Discovery()
     limits: LimitsEntry = LimitsEntry()
-    # Queries represent different ones, though their bytes may be equal: none share a run in virtual time.
+    # No runs are shared in virtual time, because drawn queries with equal bytes represent different ones.
     asks: AsksEntry = AsksEntry(share_equal=False)
     rules: RulesEntry = RulesEntry()
     troubles: list[TroubleEntry] = []
--- a/quincepath/lab/emulator/troubles.py
+++ b/quincepath/lab/emulator/troubles.py
@@ -43,7 +43,7 @@
     def _apply_for(
         self,
         servers: Iterable[Server],
-        last: int,
+        duration: int,
         begin: Callable[[ServerFaults], None],
         end: Callable[[ServerFaults], None],
     ) -> None:
@@ -52,7 +52,7 @@
             server.advance(self.world.now)
             begin(server.faults)
             self.world._schedule_check(server)
-            self.world.call_after(last, self._undo_later(server, server.incarnation, end))
+            self.world.call_after(duration, self._undo_later(server, server.incarnation, end))
 
     def _undo_later(
         self, server: Server, incarnation: int, end: Callable[[ServerFaults], None]
@@ -71,20 +71,20 @@
     # --- holders ---
 
     def _hang(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.hang = True
+        def begin(faults: ServerFaults) -> None:
+            faults.hang = True
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.hang = False
+        def end(faults: ServerFaults) -> None:
+            faults.hang = False
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _slow(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.slow *= entry.times
+        def begin(faults: ServerFaults) -> None:
+            faults.slow *= entry.times
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.slow /= entry.times
+        def end(faults: ServerFaults) -> None:
+            faults.slow /= entry.times
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
@@ -93,20 +93,20 @@
         self._slow(entry.model_copy(update={"holders": list(self.world.fleet.servers)}), draw)
 
     def _lost_answers(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.lose = entry.share
+        def begin(faults: ServerFaults) -> None:
+            faults.lose = entry.share
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.lose = 0.0
+        def end(faults: ServerFaults) -> None:
+            faults.lose = 0.0
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _errors(self, entry: TroubleEntry, draw: RandomStream, kinds: frozenset[int] | None = None) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.errors, troubles.error_kinds = entry.share, kinds
+        def begin(faults: ServerFaults) -> None:
+            faults.errors, faults.error_kinds = entry.share, kinds
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.errors, troubles.error_kinds = 0.0, None
+        def end(faults: ServerFaults) -> None:
+            faults.errors, faults.error_kinds = 0.0, None
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
@@ -114,22 +114,22 @@
         self._errors(entry, draw, frozenset((self._class_index(entry),)))
 
     def _slow_handshakes(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.handshake = entry.pause
+        def begin(faults: ServerFaults) -> None:
+            faults.handshake = entry.pause
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.handshake = 0
+        def end(faults: ServerFaults) -> None:
+            faults.handshake = 0
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _pauses(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Pause each server for ``pause`` about every ``every``, at its own times."""
 
-        def begin(troubles: ServerFaults) -> None:
-            troubles.paused = True
+        def begin(faults: ServerFaults) -> None:
+            faults.paused = True
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.paused = False
+        def end(faults: ServerFaults) -> None:
+            faults.paused = False
 
         until = self.world.now + entry.last
         for server in self._pick_servers(entry, draw):
@@ -141,28 +141,28 @@
     def _preemption(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Another program takes ``share`` of the machine intermittently."""
 
-        def begin(troubles: ServerFaults) -> None:
-            troubles.steal = min(entry.share, 0.95)
+        def begin(faults: ServerFaults) -> None:
+            faults.steal = min(entry.share, 0.95)
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.steal = 0.0
+        def end(faults: ServerFaults) -> None:
+            faults.steal = 0.0
 
         until = self.world.now + entry.last
         for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
             while at < until:
-                last = int(entry.every / 2)
-                self.world.call_at(at, lambda s=server, la=last: self._apply_for([s], la, begin, end))  # type: ignore[misc]
+                duration = int(entry.every / 2)
+                self.world.call_at(at, lambda s=server, la=duration: self._apply_for([s], la, begin, end))  # type: ignore[misc]
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Slow down stepwise up to ``times``; then the process dies and restarts cold."""
 
-        def no_change(troubles: ServerFaults) -> None:
+        def no_change(faults: ServerFaults) -> None:
             pass
 
-        def slower(troubles: ServerFaults) -> None:
-            troubles.slow *= entry.times ** (1 / AGEING_STEPS)
+        def slower(faults: ServerFaults) -> None:
+            faults.slow *= entry.times ** (1 / AGEING_STEPS)
 
         for server in self._pick_servers(entry, draw):
             for step in range(AGEING_STEPS):
@@ -181,10 +181,10 @@
         for server in self._pick_servers(entry, draw):
             self._stop_for(server, entry.last, silent=True)
 
-    def _stop_for(self, server: Server, last: int, silent: bool) -> None:
+    def _stop_for(self, server: Server, duration: int, silent: bool) -> None:
         if server.state is State.UP:
             self.world.kill(server, silent)
-            self.world.call_after(last, lambda: self.world.restart(server))
+            self.world.call_after(duration, lambda: self.world.restart(server))
 
     def _flapping(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Down for a third of each ``every``, then up again, cold."""
@@ -192,8 +192,8 @@
         for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
             while at < until:
-                last = entry.every // 3
-                self.world.call_at(at, lambda s=server, la=last: self._stop_for(s, la, silent=False))  # type: ignore[misc]
+                duration = entry.every // 3
+                self.world.call_at(at, lambda s=server, la=duration: self._stop_for(s, la, silent=False))  # type: ignore[misc]
                 at += entry.every
 
     def _zone_loss(self, entry: TroubleEntry, draw: RandomStream) -> None:
@@ -317,9 +317,9 @@
     def _retry_storm(self, entry: TroubleEntry, draw: RandomStream) -> None:
         """Clients retry at once, whatever Retry-After says."""
         world = self.world
-        world.impatient_retries = True
+        world.immediate_retries = True
 
         def end() -> None:
-            world.impatient_retries = False
+            world.immediate_retries = False
 
         world.call_after(entry.last, end)
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -102,13 +102,13 @@
         client = attempt.client
         self._last_handle += 1
         handle, key = self._last_handle, f"c{client.number}"
-        book_try = RegistryTry(
+        registry_try = RegistryTry(
             handle, "", key.encode(), self.now + attempt.patience,
             RegistryKey("", key, True) if self.script.traffic.marks else None,
             client=f"desk{client.number % self.script.traffic.desks}",
         )  # fmt: skip
         result = broker.dispatcher.arrive(
-            self.now, book_try, self._ask(attempt), client, self.script.classes[client.kind].worth
+            self.now, registry_try, self._ask(attempt), client, self.script.classes[client.kind].worth
         )
         match result:
             case Rejection(retry_in=retry_in):
@@ -152,8 +152,8 @@
         self._deliver(broker, generation, lambda: self._on_client_left(broker, attempt))
 
     def _on_client_left(self, broker: Broker, attempt: Try) -> None:
-        for handle, known in broker.tries.items():
-            if known is attempt:
+        for handle, open_try in broker.tries.items():
+            if open_try is attempt:
                 del broker.tries[handle]
                 broker.dispatcher.client_left(self.now, handle)
                 self._schedule_step(broker)
@@ -165,11 +165,11 @@
         def receive() -> None:
             if not attempt.ended:
                 ms = -(-reply.retry_in // MS)
-                joined = "" if how is MatchKind.BEGAN else how.value
+                match_kind = "" if how is MatchKind.BEGAN else how.value
                 self._end_try(
                     attempt,
                     End(self.now, attempt.name, reply.status, reply.mark, reply.parts_in, reply.parts_asked,
-                        ms, joined),
+                        ms, match_kind),
                 )  # fmt: skip
 
         self.call_after(self.one_way_delay(broker.zone, broker.zone), receive)
@@ -193,7 +193,7 @@
             return
         draw = self.source("clients")
         wait = self.script.traffic.wait * 2 ** (client.tries - 1) * draw.between(0.5, 1.5)
-        if self.impatient_retries:
+        if self.immediate_retries:
             wait = MS
         elif draw() < self.script.traffic.honour:
             wait = max(wait, end.retry_ms * MS)
--- a/quincepath/lab/emulator/world/emulation.py
+++ b/quincepath/lab/emulator/world/emulation.py
@@ -102,11 +102,11 @@
         if broker.dispatcher.due(self.now):
             self._schedule_step(broker)
 
-    def halt(self, broker: Broker, last: int, kill: bool) -> None:
+    def halt(self, broker: Broker, duration: int, kill: bool) -> None:
         """Stall a broker for a time, or kill it and restart it after that time."""
         if not broker.alive:
             return
-        until = self.now + last
+        until = self.now + duration
         self.sink(Halt(self.now, broker.number, until, kill))
         if not kill:
             broker.stalled_until = max(broker.stalled_until, until)
--- a/quincepath/lab/emulator/world/holders.py
+++ b/quincepath/lab/emulator/world/holders.py
@@ -33,8 +33,8 @@
                 broker, server, generation, back, lambda: self._receive_reply(broker, call, Result.RESET)
             )
             return
-        works = [order.payload[0] for order in call.orders]
-        for order, work in zip(call.orders, works, strict=True):
+        part_works = [order.payload[0] for order in call.orders]
+        for order, work in zip(call.orders, part_works, strict=True):
             self.sink(
                 Got(
                     self.now, server.name, order.query_name, order.shard, order.step, order.attempt,
@@ -44,7 +44,7 @@
         kinds = frozenset(order.payload[2] for order in call.orders)
         poison = any(order.payload[1] for order in call.orders)
         expires = max(order.deadline for order in call.orders)
-        job = Job(sum(works), expires, kinds, (broker, generation, call), poison)
+        job = Job(sum(part_works), expires, kinds, (broker, generation, call), poison)
         call.job = job
         offered = server.offer(self.now, job)
         if offered == "fell":
--- a/quincepath/lab/emulator/world/state.py
+++ b/quincepath/lab/emulator/world/state.py
@@ -63,7 +63,7 @@
         self.heavy_factors: dict[int, tuple[float, float]] = {}  # by class: share of queries, factor of work
         self.poison_shares: dict[int, float] = {}  # by class: share of queries
         self.patience_factor = 1.0
-        self.impatient_retries = False
+        self.immediate_retries = False
         self.zones = {name: number for number, name in enumerate(script.fleet.zones)}
         self.fleet = self._make_fleet()
         self.actual_entries: dict[str, Entry] = {
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -107,28 +107,28 @@
 def test_the_queue_is_bounded_and_cancelled_or_expired_jobs_are_not_started() -> None:
     holder = server(cores=1, queue_limit=2)
     first, second, third = job(), job(), job(expires=100 * SECOND + 5 * MS)
-    said = [holder.offer(100 * SECOND, one) for one in (first, second, third, job())]
-    assert said == ["queued", "queued", "queued", "full"]
+    results = [holder.offer(100 * SECOND, one) for one in (first, second, third, job())]
+    assert results == ["queued", "queued", "queued", "full"]
     holder.cancel(100 * SECOND, second)
     assert [one for _, one in holder.advance(101 * SECOND)] == [first]
 
 
 def test_a_cold_server_loaded_beyond_its_multiple_collapses_and_a_warm_one_does_not() -> None:
     cold = server(warm=False, cold=0.2, fall_multiple=2.0, overload_for=2 * SECOND, cores=2)
-    able = 2 * 0.2 * 2 * SECOND * 2.0 / MS  # ms of work in a window
-    pushed = [cold.offer(100 * SECOND, job(able / 10)) for _ in range(11)]
-    assert pushed[:10].count("fell") == 0 and pushed[10] == "fell"
+    capacity_ms = 2 * 0.2 * 2 * SECOND * 2.0 / MS  # ms of work in a window
+    results = [cold.offer(100 * SECOND, job(capacity_ms / 10)) for _ in range(11)]
+    assert results[:10].count("fell") == 0 and results[10] == "fell"
     assert cold.max_window_share > 1
     warm = server(cores=2, queue_limit=1000)
-    assert {warm.offer(100 * SECOND, job(able / 10)) for _ in range(50)} == {"queued"}
+    assert {warm.offer(100 * SECOND, job(capacity_ms / 10)) for _ in range(50)} == {"queued"}
 
 
 def test_a_stopped_server_returns_its_jobs_and_restarts_empty() -> None:
     holder = server(cores=1)
-    held = [job(), job()]
-    for one in held:
+    jobs = [job(), job()]
+    for one in jobs:
         holder.offer(100 * SECOND, one)
-    assert holder.stop(101 * SECOND, State.DOWN) == held
+    assert holder.stop(101 * SECOND, State.DOWN) == jobs
     holder.restart(102 * SECOND)
     assert holder.job_count() == 0 and holder.state is State.UP and holder.incarnation == 1
 
