--- a/quincepath/lab/emulator/sockets.py
+++ b/quincepath/lab/emulator/sockets.py
@@ -20,7 +20,6 @@
 from quincepath.lab.emulator.process_troubles import ProcessTroubleInjector
 from quincepath.lab.emulator.processes import BrokerProcess, RosterFiles
 from quincepath.lab.emulator.script import Script
-from quincepath.lab.emulator.workload import RandomStream, draw_machines, draw_query
 from quincepath.lab.emulator.workload import draw_machines, draw_query
 from quincepath.lab.load import Client, QueryPlan, QueryResult
 from quincepath.net.loop import Loop
--- a/quincepath/lab/emulator/world/state.py
+++ b/quincepath/lab/emulator/world/state.py
@@ -10,7 +10,6 @@
 from quincepath.interface import Effect, Entry, Limits, Phase, QueryClass, Rules, Settings
 from quincepath.lab.emulator.script import Script, TrafficClass
 from quincepath.lab.emulator.server import Fleet, Server, ServerConfig
-from quincepath.lab.emulator.workload import RandomStream, draw_machines
 from quincepath.lab.emulator.workload import draw_machines
 from quincepath.lab.emulator.world.entities import Broker
 from quincepath.standins.random_streams import RandomStream
