--- a/tests/exact/test_exact.py
+++ b/tests/exact/test_exact.py
@@ -72,12 +72,12 @@
     assert found[0] == found[1] != found[2]
 
 
-def test_seeded_system_entropy_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_system_entropy_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemoryNetwork, "entropy", lambda self, count: os.urandom(count))
     assert len({all_faults_of_load(make_folder(tmp_path / str(n))) for n in range(3)}) > 1
 
 
-def test_a_seeded_change_of_the_readiness_order_is_detected(
+def test_an_injected_change_of_the_readiness_order_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plain, select = all_faults_of_load(make_folder(tmp_path / "plain")), MemorySelector.select
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -357,7 +357,7 @@
         assert 0 < max(outcome.fullest.values()) < 1
 
 
-def test_the_same_check_detects_a_seeded_bug() -> None:
+def test_the_same_check_detects_an_injected_bug() -> None:
     """Load limits not divided by the number of brokers: each loads a cold holder as if it were alone."""
 
     def undivided(settings: Settings, seed: int) -> Aggregator:
