--- a/quincepath/lab/emulator/troubles.py
+++ b/quincepath/lab/emulator/troubles.py
@@ -1,4 +1,4 @@
-"""What each kind of trouble does to an emulation, and how it ends; all by the script's seed."""
+"""Applies each kind of trouble to an emulation and ends it, drawing from the script's seed."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,16 +9,16 @@
 from quincepath.standins.random_streams import RandomStream
 
 AGEING_STEPS = 10
-DEPLOY_DRAIN_NS = 500_000_000  # ns that a deployed holder drains before its process ends
+DEPLOY_DRAIN_NS = 500_000_000  # a deployed holder drains this long before its process ends
 
 
 class TroubleInjector:
-    """Puts a script's troubles into an emulation."""
+    """Injects a script's troubles into an emulation."""
 
     def __init__(self, world: Emulation) -> None:
         self.world = world
-        for place, entry in enumerate(world.script.troubles):
-            draw = world.source(f"trouble {place}")
+        for index, entry in enumerate(world.script.troubles):
+            draw = world.source(f"trouble {index}")
             world.call_at(world.begin + entry.at, self._begin(entry, draw))
 
     def _begin(self, entry: TroubleEntry, draw: RandomStream) -> Callable[[], None]:
@@ -43,16 +43,16 @@
     def _apply_for(
         self,
         servers: Iterable[Server],
-        last: int,
+        duration: int,
         begin: Callable[[ServerFaults], None],
         end: Callable[[ServerFaults], None],
     ) -> None:
-        """Change servers now and back later; a server that was restarted meanwhile is left alone."""
+        """Change servers now and undo it later, except on servers restarted meanwhile."""
         for server in servers:
             server.advance(self.world.now)
             begin(server.faults)
             self.world._schedule_check(server)
-            self.world.call_after(last, self._undo_later(server, server.incarnation, end))
+            self.world.call_after(duration, self._undo_later(server, server.incarnation, end))
 
     def _undo_later(
         self, server: Server, incarnation: int, end: Callable[[ServerFaults], None]
@@ -71,42 +71,42 @@
     # --- holders ---
 
     def _hang(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.hang = True
+        def begin(faults: ServerFaults) -> None:
+            faults.hang = True
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.hang = False
+        def end(faults: ServerFaults) -> None:
+            faults.hang = False
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _slow(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.slow *= entry.times
+        def begin(faults: ServerFaults) -> None:
+            faults.slow *= entry.times
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.slow /= entry.times
+        def end(faults: ServerFaults) -> None:
+            faults.slow /= entry.times
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _slowdown(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """All holders at once: something that they share is slow."""
+        """Slow down all holders at once, as a slow shared dependency does."""
         self._slow(entry.model_copy(update={"holders": list(self.world.fleet.servers)}), draw)
 
     def _lost_answers(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.lose = entry.share
+        def begin(faults: ServerFaults) -> None:
+            faults.lose = entry.share
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.lose = 0.0
+        def end(faults: ServerFaults) -> None:
+            faults.lose = 0.0
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _errors(self, entry: TroubleEntry, draw: RandomStream, kinds: frozenset[int] | None = None) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.errors, troubles.error_kinds = entry.share, kinds
+        def begin(faults: ServerFaults) -> None:
+            faults.errors, faults.error_kinds = entry.share, kinds
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.errors, troubles.error_kinds = 0.0, None
+        def end(faults: ServerFaults) -> None:
+            faults.errors, faults.error_kinds = 0.0, None
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
@@ -114,22 +114,22 @@
         self._errors(entry, draw, frozenset((self._class_index(entry),)))
 
     def _slow_handshakes(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        def begin(troubles: ServerFaults) -> None:
-            troubles.handshake = entry.pause
+        def begin(faults: ServerFaults) -> None:
+            faults.handshake = entry.pause
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.handshake = 0
+        def end(faults: ServerFaults) -> None:
+            faults.handshake = 0
 
         self._apply_for(self._pick_servers(entry, draw), entry.last, begin, end)
 
     def _pauses(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Each stands still for ``pause`` every ``every``, at times of its own."""
+        """Pause each server for ``pause`` about every ``every``, at its own times."""
 
-        def begin(troubles: ServerFaults) -> None:
-            troubles.paused = True
+        def begin(faults: ServerFaults) -> None:
+            faults.paused = True
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.paused = False
+        def end(faults: ServerFaults) -> None:
+            faults.paused = False
 
         until = self.world.now + entry.last
         for server in self._pick_servers(entry, draw):
@@ -139,30 +139,30 @@
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _preemption(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Another program takes ``share`` of the machine, on and off."""
+        """Another program takes ``share`` of the machine intermittently."""
 
-        def begin(troubles: ServerFaults) -> None:
-            troubles.steal = min(entry.share, 0.95)
+        def begin(faults: ServerFaults) -> None:
+            faults.steal = min(entry.share, 0.95)
 
-        def end(troubles: ServerFaults) -> None:
-            troubles.steal = 0.0
+        def end(faults: ServerFaults) -> None:
+            faults.steal = 0.0
 
         until = self.world.now + entry.last
         for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
             while at < until:
-                last = int(entry.every / 2)
-                self.world.call_at(at, lambda s=server, la=last: self._apply_for([s], la, begin, end))  # type: ignore[misc]
+                duration = int(entry.every / 2)
+                self.world.call_at(at, lambda s=server, la=duration: self._apply_for([s], la, begin, end))  # type: ignore[misc]
                 at += int(entry.every * draw.between(0.8, 1.2))
 
     def _ageing(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Slower step by step, up to ``times``, then its process dies and comes back cold."""
+        """Slow down stepwise up to ``times``; then the process dies and restarts cold."""
 
-        def no_change(troubles: ServerFaults) -> None:
+        def no_change(faults: ServerFaults) -> None:
             pass
 
-        def slower(troubles: ServerFaults) -> None:
-            troubles.slow *= entry.times ** (1 / AGEING_STEPS)
+        def slower(faults: ServerFaults) -> None:
+            faults.slow *= entry.times ** (1 / AGEING_STEPS)
 
         for server in self._pick_servers(entry, draw):
             for step in range(AGEING_STEPS):
@@ -181,19 +181,19 @@
         for server in self._pick_servers(entry, draw):
             self._stop_for(server, entry.last, silent=True)
 
-    def _stop_for(self, server: Server, last: int, silent: bool) -> None:
+    def _stop_for(self, server: Server, duration: int, silent: bool) -> None:
         if server.state is State.UP:
             self.world.kill(server, silent)
-            self.world.call_after(last, lambda: self.world.restart(server))
+            self.world.call_after(duration, lambda: self.world.restart(server))
 
     def _flapping(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Up and down: dead for a third of ``every``, back cold, dead again."""
+        """Down for a third of each ``every``, then up again, cold."""
         until = self.world.now + entry.last
         for server in self._pick_servers(entry, draw):
             at = self.world.now + int(draw() * entry.every / 2)
             while at < until:
-                last = entry.every // 3
-                self.world.call_at(at, lambda s=server, la=last: self._stop_for(s, la, silent=False))  # type: ignore[misc]
+                duration = entry.every // 3
+                self.world.call_at(at, lambda s=server, la=duration: self._stop_for(s, la, silent=False))  # type: ignore[misc]
                 at += entry.every
 
     def _zone_loss(self, entry: TroubleEntry, draw: RandomStream) -> None:
@@ -202,7 +202,7 @@
         for name, server in fleet.servers.items():
             if fleet.zones[name] == zone:
                 self._stop_for(server, entry.last, silent=True)
-        if entry.share >= 1:  # with its brokers
+        if entry.share >= 1:  # its brokers fail as well
             for broker in self.world.brokers:
                 if broker.zone == zone:
                     self.world.halt(broker, entry.last, kill=True)
@@ -220,7 +220,7 @@
         return restore
 
     def _deploy(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """In waves, replica by replica, ``every`` apart: drained, ended, back cold."""
+        """Restart in waves, replica by replica, ``every`` apart: drain, stop, start cold."""
         chosen = self._pick_servers(entry, draw)
         for wave in range(self.world.script.fleet.replicas):
             for server in chosen:
@@ -239,7 +239,7 @@
         return start
 
     def _one_sided(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """What these holders send to these brokers is lost; what the brokers send arrives."""
+        """Lose what these holders send to these brokers; what the brokers send arrives."""
         brokers = self._pick_brokers(entry, draw)
         pairs = {(b.number, s.name) for s in self._pick_servers(entry, draw) for b in brokers}
         self.world.blocked_links |= pairs
@@ -249,7 +249,7 @@
 
         self.world.call_after(entry.last, restore_links)
 
-    # --- brokers and the list ---
+    # --- brokers and membership ---
 
     def _broker_stall(self, entry: TroubleEntry, draw: RandomStream) -> None:
         for broker in self._pick_brokers(entry, draw):
@@ -315,11 +315,11 @@
         world.call_after(entry.last, end)
 
     def _retry_storm(self, entry: TroubleEntry, draw: RandomStream) -> None:
-        """Clients come back at once, whatever they are told."""
+        """Clients retry at once, whatever Retry-After says."""
         world = self.world
-        world.impatient_retries = True
+        world.immediate_retries = True
 
         def end() -> None:
-            world.impatient_retries = False
+            world.immediate_retries = False
 
         world.call_after(entry.last, end)
--- a/quincepath/lab/emulator/world/clients.py
+++ b/quincepath/lab/emulator/world/clients.py
@@ -1,4 +1,4 @@
-"""Clients: when they come, what they ask, how long they wait, and when they come back."""
+"""Emulated clients: arrivals, queries, patience and retries."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -16,16 +16,16 @@
 from quincepath.standins.record import Ask as AskLine
 from quincepath.standins.record import End
 
-GIVE_UP_GRACE_NS = 50 * MS  # past its time a client stops listening
-SECOND_STEP_WORK_SHARE = 0.5  # of a first step's part
+GIVE_UP_GRACE_NS = 50 * MS  # after its timeout, until a client closes the connection
+SECOND_STEP_WORK_SHARE = 0.5  # relative to a part of the first step
 HTTP_STATUS = {Verdict.ANSWERED: 200, Verdict.REFUSED: 503, Verdict.FAILED: 502}
 
 
 class Clients(BrokerScheduling):
-    """Each query of the day, from its first try to its last word."""
+    """All queries of a run, from the first try to the final answer."""
 
     def _arrivals(self) -> None:
-        """Draw the whole day's arrivals ahead: they don't wait for answers."""
+        """Schedule all arrivals of the run: they don't wait for answers (open loop)."""
         draw = self.source("arrivals").generator
         at = float(self.begin + 100 * MS)
         number = 0
@@ -68,7 +68,7 @@
         alive = [broker for broker in self.brokers if broker.alive]
         if left <= 10 * MS:
             return
-        if not alive:  # nobody takes the connection: the client comes back by itself
+        if not alive:  # connection refused everywhere: the client retries by itself
             self.statistics.outcomes["unreachable"] += 1
             client.tries += 1
             if client.tries <= self.script.traffic.retries:
@@ -102,13 +102,13 @@
         client = attempt.client
         self._last_handle += 1
         handle, key = self._last_handle, f"c{client.number}"
-        book_try = RegistryTry(
+        registry_try = RegistryTry(
             handle, "", key.encode(), self.now + attempt.patience,
             RegistryKey("", key, True) if self.script.traffic.marks else None,
             client=f"desk{client.number % self.script.traffic.desks}",
         )  # fmt: skip
         result = broker.dispatcher.arrive(
-            self.now, book_try, self._ask(attempt), client, self.script.classes[client.kind].worth
+            self.now, registry_try, self._ask(attempt), client, self.script.classes[client.kind].worth
         )
         match result:
             case Rejection(retry_in=retry_in):
@@ -119,7 +119,7 @@
                 broker.tries[handle] = attempt
                 self._schedule_step(broker)
             case _:
-                raise AssertionError(f"{result}: keys of clients here are their own")
+                raise AssertionError(f"{result}: unexpected, since each client has a key of its own")
 
     def _ask(self, attempt: Try) -> Ask:
         client = attempt.client
@@ -145,15 +145,15 @@
         )  # fmt: skip
 
     def _time_out_try(self, attempt: Try, broker: Broker, generation: int) -> None:
-        """Its time is up and it has heard nothing: the connection is closed."""
+        """Close the connection of a client whose time is up without an answer."""
         if attempt.ended:
             return
         self._end_try(attempt, End(self.now, attempt.name, -1))
         self._deliver(broker, generation, lambda: self._on_client_left(broker, attempt))
 
     def _on_client_left(self, broker: Broker, attempt: Try) -> None:
-        for handle, known in broker.tries.items():
-            if known is attempt:
+        for handle, open_try in broker.tries.items():
+            if open_try is attempt:
                 del broker.tries[handle]
                 broker.dispatcher.client_left(self.now, handle)
                 self._schedule_step(broker)
@@ -165,11 +165,11 @@
         def receive() -> None:
             if not attempt.ended:
                 ms = -(-reply.retry_in // MS)
-                joined = "" if how is MatchKind.BEGAN else how.value
+                match_kind = "" if how is MatchKind.BEGAN else how.value
                 self._end_try(
                     attempt,
                     End(self.now, attempt.name, reply.status, reply.mark, reply.parts_in, reply.parts_asked,
-                        ms, joined),
+                        ms, match_kind),
                 )  # fmt: skip
 
         self.call_after(self.one_way_delay(broker.zone, broker.zone), receive)
@@ -193,7 +193,7 @@
             return
         draw = self.source("clients")
         wait = self.script.traffic.wait * 2 ** (client.tries - 1) * draw.between(0.5, 1.5)
-        if self.impatient_retries:
+        if self.immediate_retries:
             wait = MS
         elif draw() < self.script.traffic.honour:
             wait = max(wait, end.retry_ms * MS)
