--- a/tests/conformance/run_design.py
+++ b/tests/conformance/run_design.py
@@ -158,8 +158,8 @@
 
     kept: list[Any]
 
-    def _faulty(self, job: Any) -> bool:
-        self.kept.append(job)
+    def _inject_fault(self, call: Any) -> bool:
+        self.kept.append(call)
         return True
 
     def answer(self, job: Any) -> None:
